--- /dev/null
+++ b/tests/wire_compat.rs
@@ -0,0 +1,486 @@
+//! The bytes that others read: written once by revision 752f85b, and the same since. Nothing here may change
+//! with a renaming; the fixtures in `tests/fixtures/v0` are not written anew.
+
+mod standin;
+
+use bytes::BytesMut;
+use foxhold::core::{Clock, Listing, Message, Ticket, Verdict, Want};
+use foxhold::fronts::ops::{self, Door, Reloads};
+use foxhold::fronts::platform::Platform;
+use foxhold::fronts::serve::Closing;
+use foxhold::settings::{decode_transport, parse_settings};
+use foxhold::sources::board;
+use foxhold::transport::lines;
+use foxhold::{Effect, KeyScope, Notes, Siblings};
+use standin::*;
+use std::cell::Cell;
+use std::path::Path;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+fn fixture(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/v0").join(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+fn same_as_fixture(name: &str, actual: &str) {
+    let expected = fixture(name);
+    for (expected, actual) in expected.lines().zip(actual.lines()) {
+        assert_eq!(actual, expected, "{name}");
+    }
+    assert_eq!(actual, expected, "{name}");
+}
+
+/// Bytes with the line ends made visible, one line for each of theirs.
+fn visible(bytes: &[u8]) -> String {
+    let text = String::from_utf8_lossy(bytes);
+    text.replace('\r', "\\r").split_inclusive('\n').map(|l| l.replace('\n', "\\n\n")).collect()
+}
+
+// ---- the line protocol ----
+
+fn plain(id: &str, now: Instant) -> Want {
+    let ticket = Ticket { request: 1, attempt: 0 };
+    standin::want(ticket, id, "videos", Vec::new(), now + Duration::from_millis(1500))
+}
+
+#[test]
+fn requests_to_servers_are_written_byte_by_byte_as_before() {
+    let now = Instant::now();
+    let source: Arc<str> = "s-parent".into();
+    let full = Want {
+        part: Some(3),
+        via: Some(source.clone()),
+        keep: 2,
+        max_age_ms: 750,
+        join: true,
+        held_only: true,
+        renew: true,
+        known: Some("tag-1".into()),
+        token: Some("token-1".into()),
+        body: "bytes".into(),
+        ..plain("0000000000000002", now)
+    };
+    let flags = [(true, false, false), (false, true, false), (false, false, true), (true, true, false)];
+    let mut out = BytesMut::new();
+    lines::write_want(&plain("0000000000000001", now), now, &mut out);
+    lines::write_want(&full, now, &mut out);
+    for (join, held_only, renew) in flags {
+        let want = Want { via: Some(source.clone()), keep: 1, join, held_only, renew, ..plain("a", now) };
+        lines::write_want(&want, now, &mut out);
+    }
+    lines::write_want(&Want { until: now, ..plain("late", now) }, now, &mut out);
+    lines::write_forget("0000000000000001", &mut out);
+    lines::write_probe("p7", &mut out);
+    same_as_fixture("line-requests.txt", &visible(&out));
+}
+
+/// What an answer was read as; notes by their number.
+fn answer(content: &lines::Content) -> String {
+    let reply = match content {
+        lines::Content::Probe(healthy, load) => return format!("health {healthy} {load:?}"),
+        lines::Content::Reply(reply) => reply,
+    };
+    let verdict = match &reply.verdict {
+        Verdict::Copy(copy) => format!("copy {:?} {:?}", copy.tag, copy.body),
+        Verdict::Unchanged(tag) => format!("unchanged {tag:?}"),
+        Verdict::Miss => "miss".into(),
+        Verdict::Full => "full".into(),
+        Verdict::Error => "error".into(),
+        Verdict::Stale => "too late".into(),
+    };
+    format!("{verdict}, note {}, waited {}, load {:?}", reply.note as u8, reply.waited, reply.gauges)
+}
+
+#[test]
+fn answers_of_servers_are_read_as_before() {
+    let notes = [
+        "cached",
+        "fetched",
+        "fetched_root",
+        "merged",
+        "past_fresh",
+        "up_refused",
+        "up_lost",
+        "up_empty",
+        "fills_full",
+        "root_failed",
+        "other",
+    ];
+    let mut text = String::new();
+    for note in notes {
+        text += &format!("a ACK tag=t1,lag=12.5,res={note},gauges=load:0.5;x1:1.25 5\r\nbytes\r\n");
+    }
+    for word in ["NOMOD", "NOENT", "AGAIN", "EIO", "STALE"] {
+        text += &format!("b {word} tag=t2 0\r\n\r\n");
+    }
+    text += "p1 READY - 0\r\n\r\np2 READY\r\np3 AILING gauges=x0:0.25\r\np4 AILING - 0\r\n\r\n";
+    let mut buffer = BytesMut::from(text.as_bytes());
+    let (mut reader, mut read) = (lines::Reader::default(), String::new());
+    while let Some(message) = reader.next(&mut buffer).expect("good lines") {
+        read += &format!("{} {}\n", message.id, answer(&message.content));
+    }
+    assert!(buffer.is_empty());
+    same_as_fixture("line-answers.txt", &read);
+    for bad in ["a ACK - x\r\n", "a WHAT - 0\r\n", "a ACK lag=x 0\r\n", " ACK - 0\r\n", "a\r\n", "a ACK -\n"]
+    {
+        let mut buffer = BytesMut::from(bad.as_bytes());
+        assert!(lines::Reader::default().next(&mut buffer).is_err(), "{bad:?}");
+    }
+}
+
+// ---- discovery ----
+
+/// What an event was read as; states by their number.
+fn event(news: &board::News) -> String {
+    let member = |listing: &Listing| {
+        let Listing { name, address, zone, kind, cell, state, size, since } = listing;
+        format!(" {name} {address} {zone} {kind} {cell} {} {size} {since}", *state as u8)
+    };
+    match news {
+        board::News::Members { full, members } => {
+            format!("members {full}{}", members.iter().map(member).collect::<String>())
+        }
+        board::News::Purge { object, group, ms } => format!("purge {object:?} {group} {ms}"),
+        board::News::Other => "other".into(),
+    }
+}
+
+#[test]
+fn discovery_lines_are_read_as_before() {
+    let member = |id: &str, phase: &str| {
+        format!(
+            concat!(
+                r#"{{"id":"{}","host_port":"127.0.0.1:7","locality":"edge","flavor":"cache","cell":3,"#,
+                r#""phase":"{}","size":8.5,"up_since_ms":1764576000123}}"#
+            ),
+            id, phase
+        )
+    };
+    let complete =
+        format!(r#"{{"rev":4,"pool":{{"complete":true,"members":[{}]}}}}"#, member("s1", "in_service"));
+    let lines = [
+        "17".to_owned(),
+        complete.clone(),
+        format!(r#"{{"rev":5,"pool":{{"members":[{}]}}}}"#, member("s2", "terminating")),
+        format!(r#"{{"rev":6,"pool":{{"members":[{}]}}}}"#, member("s3", "terminated")),
+        concat!(
+            r#"{"rev":7,"pool":{"members":[{"id":"s4","host_port":"h:1","locality":"hub","#,
+            r#""flavor":"parent","phase":"in_service"}]}}"#
+        )
+        .to_owned(),
+        r#"{"rev":8,"flush":{"asset":"aa","ms":1764576000123}}"#.to_owned(),
+        r#"{"rev":9,"flush":{"collection":5,"ms":1764576000123.5}}"#.to_owned(),
+        r#"{"rev":10,"hint":{}}"#.to_owned(),
+    ];
+    let mut read = String::new();
+    for line in lines {
+        let line = board::parse_line(line.as_bytes()).expect("a good line");
+        read += &match line {
+            board::Line::Last(rev) => format!("last {rev}\n"),
+            board::Line::Notice(notice) => format!("{} {}\n", notice.rev, event(&notice.news)),
+        };
+    }
+    same_as_fixture("discovery.txt", &read);
+    for bad in [r#"{"rev":8,"flush":{"ms":1}}"#, "", "x", &complete.replace("in_service", "resting")] {
+        assert!(board::parse_line(bad.as_bytes()).is_err(), "{bad}");
+    }
+}
+
+// ---- clients and operators ----
+
+const COPY: Manner = Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n");
+
+/// The whole answer to one request, as it stood on the wire; what differs by chance is masked.
+async fn raw(address: &str, request: &str) -> String {
+    let response = send(address, request).await;
+    let mut head = response.head;
+    if let Some(at) = head.find("X-Wait-Ms: ") {
+        let rest = head.split_off(at + "X-Wait-Ms: ".len());
+        head += "N";
+        head += rest.trim_start_matches(|c: char| c.is_ascii_digit());
+    }
+    visible(format!("{head}\r\n\r\n{}", String::from_utf8_lossy(&response.body)).as_bytes()) + "\n"
+}
+
+fn request(method: &str, target: &str, headers: &str, body: &str) -> String {
+    let length = body.len();
+    format!(
+        "{method} {target} HTTP/1.1\r\nHost: d\r\n{headers}\
+         Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+    )
+}
+
+#[test]
+fn answers_to_clients_and_operators_are_byte_by_byte_as_before() {
+    local(async {
+        let ([cache, parent, origin], members) = trio(COPY).await;
+        let core = start(settings(), Clock::system(), members);
+        let front = serve(&core, Platform(core.clone())).await;
+        let (close, closing) = watch::channel(Closing::No);
+        let reloads = Rc::new(Reloads::default());
+        let door = Door {
+            core: core.clone(),
+            open: Rc::new(Cell::new(2)),
+            closing,
+            reloads: reloads.clone(),
+            #[cfg(feature = "peers")]
+            peers: None,
+        };
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let admin = listener.local_addr().expect("an address").to_string();
+        tokio::task::spawn_local(ops::accept(listener, door));
+        let videos = "/ops/videos/7f3a9c21e0b4d655";
+        let job = |id: u64| format!("X-Job-Id: {id:016x}\r\nX-Allow-Ms: 2900\r\n");
+        let mut out = String::new();
+        out += &raw(&front, &request("GET", "/alive", "", "")).await;
+        out += &raw(&front, &request("GET", videos, &job(1), "")).await;
+        out += &raw(&front, &request("GET", &format!("{videos}?block=3"), &job(2), "")).await;
+        *cache.manner.borrow_mut() = Manner::Says("ID NOMOD tag=aa 0\r\n\r\n");
+        let known = job(3) + "If-None-Match: \"aa\"\r\n";
+        out += &raw(&front, &request("GET", videos, &known, "")).await;
+        for server in [&cache, &parent, &origin] {
+            *server.manner.borrow_mut() = Manner::Says("ID AGAIN - 0\r\n\r\n");
+        }
+        out += &raw(&front, &request("GET", videos, &job(4), "")).await;
+        for server in [&cache, &parent, &origin] {
+            *server.manner.borrow_mut() = Manner::Says("ID EIO - 0\r\n\r\n");
+        }
+        out += &raw(&front, &request("PUT", "/ops/filing/7f3a9c21e0b4d655", &job(5), "text")).await;
+        for server in [&cache, &parent, &origin] {
+            *server.manner.borrow_mut() = Manner::Silent;
+        }
+        let short = "X-Job-Id: 0000000000000006\r\nX-Allow-Ms: 200\r\n";
+        out += &raw(&front, &request("GET", videos, short, "")).await;
+        out += &raw(&front, &request("GET", "/ops/nothing/7f3a9c21e0b4d655", &job(7), "")).await;
+        out += &raw(&front, &request("GET", videos, "X-Job-Id: x\r\n", "")).await;
+        out += &raw(&front, &request("GET", videos, &(job(8) + "X-Family: 300\r\n"), "")).await;
+        out += &raw(&front, &request("GET", videos, &job(9), "body")).await;
+        out += &raw(&front, &request("POST", videos, &job(10), "")).await;
+        out += &raw(&front, &request("GET", "/elsewhere", "", "")).await;
+        same_as_fixture("client-answers.txt", &out);
+        let sent: Vec<String> = cache.lines.borrow().clone();
+        let words = |line: &String| line.split("ms=").next().map(str::to_owned);
+        assert_eq!(
+            sent.iter().filter_map(words).take(2).collect::<Vec<_>>(),
+            [
+                "want 0000000000000001 kind=videos,obj=7f3a9c21e0b4d655,",
+                "want 0000000000000002 kind=videos,obj=7f3a9c21e0b4d655,seg=3,",
+            ]
+        );
+        core.reports().send(Message::Members { full: true, members: Vec::new() }).await;
+        reloads.failed.set(1);
+        let mut calls = String::new();
+        for call in ["check\n", "vars\r\n", "reboot\n", &"x".repeat(300)] {
+            calls += &visible(without_attempts(&admin_call(&admin, call).await).as_bytes());
+        }
+        close.send(Closing::AfterAnswer).expect("an admin endpoint");
+        calls += &visible(admin_call(&admin, "check\n").await.as_bytes());
+        same_as_fixture("admin-answers.txt", &calls);
+    });
+}
+
+/// Figures without the number of attempts, which goes by how fast the servers answered.
+fn without_attempts(answer: &str) -> String {
+    let Some((before, rest)) = answer.split_once("\"attempts\":") else { return answer.into() };
+    let rest = rest.trim_start_matches(|c: char| c.is_ascii_digit());
+    format!("{before}\"attempts\":N{rest}")
+}
+
+async fn admin_call(address: &str, call: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.expect("an admin endpoint");
+    stream.write_all(call.as_bytes()).await.expect("a reader");
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).await.expect("text");
+    answer
+}
+
+// ---- settings ----
+
+/// The numbers and texts in a value's debug form, without the names of types and fields.
+fn values<T: std::fmt::Debug + ?Sized>(value: &T) -> String {
+    let text = format!("{value:?}");
+    let (mut out, mut quoted) = (String::new(), false);
+    for c in text.chars() {
+        quoted ^= c == '"';
+        if quoted || c == '"' || c == '.' || c.is_ascii_digit() {
+            out.push(c);
+        } else if !out.ends_with(' ') {
+            out.push(' ');
+        }
+    }
+    out.trim().to_owned()
+}
+
+#[test]
+fn settings_are_read_as_before() {
+    let text = fixture("settings.json");
+    let settings = parse_settings(&text).expect("good settings");
+    let value = miniserde::json::from_str(&text).expect("JSON");
+    let transport = decode_transport(&value).expect("good settings");
+    let mut read = String::new();
+    let mut line = |name: &str, value: &dyn std::fmt::Debug| read += &format!("{name}: {}\n", values(value));
+    line("balancers", &settings.routers);
+    line("zone", &settings.zone);
+    line("zones", &settings.zones);
+    line("kinds", &settings.kinds);
+    line("weights", &u8::from(settings.sizes_told));
+    line("discovery", &u8::from(settings.must_ask));
+    line("report.names", &settings.report);
+    line("familyInfo.midKind", &settings.parent_kind);
+    line("familyInfo.storeKind", &settings.origin_kind);
+    line("familyInfo.instancesByZone", &settings.routers_by_zone);
+    line("familyInfo.inletKbPerS", &settings.zone_link);
+    line("familyInfo.flowKbPerS", &settings.flow);
+    line("familyInfo.passThroughOk", &u8::from(settings.direct));
+    line("familyInfo.collapses", &u8::from(settings.joins));
+    line("familyInfo.peersFill", &u8::from(settings.siblings == Siblings::Zone));
+    line("familyInfo.noteLevel", &u8::from(settings.notes == Notes::Hit));
+    line("familyInfo.purgeGraceMs", &settings.purge_grace);
+    line("familyInfo.purgeDoneMs", &settings.purge_done);
+    line("familyInfo.parentFloor", &settings.cold_parent.floor);
+    line("familyInfo.parentWarmsInMs", &settings.cold_parent.warm_within);
+    line("familyInfo.parentLimitFactor", &settings.cold_parent.multiple);
+    line("bounds.cancel", &u8::from(settings.cancel));
+    line("bounds.secondCopies", &u8::from(settings.second_copies));
+    line("bounds.retryAfter", &u8::from(settings.retry_advice));
+    line("bounds.maxRetryAfterMs", &settings.max_advice);
+    line("bounds.maxAttempts", &settings.max_attempts);
+    line("bounds.probes", &u8::from(settings.probes));
+    line("bounds.peers", &u8::from(settings.peers));
+    line("rules.stopSendingWithinMs", &settings.drain_grace);
+    line("rules.coldFrom", &settings.cold_cache.floor);
+    line("rules.warmWithinMs", &settings.cold_cache.warm_within);
+    line("rules.fallMultiple", &settings.cold_cache.multiple);
+    line("rules.overloadForMs", &[settings.cold_cache.window, settings.cold_parent.window]);
+    line("bounds.connectTimeoutMs", &transport.connect_timeout.as_millis());
+    line("bounds.connIdleMs", &transport.idle.as_millis());
+    line("bounds.streamsPerConn", &transport.streams);
+    for class in &settings.classes {
+        let keyed = match class.effect {
+            Effect::Safe => (0, 0, 0),
+            Effect::Keyed { scope, window } => (1, window, u8::from(scope == KeyScope::Cell)),
+            Effect::Unsafe => (2, 0, 0),
+        };
+        line("services[].name", &class.name);
+        line("services[].aimMs", &class.aim);
+        line("services[].aimStretch", &class.aim_stretch);
+        line("services[].deadlineMs", &class.deadline);
+        line("services[].worth", &class.worth);
+        line("services[].lateShare", &class.late_share);
+        line("services[].effect, windowMs, keyScope", &keyed);
+        line("familyInfo.lifetimeByClassMs", &class.fresh);
+        line("familyInfo.classGraceMs", &class.grace);
+        line("familyInfo.worthWhenOld", &class.stale_share);
+        line("familyInfo.passOn", &u8::from(class.write));
+    }
+    same_as_fixture("settings.txt", &read);
+}
+
+// ---- what directors send and store ----
+
+#[cfg(feature = "peers")]
+mod directors {
+    use super::{fixture, same_as_fixture};
+    use foxhold::peers::frame::{Body, Message, Seal};
+    use foxhold::peers::members::Member;
+    use foxhold::peers::store;
+    use foxhold::replica::digest::Node;
+    use foxhold::replica::talk::Say;
+    use foxhold::replica::word::{Key, Place, Run, Word, Words};
+    use std::time::Duration;
+
+    const UNIX: u64 = 1_764_576_000_000_000;
+
+    fn place() -> Place {
+        Place {
+            address: "127.0.0.1:7".into(),
+            zone: "edge".into(),
+            kind: "cache".into(),
+            cell: 3,
+            state: 1,
+            size: 8.5,
+            since: UNIX,
+        }
+    }
+
+    fn entries() -> Vec<(Key, Word)> {
+        let words =
+            Words { since: UNIX, told: [(Run(1), 2), (Run(7), 1)].into(), undone: [(Run(1), 1)].into() };
+        vec![
+            (Key::Object("aa".into()), Word::Purged(UNIX)),
+            (Key::Group(5), Word::Purged(UNIX + 1)),
+            (Key::Drain("s-1".into()), Word::Drain(words)),
+            (Key::Listed("s-1".into()), Word::Listed(9, place())),
+        ]
+    }
+
+    fn hex(bytes: &[u8]) -> String {
+        bytes.iter().map(|b| format!("{b:02x}")).collect()
+    }
+
+    fn unhex(text: &str) -> Vec<u8> {
+        let digit = |n| u8::from_str_radix(&text[n..n + 2], 16).expect("hex digits");
+        (0..text.len()).step_by(2).map(digit).collect()
+    }
+
+    #[test]
+    fn frames_among_directors_are_byte_by_byte_as_before() {
+        let bodies = [
+            Body::Swim(vec![1, 2, 3]),
+            Body::Say(Say::Words(entries())),
+            Body::Say(Say::Root(5)),
+            Body::Say(Say::Sums(vec![(Node { level: 1, number: 2 }, vec![7; 16])])),
+            Body::Say(Say::Have(1, 2, vec![(3, 4)])),
+            Body::Say(Say::Send(vec![1, 2])),
+            Body::Say(Say::Pull(1, 2, 3)),
+            Body::Say(Say::Chunk(1, 2, entries(), Some(3), true)),
+        ];
+        let seal = Seal::new("toy", &[vec![7; 32]]).expect("a key");
+        let from = Member::new("a", "127.0.0.1:1".parse().expect("an address"), 9);
+        let messages: Vec<Message> = bodies
+            .into_iter()
+            .map(|body| Message { from: from.clone(), run: 7, number: 300, body })
+            .collect();
+        let frames: Vec<Vec<u8>> = messages.iter().map(|m| seal.seal(m).expect("small")).collect();
+        same_as_fixture("frames.txt", &frames.iter().map(|f| hex(f) + "\n").collect::<String>());
+        for (line, message) in fixture("frames.txt").lines().zip(&messages) {
+            assert_eq!(seal.open(&unhex(line)).as_ref(), Ok(message));
+        }
+    }
+
+    /// The file: its length, and a line for each part that is not all zero, with its place and its bytes.
+    fn unpack(text: &str) -> Vec<u8> {
+        let (length, pages) = text.split_once('\n').expect("a length");
+        let mut file = vec![0; length.parse().expect("a length")];
+        for line in pages.lines() {
+            let (at, bytes) = line.split_once(' ').expect("a place and bytes");
+            let (at, bytes) = (usize::from_str_radix(at, 16).expect("a place"), unhex(bytes));
+            file[at..at + bytes.len()].copy_from_slice(&bytes);
+        }
+        file
+    }
+
+    #[test]
+    fn a_stored_state_of_before_is_opened_and_read() {
+        let folder = std::env::temp_dir().join(format!("foxhold-stored-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        std::fs::write(folder.join("foxhold-state.redb"), unpack(&fixture("store.txt"))).expect("a file");
+        let (store, stored) = store::open(&folder, UNIX + 10).expect("a store");
+        assert_eq!(stored.set_aside, None);
+        assert_eq!((stored.saved_at, stored.incarnation), (UNIX + 5, UNIX + 10));
+        let mut read = stored.entries;
+        let mut expected = entries();
+        read.sort_by(|a, b| a.0.cmp(&b.0));
+        expected.sort_by(|a, b| a.0.cmp(&b.0));
+        assert_eq!(read, expected);
+        runtime.block_on(store.close(Duration::from_secs(5)));
+        std::fs::remove_dir_all(&folder).expect("the folder");
+    }
+}
