--- a/Makefile
+++ b/Makefile
@@ -34,4 +34,4 @@
 # What a decision costs, by criterion; and a request through daemon and library.
 bench:
 	cargo bench --locked --bench decide
-	cargo run --locked --release -p foxhold-lab -- overhead
+	cargo run --locked --release -p foxhold-testbed -- overhead
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -4,7 +4,7 @@
 mod standin;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use foxhold::api::*;
+use foxhold::policy::types::*;
 use foxhold::Router;
 use std::hint::black_box;
 
--- a/crates/foxhold-lab/src/command/fleet.rs
+++ b/crates/foxhold-testbed/src/command/fleet.rs
@@ -1,10 +1,10 @@
 //! `fleet`: many processes of the director, by a plan or by faults that are drawn.
 
-use foxhold_lab::harness::{self, Programs};
-use foxhold_lab::plan::Plan;
-use foxhold_lab::replay::Failure;
-use foxhold_lab::report::Played;
-use foxhold_lab::storm;
+use foxhold_testbed::harness::{self, Programs};
+use foxhold_testbed::plan::Plan;
+use foxhold_testbed::replay::Failure;
+use foxhold_testbed::report::Played;
+use foxhold_testbed::storm;
 use std::path::{Path, PathBuf};
 
 /// A storm that is not told otherwise.
--- a/crates/foxhold-lab/src/command/hollow.rs
+++ b/crates/foxhold-testbed/src/command/hollow.rs
@@ -1,9 +1,9 @@
 //! `hollow`: many directors in one process, over a simulated network.
 
-use foxhold_lab::harness::interrupted;
-pub use foxhold_lab::hollow::Options;
-use foxhold_lab::hollow::{self, Host};
-use foxhold_lab::replay::Failure;
+use foxhold_testbed::harness::interrupted;
+pub use foxhold_testbed::hollow::Options;
+use foxhold_testbed::hollow::{self, Host};
+use foxhold_testbed::replay::Failure;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
--- a/crates/foxhold-lab/src/command/overhead.rs
+++ b/crates/foxhold-testbed/src/command/overhead.rs
@@ -1,8 +1,8 @@
 //! `overhead`: what the director costs a request.
 
-use foxhold_lab::fleet::Fleet;
-use foxhold_lab::overhead::{through_daemon, through_library, Cost};
-use foxhold_lab::replay::Failure;
+use foxhold_testbed::fleet::Fleet;
+use foxhold_testbed::overhead::{through_daemon, through_library, Cost};
+use foxhold_testbed::replay::Failure;
 use std::path::PathBuf;
 
 /// One server in so many is a parent.
--- a/crates/foxhold-lab/src/command/talk.rs
+++ b/crates/foxhold-testbed/src/command/talk.rs
@@ -1,7 +1,7 @@
 //! `talk`: directors that share state, without clients and servers.
 
-use foxhold_lab::peer_scenario::{self, Scenario};
-use foxhold_lab::replay::Failure;
+use foxhold_testbed::peer_scenario::{self, Scenario};
+use foxhold_testbed::replay::Failure;
 use std::future::Future;
 use std::path::PathBuf;
 
--- a/crates/foxhold-lab/src/command/trace.rs
+++ b/crates/foxhold-testbed/src/command/trace.rs
@@ -1,7 +1,7 @@
 //! `draw` and `trace`: drawn traces, and one trace through the daemon and through the library.
 
-use foxhold_lab::replay::{compare, play, Difference, Failure, Played, Through};
-use foxhold_lab::trace::{self, Line};
+use foxhold_testbed::replay::{compare, play, Difference, Failure, Played, Through};
+use foxhold_testbed::trace::{self, Line};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
--- a/crates/foxhold-lab/src/hollow/clock.rs
+++ b/crates/foxhold-testbed/src/hollow/clock.rs
@@ -1,7 +1,7 @@
 //! Simulated time: one queue of events, in the order of their times and, at one time, of their scheduling.
 
-use foxhold::api::Micros;
-use foxhold::replica::state::Now;
+use foxhold::policy::types::Micros;
+use foxhold::replication::state::Now;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
--- a/crates/foxhold-lab/src/hollow/director.rs
+++ b/crates/foxhold-testbed/src/hollow/director.rs
@@ -1,16 +1,16 @@
 //! One hollow director: the real membership, conversation, replay window and seal, put together as the actor in
-//! [`foxhold::peers`] does it, without its socket, its disk and its core.
+//! [`foxhold::cluster`] does it, without its socket, its disk and its core.
 
-use foxhold::api::Micros;
-use foxhold::peers::frame::{Body, Message, Seal};
-use foxhold::peers::members::{Member, Members, ProtocolOutput, Timer};
-use foxhold::peers::{
+use foxhold::cluster::frame::{Body, Message, Seal};
+use foxhold::cluster::members::{Member, Members, ProtocolOutput, Timer};
+use foxhold::cluster::{
     DISCOVERY_FANOUT, DISCOVERY_INTERVAL, GREETING_INTERVAL, REMEMBERED_SENDERS, SEED_INTERVAL,
 };
-use foxhold::replica::fresh::Fresh;
-use foxhold::replica::state::{Bounds, Now, State};
-use foxhold::replica::talk::{Say, Stage, Talk};
-use foxhold::replica::word::{Key, Run};
+use foxhold::policy::types::Micros;
+use foxhold::replication::entry::{Key, Run};
+use foxhold::replication::gossip::{Say, Stage, Talk};
+use foxhold::replication::replay_window::Fresh;
+use foxhold::replication::state::{Bounds, Now, State};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -124,7 +124,7 @@
         self.talk.stage() == Stage::CatchingUp
     }
 
-    /// What is due by itself, each [`foxhold::peers::TICK`].
+    /// What is due by itself, each [`foxhold::cluster::TICK`].
     pub fn tick(&mut self, now: Now) -> Output {
         let mut output = Output::default();
         self.converse(now, &mut output);
--- a/crates/foxhold-lab/src/hollow/measurement.rs
+++ b/crates/foxhold-testbed/src/hollow/measurement.rs
@@ -2,8 +2,8 @@
 
 use super::network::HEADERS;
 use super::simulation::Ended;
-use foxhold::api::Micros;
-use foxhold::replica::word::Key;
+use foxhold::policy::types::Micros;
+use foxhold::replication::entry::Key;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
--- a/crates/foxhold-lab/src/hollow/mod.rs
+++ b/crates/foxhold-testbed/src/hollow/mod.rs
@@ -1,5 +1,5 @@
 //! Hollow directors: the real replica, membership and message code of many directors in one process, over a simulated
-//! network and in simulated time, without clients and servers: `foxhold-lab hollow`.
+//! network and in simulated time, without clients and servers: `foxhold-testbed hollow`.
 //!
 //! | module | holds |
 //! | --- | --- |
@@ -46,7 +46,7 @@
     /// Purges that each director holds from the start: one number, or several
     #[arg(long, value_delimiter = ',', default_value = "0")]
     pub held: Vec<u32>,
-    /// Purge groups in place of objects with names of 16 bytes, as `foxhold-lab talk` does
+    /// Purge groups in place of objects with names of 16 bytes, as `foxhold-testbed talk` does
     #[arg(long)]
     pub groups: bool,
     /// What happens meanwhile
--- a/crates/foxhold-lab/src/hollow/network.rs
+++ b/crates/foxhold-testbed/src/hollow/network.rs
@@ -1,6 +1,6 @@
 //! The network between hollow directors: where each of them is, and how long a datagram takes, if it arrives.
 
-use foxhold::api::Micros;
+use foxhold::policy::types::Micros;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
--- a/crates/foxhold-lab/src/hollow/scenario.rs
+++ b/crates/foxhold-testbed/src/hollow/scenario.rs
@@ -1,7 +1,7 @@
 //! What happens to a fleet, and when: drawn from the seed before the run.
 
 use super::network::{Network, Place};
-use foxhold::api::Micros;
+use foxhold::policy::types::Micros;
 use rand::rngs::StdRng;
 use rand::Rng;
 
--- a/crates/foxhold-lab/src/hollow/simulation.rs
+++ b/crates/foxhold-testbed/src/hollow/simulation.rs
@@ -6,11 +6,11 @@
 use super::network::{Fate, Network, HEADERS};
 use super::scenario::Fault;
 use super::{Host, Options, Size};
-use foxhold::api::Micros;
-use foxhold::peers::frame::Seal;
-use foxhold::peers::members::Timer;
-use foxhold::peers::TICK;
-use foxhold::replica::word::Key;
+use foxhold::cluster::frame::Seal;
+use foxhold::cluster::members::Timer;
+use foxhold::cluster::TICK;
+use foxhold::policy::types::Micros;
+use foxhold::replication::entry::Key;
 use hdrhistogram::Histogram;
 use indicatif::ProgressBar;
 use rand::rngs::StdRng;
--- a/crates/foxhold-lab/src/main.rs
+++ b/crates/foxhold-testbed/src/main.rs
@@ -1,7 +1,7 @@
 //! The laboratory's command line.
 
 use clap::{Parser, Subcommand};
-use foxhold_lab::replay::Failure;
+use foxhold_testbed::replay::Failure;
 use std::process::ExitCode;
 
 mod command;
@@ -48,7 +48,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
-            eprintln!("foxhold-lab: {error}");
+            eprintln!("foxhold-testbed: {error}");
             ExitCode::from(2)
         }
     }
@@ -68,6 +68,6 @@
 }
 
 fn stand_in(start: &str) -> Result<bool, Failure> {
-    foxhold_lab::standin::process(serde_json::from_str(start)?)?;
+    foxhold_testbed::standin::process(serde_json::from_str(start)?)?;
     Ok(true)
 }
--- a/crates/foxhold-lab/src/overhead.rs
+++ b/crates/foxhold-testbed/src/overhead.rs
@@ -110,7 +110,7 @@
                 let begun = Instant::now();
                 let answer = director.ask(question).await;
                 times.record(begun.elapsed().as_micros() as u64)?;
-                others += usize::from(!matches!(answer, Ok(foxhold::core::Answer::Served(_))));
+                others += usize::from(!matches!(answer, Ok(foxhold::dispatch::Answer::Served(_))));
             }
             Ok((times, others))
         })
--- a/crates/foxhold-lab/src/peer_scenario.rs
+++ b/crates/foxhold-testbed/src/peer_scenario.rs
@@ -1,5 +1,5 @@
 //! Scenarios of directors that share state, at any number of them: what that costs, how fast an update is with all, and
-//! how fast one that starts catches up. The command is `foxhold-lab talk`.
+//! how fast one that starts catches up. The command is `foxhold-testbed talk`.
 
 use crate::peer_network::LinkConditions;
 use crate::replay::Failure;
--- a/crates/foxhold-lab/src/replay.rs
+++ b/crates/foxhold-testbed/src/replay.rs
@@ -13,9 +13,10 @@
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
 use axum::routing::any;
-use foxhold::core::{Answer, Cause, Listing, Order, Peers, Reports};
-use foxhold::director::{Config, Director, Question};
-use foxhold::transport::servers::Servers;
+use foxhold::config::platform::Config;
+use foxhold::director::{Director, Question};
+use foxhold::dispatch::{Answer, Cause, Listing, Order, Peers, Reports};
+use foxhold::upstream::servers::Servers;
 use foxhold::ServerId;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -122,7 +123,7 @@
     pub(crate) fn write(fleet: &Fleet, seed: u64) -> Result<ConfigFile, Failure> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let name = format!("foxhold-lab-{}-{number}.json", std::process::id());
+        let name = format!("foxhold-testbed-{}-{number}.json", std::process::id());
         let file = ConfigFile(std::env::temp_dir().join(name));
         std::fs::write(&file.0, fleet.config("127.0.0.1:0", seed))?;
         Ok(file)
--- a/crates/foxhold-lab/src/standin.rs
+++ b/crates/foxhold-testbed/src/standin.rs
@@ -1,6 +1,6 @@
 //! One stand-in server: the line protocol on a socket, before a [model](crate::model) of what it can do.
 //!
-//! The same server runs as a process of its own (`foxhold-lab stand-in`, told on standard input, telling on standard
+//! The same server runs as a process of its own (`foxhold-testbed stand-in`, told on standard input, telling on standard
 //! output) or as a task among others ([`crate::fleet`]). Fills go over sockets like all else, so that a relay may stand
 //! between any two servers. A fill's request carries `by`, the name of who asks, beside the platform's fields.
 
--- a/crates/foxhold-lab/src/test_client.rs
+++ b/crates/foxhold-testbed/src/test_client.rs
@@ -10,11 +10,11 @@
 use crate::replay::Failure;
 use crate::standin::unix_ms;
 use crate::talk::Fleet;
-use foxhold::peers::frame::{Body, Message, Seal};
-use foxhold::peers::members::Member;
-use foxhold::replica::digest::hash;
-use foxhold::replica::talk::Say;
-use foxhold::replica::word::{bytes, Key, Merged, Word};
+use foxhold::cluster::frame::{Body, Message, Seal};
+use foxhold::cluster::members::Member;
+use foxhold::replication::digest::hash;
+use foxhold::replication::entry::{bytes, Key, Merged, Word};
+use foxhold::replication::gossip::Say;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::ops::Range;
--- a/crates/foxhold-lab/tests/ends.rs
+++ b/crates/foxhold-testbed/tests/ends.rs
@@ -8,7 +8,7 @@
 mod common;
 
 fn lab() -> Command {
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_foxhold-lab"));
+    let mut lab = Command::new(env!("CARGO_BIN_EXE_foxhold-testbed"));
     lab.arg("fleet").arg("--daemon").arg(common::daemon()).stdout(Stdio::piped()).stderr(Stdio::piped());
     lab
 }
--- a/crates/foxhold-lab/tests/fleet.rs
+++ b/crates/foxhold-testbed/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The hard cases in a small form: twelve processes, faults between them, and the rules held against what came back.
-//! The large form is the same plans by `foxhold-lab fleet`.
+//! The large form is the same plans by `foxhold-testbed fleet`.
 
-use foxhold_lab::harness::{play, Programs};
-use foxhold_lab::plan::Plan;
-use foxhold_lab::report::Played;
+use foxhold_testbed::harness::{play, Programs};
+use foxhold_testbed::plan::Plan;
+use foxhold_testbed::report::Played;
 use std::path::PathBuf;
 
 mod common;
@@ -16,7 +16,7 @@
     );
     let plan = Plan::read(&text).expect("a good plan");
     let mut programs = Programs::of(common::daemon()).expect("programs");
-    programs.lab = PathBuf::from(env!("CARGO_BIN_EXE_foxhold-lab"));
+    programs.lab = PathBuf::from(env!("CARGO_BIN_EXE_foxhold-testbed"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let played = tokio::task::LocalSet::new().block_on(&runtime, play(&plan, &programs, |_| {}));
     let played = played.expect("a play");
--- a/crates/foxhold-lab/tests/hollow.rs
+++ b/crates/foxhold-testbed/tests/hollow.rs
@@ -1,12 +1,12 @@
 //! Hollow directors: small fleets in simulated time, with the same verdict every time. The large form is
-//! `foxhold-lab hollow`.
+//! `foxhold-testbed hollow`.
 
 use clap::Parser;
-use foxhold_lab::hollow::fit::{Fit, Form, Unfit};
-use foxhold_lab::hollow::measurement::Measurement;
-use foxhold_lab::hollow::network::{Fate, Network, Topology};
-use foxhold_lab::hollow::simulation::Ended;
-use foxhold_lab::hollow::{run, Host, Options};
+use foxhold_testbed::hollow::fit::{Fit, Form, Unfit};
+use foxhold_testbed::hollow::measurement::Measurement;
+use foxhold_testbed::hollow::network::{Fate, Network, Topology};
+use foxhold_testbed::hollow::simulation::Ended;
+use foxhold_testbed::hollow::{run, Host, Options};
 use rustix::process::{kill_process, Pid, Signal};
 use std::process::{Command, Stdio};
 use std::sync::atomic::AtomicBool;
@@ -60,7 +60,7 @@
     assert_ne!(decided(&first), decided(&one(&format!("{asked} --seed 2"))));
     // Hash maps have another order in each process: the verdict is not to go by it.
     let by_process = || {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_foxhold-lab"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_foxhold-testbed"));
         command.args("hollow --directors 12 --purges 20 --warm-up 4 --seconds 4 --lost 0.05".split(' '));
         let out = command.output().expect("a run");
         assert!(out.status.success());
@@ -151,7 +151,7 @@
     assert_eq!(report.measured[0].ended, Ended::Interrupted);
     assert!(report.lines.iter().all(|line| line.fit.is_none()));
     // The process, by a signal.
-    let mut command = Command::new(env!("CARGO_BIN_EXE_foxhold-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_foxhold-testbed"));
     command.args("hollow --directors 30 --seconds 100000".split(' ')).stdout(Stdio::piped());
     let child = command.spawn().expect("a process");
     std::thread::sleep(Duration::from_secs(1));
--- a/crates/foxhold-lab/tests/talk.rs
+++ b/crates/foxhold-testbed/tests/talk.rs
@@ -1,13 +1,13 @@
 //! Directors that share state: five to eight real processes, faults between them, and what all of them hold afterwards.
-//! The large form of these is `foxhold-lab talk`.
+//! The large form of these is `foxhold-testbed talk`.
 
-use foxhold::peers::frame::{Body, Message, Seal};
-use foxhold::peers::members::Member;
-use foxhold::replica::talk::Say;
-use foxhold::replica::word::{Key, Word};
-use foxhold_lab::peer_network::LinkConditions;
-use foxhold_lab::talk::{Fleet, FleetConfig};
-use foxhold_lab::test_client::TestClient;
+use foxhold::cluster::frame::{Body, Message, Seal};
+use foxhold::cluster::members::Member;
+use foxhold::replication::entry::{Key, Word};
+use foxhold::replication::gossip::Say;
+use foxhold_testbed::peer_network::LinkConditions;
+use foxhold_testbed::talk::{Fleet, FleetConfig};
+use foxhold_testbed::test_client::TestClient;
 use rustix::process::Signal;
 use std::future::Future;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/foxhold-lab/tests/test_client.rs
+++ b/crates/foxhold-testbed/tests/test_client.rs
@@ -1,9 +1,9 @@
 //! The test client's delivery: what is lost is sent again, and what is never acknowledged ends within its bounds.
 
-use foxhold::replica::word::{Key, Word};
-use foxhold_lab::peer_network::LinkConditions;
-use foxhold_lab::talk::{Fleet, FleetConfig};
-use foxhold_lab::test_client::{DeliveryError, TestClient};
+use foxhold::replication::entry::{Key, Word};
+use foxhold_testbed::peer_network::LinkConditions;
+use foxhold_testbed::talk::{Fleet, FleetConfig};
+use foxhold_testbed::test_client::{DeliveryError, TestClient};
 use std::future::Future;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
--- a/crates/foxhold-lab/tests/trace.rs
+++ b/crates/foxhold-testbed/tests/trace.rs
@@ -1,7 +1,7 @@
 //! The daemon's process and the library in an axum host choose alike, and a changed choice is seen.
 
-use foxhold_lab::replay::{compare, play, Through};
-use foxhold_lab::trace;
+use foxhold_testbed::replay::{compare, play, Through};
+use foxhold_testbed::trace;
 
 mod common;
 
--- a/examples/axum.rs
+++ b/examples/axum.rs
@@ -6,9 +6,9 @@
 
 use axum::routing::get;
 use axum::Router;
-use foxhold::core::Clock;
 use foxhold::director::Director;
-use foxhold::fronts::signed::parse_keys;
+use foxhold::dispatch::Clock;
+use foxhold::frontend::signed::parse_keys;
 use foxhold::middleware::{DirectorService, SignedLayer};
 use foxhold::signed::Counts;
 use std::sync::Arc;
--- a/src/peers/admin.rs
+++ b/src/cluster/admin.rs
@@ -8,8 +8,8 @@
 //! | `purge object NAME`, `purge group NUMBER` | the same: no director serves copies older than now |
 
 use super::{Order, Peers};
-use crate::replica::state::{Refused, LONGEST_NAME};
-use crate::replica::word::{Key, Kind};
+use crate::replication::entry::{Key, Kind};
+use crate::replication::state::{Refused, LONGEST_NAME};
 
 /// The answer once the actor has ended.
 const ENDED: &str = "NO the talk among directors has ended\n";
--- a/src/peers/catch_up.rs
+++ b/src/cluster/catch_up.rs
@@ -2,8 +2,8 @@
 
 use super::core_feed::CoreFeed;
 use super::LOG_TARGET;
-use crate::api::Micros;
-use crate::replica::talk::Stage;
+use crate::policy::types::Micros;
+use crate::replication::gossip::Stage;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/src/peers/core_feed.rs
+++ b/src/cluster/core_feed.rs
@@ -1,11 +1,11 @@
 //! Delivers replicated updates to the core, without ever waiting for it.
 
 use super::drain_feed::{wanted_drain, DrainFeed};
-use crate::api::Micros;
-use crate::core::{Message as CoreMessage, Reports};
-use crate::replica::state::State;
-use crate::replica::talk::News;
-use crate::replica::word::{Key, Word};
+use crate::dispatch::{Message as CoreMessage, Reports};
+use crate::policy::types::Micros;
+use crate::replication::entry::{Key, Word};
+use crate::replication::gossip::News;
+use crate::replication::state::State;
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
--- a/src/peers/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -1,10 +1,10 @@
 //! Delivers operators' drains to the core, again until it has taken them.
 
 use super::LOG_TARGET;
-use crate::core::{Message as CoreMessage, Reports};
-use crate::replica::state::State;
-use crate::replica::talk::News;
-use crate::replica::word::{Key, Kind, Word};
+use crate::dispatch::{Message as CoreMessage, Reports};
+use crate::replication::entry::{Key, Kind, Word};
+use crate::replication::gossip::News;
+use crate::replication::state::State;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/src/peers/frame.rs
+++ b/src/cluster/frame.rs
@@ -9,8 +9,8 @@
 //! | 16 | HMAC-SHA256 of all before, truncated to its first half |
 
 use super::members::Member;
-use crate::replica::digest::hash;
-use crate::replica::talk::Say;
+use crate::replication::digest::hash;
+use crate::replication::gossip::Say;
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
--- a/src/peers/gossip.rs
+++ b/src/cluster/gossip.rs
@@ -4,8 +4,8 @@
 use super::frame::Body;
 use super::members::{Member, ProtocolOutput};
 use super::LOG_TARGET;
-use crate::replica::state::Now;
-use crate::replica::talk::Say;
+use crate::replication::gossip::Say;
+use crate::replication::state::Now;
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
--- a/src/peers/handle.rs
+++ b/src/cluster/handle.rs
@@ -1,7 +1,7 @@
 //! The handle by which the rest of the process sends commands to the actor.
 
-use crate::replica::state::Refused;
-use crate::replica::word::{Key, Kind};
+use crate::replication::entry::{Key, Kind};
+use crate::replication::state::Refused;
 use tokio::sync::{mpsc, oneshot};
 
 /// Commands that may wait for the actor; a sender that finds the queue full waits.
--- a/src/peers/mod.rs
+++ b/src/cluster/mod.rs
@@ -4,7 +4,7 @@
 //!
 //! It runs beside the core, and requests wait for none of it: events reach it through a queue that drops what
 //! it has no room for, and updates are delivered to the core when that has room. It has one socket, and one
-//! thread, which writes to the disk. The protocols themselves, without I/O, are in [`crate::replica`] and
+//! thread, which writes to the disk. The protocols themselves, without I/O, are in [`crate::replication`] and
 //! [`members`].
 //!
 //! | module | holds |
@@ -53,7 +53,7 @@
 use std::hash::{BuildHasher, Hasher, RandomState};
 
 /// The target of log events, by which operators choose their level.
-const LOG_TARGET: &str = "foxhold::peers";
+const LOG_TARGET: &str = "foxhold::cluster";
 
 /// A random number.
 fn draw() -> u64 {
--- a/src/peers/persistence.rs
+++ b/src/cluster/persistence.rs
@@ -1,9 +1,9 @@
 //! Decides when which entries are written to the disk.
 
 use super::store::Store;
-use crate::api::Micros;
-use crate::replica::state::State;
-use crate::replica::word::{Key, Kind};
+use crate::policy::types::Micros;
+use crate::replication::entry::{Key, Kind};
+use crate::replication::state::State;
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
--- a/src/peers/report.rs
+++ b/src/cluster/report.rs
@@ -4,9 +4,9 @@
 use super::catch_up::stage_name;
 use super::members::Member;
 use super::status::{PeerStatus, Status};
-use crate::api::{MemberState, Micros};
-use crate::replica::state::Now;
-use crate::replica::word::{Key, Kind, Word};
+use crate::policy::types::{MemberState, Micros};
+use crate::replication::entry::{Key, Kind, Word};
+use crate::replication::state::Now;
 use std::collections::BTreeMap;
 
 impl Actor {
--- a/src/peers/source.rs
+++ b/src/cluster/source.rs
@@ -1,9 +1,9 @@
 //! Applies events of the local discovery source to the replicated state.
 
-use crate::replica::state::{Now, State};
-use crate::replica::word::{Key, Word};
-use crate::settings::micros;
-use crate::sources::board::{News, Notice};
+use crate::config::settings::micros;
+use crate::discovery::client::{News, Notice};
+use crate::replication::entry::{Key, Word};
+use crate::replication::state::{Now, State};
 
 /// Applies an event, and returns the entries that changed by it.
 pub(super) fn apply(state: &mut State, notice: &Notice, now: Now) -> Vec<(Key, Word)> {
--- a/src/peers/store.rs
+++ b/src/cluster/store.rs
@@ -5,8 +5,8 @@
 //! moment. A file that can't be read is renamed, and the state is fetched from peers. A write that fails is
 //! counted, and all entries are written again once writing works.
 
-use crate::api::Micros;
-use crate::replica::word::{bytes, Key, Word};
+use crate::policy::types::Micros;
+use crate::replication::entry::{bytes, Key, Word};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/src/peers/transport.rs
+++ b/src/cluster/transport.rs
@@ -2,7 +2,7 @@
 
 use super::frame::{Body, Message, Rejection, Seal};
 use super::members::Member;
-use crate::replica::fresh::Fresh;
+use crate::replication::replay_window::Fresh;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
--- a/src/operator.rs
+++ b/src/config/operator.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSection {
-    /// `error`, `warn`, `info`, `debug` or `trace`, or such for modules: `info,foxhold::core=debug`. The
+    /// `error`, `warn`, `info`, `debug` or `trace`, or such for modules: `info,foxhold::dispatch=debug`. The
     /// variable `FOXHOLD_LOG` stands above it.
     pub level: String,
     /// Lines of text or of JSON.
--- a/src/director/config.rs
+++ b/src/config/platform.rs
@@ -1,9 +1,9 @@
 //! The configuration that the platform hands a director.
 
-use crate::api::Settings;
-use crate::settings::{check_limits, decode_settings, decode_transport, Transport};
-use crate::sources::board::{self, Notice};
-use crate::transport::servers::Servers;
+use crate::config::settings::{check_limits, decode_settings, decode_transport, Transport};
+use crate::discovery::client::{self, Notice};
+use crate::policy::types::Settings;
+use crate::upstream::servers::Servers;
 use miniserde::json::{self, Value};
 use miniserde::Deserialize;
 use std::collections::BTreeSet;
@@ -53,7 +53,7 @@
 #[derive(Deserialize)]
 struct Known {
     rev: u64,
-    notices: Vec<board::RawNotice>,
+    notices: Vec<client::RawNotice>,
 }
 
 impl Config {
@@ -122,7 +122,7 @@
             u64::from_str_radix(hex, 16).map_err(|_| "seed: not 16 hex digits".into())
         }
         Some(number) => {
-            crate::settings::real(number).map(|n| n as u64).ok_or_else(|| "seed: not a number".into())
+            crate::config::settings::real(number).map(|n| n as u64).ok_or_else(|| "seed: not a number".into())
         }
     }
 }
--- a/src/settings.rs
+++ b/src/config/settings.rs
@@ -1,6 +1,6 @@
 //! Decodes the settings that a router is told at its start: one decoder for the adapter and the daemon.
 
-use crate::api::*;
+use crate::policy::types::*;
 use miniserde::json::{self, Number, Value};
 use std::time::Duration;
 
--- a/src/daemon/descriptors.rs
+++ b/src/daemon/descriptors.rs
@@ -1,7 +1,7 @@
 //! How the descriptors that a process may hold are shared out: a reserve for what must always have one, the
 //! rest for connections of clients and to servers.
 
-use crate::fronts::{ops, serve};
+use crate::frontend::{admin, serve};
 
 /// The board's connection.
 const BOARD: usize = 1;
@@ -39,7 +39,7 @@
 impl Needs {
     /// What must always have a descriptor.
     pub fn reserve(&self) -> usize {
-        let operators = if self.operators { ops::MOST_DESCRIPTORS } else { 0 };
+        let operators = if self.operators { admin::MOST_DESCRIPTORS } else { 0 };
         #[cfg(feature = "peers")]
         let peers = if self.peers { PEERS } else { 0 };
         #[cfg(not(feature = "peers"))]
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -2,20 +2,21 @@
 
 pub mod descriptors;
 
-use crate::api::Settings;
-use crate::core::{Clock, Core, Message, Reports, Running};
-use crate::director::{start_core, Config};
-use crate::fronts::ops::{self, Door, Reloads};
-use crate::fronts::platform::Platform;
-use crate::fronts::serve::{self, Closing, Places, Shared};
-use crate::fronts::signed::{self, parse_keys, Metrics, Signed};
-use crate::operator::{Operator, PeersSection, SignedSection};
 #[cfg(feature = "peers")]
-use crate::peers;
+use crate::cluster;
+use crate::config::operator::{Operator, PeersSection, SignedSection};
+use crate::config::platform::Config;
+use crate::director::start_core;
+use crate::discovery::watched_file::Watched;
+use crate::discovery::{Board, Membership, XdsFile};
+use crate::dispatch::{Clock, Core, Message, Reports, Running};
+use crate::frontend::admin::{self, Door, Reloads};
+use crate::frontend::platform::Platform;
+use crate::frontend::serve::{self, Closing, Places, Shared};
+use crate::frontend::signed::{self, parse_keys, Metrics, Signed};
+use crate::policy::types::Settings;
 use crate::signed::{Counts, Keys};
-use crate::sources::watched::Watched;
-use crate::sources::{Board, Membership, XdsFile};
-use crate::transport::servers::Servers;
+use crate::upstream::servers::Servers;
 use descriptors::{Needs, Shares};
 use std::cell::Cell;
 use std::future::Future;
@@ -74,7 +75,7 @@
             peers: peers.clone(),
         };
         // Open until the program ends, for the figures of what is still under way.
-        ops::listen(&config.ops, door).await?;
+        admin::listen(&config.ops, door).await?;
     }
     if let Some(keyed) = keyed {
         accepting.extend(fronts.signed(keyed).await?);
@@ -108,7 +109,7 @@
 
 /// The talk among directors, where the operator's file has a section for it.
 #[cfg(feature = "peers")]
-type Talk = Option<peers::Peers>;
+type Talk = Option<cluster::Peers>;
 /// There is none in a program that was built without it.
 #[cfg(not(feature = "peers"))]
 type Talk = Option<std::convert::Infallible>;
@@ -149,7 +150,7 @@
         #[cfg(feature = "peers")]
         let peers = match self.peers.zip(notices) {
             Some((section, notices)) => {
-                let opened = peers::open(section, core.reports(), clock, &config.known, notices).await;
+                let opened = cluster::open(section, core.reports(), clock, &config.known, notices).await;
                 let (peers, actor) = opened?;
                 tokio::task::spawn_local(actor.run());
                 Some(peers)
@@ -238,7 +239,7 @@
         #[cfg(feature = "peers")]
         if let Some(peers) = &self.peers {
             // Others hear at once that it goes, and the disk has all that was told; what comes is served.
-            let _ = timeout(LEAVING, peers.ask(peers::Order::Leave)).await;
+            let _ = timeout(LEAVING, peers.ask(cluster::Order::Leave)).await;
         }
         sleep_until(told + STILL_COMING).await;
         let _ = self.close.send(Closing::Idle);
--- a/src/director/builder.rs
+++ b/src/director/builder.rs
@@ -1,12 +1,13 @@
 //! How a director is put together and its thread started.
 
-use super::{BuildError, Config, Control, Director, Shutdown};
-use crate::api::{Settings, SettingsError};
-use crate::core::{self, Clock, Core, Peers, Running};
-use crate::operator::LibrarySection;
-use crate::settings::Transport;
-use crate::sources::{Board, Membership};
-use crate::transport::servers::Servers;
+use super::{BuildError, Control, Director, Shutdown};
+use crate::config::operator::LibrarySection;
+use crate::config::platform::Config;
+use crate::config::settings::Transport;
+use crate::discovery::{Board, Membership};
+use crate::dispatch::{self, Clock, Core, Peers, Running};
+use crate::policy::types::{Settings, SettingsError};
+use crate::upstream::servers::Servers;
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
@@ -149,7 +150,7 @@
         known.extend(source.known()?);
     }
     let running =
-        core::start(settings, seed, clock, peers, known).map_err(|e: SettingsError| e.to_string())?;
+        dispatch::start(settings, seed, clock, peers, known).map_err(|e: SettingsError| e.to_string())?;
     for source in sources {
         tokio::task::spawn_local(source.follow(running.core.reports()));
     }
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! ```
 //! use foxhold::director::{Director, Question};
-//! use foxhold::sources::Told;
-//! # use foxhold::core::{Broken, Copy, End, Listing, Reply, Verdict, Want};
-//! # use foxhold::transport::host::{Boxed, Exchange, Host};
+//! use foxhold::discovery::Told;
+//! # use foxhold::dispatch::{Broken, Copy, End, Listing, Reply, Verdict, Want};
+//! # use foxhold::upstream::host::{Boxed, Exchange, Host};
 //! # use foxhold::{Class, MemberState, Note, Settings};
 //! # struct Mine;
 //! # impl Exchange for Mine {
@@ -26,21 +26,20 @@
 //! Director::builder(settings).membership(Told(vec![cache])).transport(Host::new(Mine)).start()?;
 //! # tokio::runtime::Builder::new_multi_thread().build()?.block_on(async {
 //! let answer = director.ask(Question::new("pages", "index.html")).await?;
-//! # assert!(matches!(answer, foxhold::core::Answer::Served(_)));
+//! # assert!(matches!(answer, foxhold::dispatch::Answer::Served(_)));
 //! # Ok::<(), foxhold::director::AskError>(()) })?;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
 mod builder;
-pub mod config;
 mod error;
 
 pub use builder::{start_core, Builder};
-pub use config::Config;
 pub use error::{AskError, BuildError, Shutdown, Stopped};
 
-use crate::api::{Micros, Settings};
-use crate::core::{is_name, Answer, Ask, Cause, Core, Figures, Listing, Message, LARGEST_WRITE};
+use crate::config::platform::Config;
+use crate::dispatch::{is_name, Answer, Ask, Cause, Core, Figures, Listing, Message, LARGEST_WRITE};
+use crate::policy::types::{Micros, Settings};
 use bytes::Bytes;
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/src/sources/board.rs
+++ b/src/discovery/client.rs
@@ -1,9 +1,9 @@
 //! The notice board: the actor that follows it, and its events decoded.
 
-use crate::api::MemberState;
-use crate::core::{Listing, Message, Reports};
-use crate::estimate::hash::unit;
-use crate::settings::micros;
+use crate::config::settings::micros;
+use crate::dispatch::{Listing, Message, Reports};
+use crate::policy::estimators::hash::unit;
+use crate::policy::types::MemberState;
 use bytes::BytesMut;
 use miniserde::{json, Deserialize};
 use std::hash::{BuildHasher, Hasher, RandomState};
--- a/src/sources/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,15 +1,15 @@
 //! Where the list of members and purges come from.
 
-pub mod board;
-pub mod watched;
+pub mod client;
+pub mod watched_file;
 pub mod xds;
 
-use crate::core::{Listing, Message, Reports};
+use crate::dispatch::{Listing, Message, Reports};
 use std::future::Future;
 use std::path::PathBuf;
 use std::pin::Pin;
 use tokio::sync::watch;
-use watched::Watched;
+use watched_file::Watched;
 
 /// A task on the director's thread.
 pub type Task = Pin<Box<dyn Future<Output = ()>>>;
@@ -46,11 +46,11 @@
     /// The number of the last event in `known`.
     pub rev: u64,
     /// The events of the start.
-    pub known: Vec<board::Notice>,
+    pub known: Vec<client::Notice>,
     /// Tell of purges only, for the members come from elsewhere.
     pub purges_only: bool,
     /// Who else hears each event.
-    pub tap: board::Tap,
+    pub tap: client::Tap,
 }
 
 impl Membership for Board {
@@ -60,7 +60,7 @@
     }
 
     fn follow(self: Box<Self>, reports: Reports) -> Task {
-        Box::pin(board::follow(self.address, self.rev, self.purges_only, reports, self.tap))
+        Box::pin(client::follow(self.address, self.rev, self.purges_only, reports, self.tap))
     }
 }
 
--- a/src/sources/xds.rs
+++ b/src/discovery/xds.rs
@@ -6,9 +6,9 @@
 //! host name, and without that by its address. Fields may be spelt in either form; what is not known is
 //! passed over.
 
-use crate::api::MemberState;
-use crate::core::Listing;
-use crate::settings::{micros, real, text};
+use crate::config::settings::{micros, real, text};
+use crate::dispatch::Listing;
+use crate::policy::types::MemberState;
 use miniserde::json::{self, Array, Number, Object, Value};
 use std::collections::{BTreeMap, HashSet};
 
@@ -169,7 +169,7 @@
     let own_number = |name| own.map_or(Ok(0.0), |o| o.number(name));
     let names = [own_word("id")?, endpoint.word("hostname")?, &address];
     let name = names.into_iter().find(|n| !n.is_empty()).unwrap_or_default();
-    if !crate::core::is_name(name) {
+    if !crate::dispatch::is_name(name) {
         return Err(format!("endpoint {address}: its name can't be passed on"));
     }
     Ok(Listing {
--- a/src/core/actor.rs
+++ b/src/dispatch/actor.rs
@@ -1,10 +1,10 @@
 //! The actor: live requests, their attempts and timers, and the list, round the decision module.
 
-use super::cancel::{Ledger, Proof};
-use super::kept::Kept;
+use super::cancellation_log::{Ledger, Proof};
+use super::purge_records::Kept;
 use super::*;
-use crate::api::*;
-use crate::membership::Drains;
+use crate::dispatch::membership::Drains;
+use crate::policy::types::*;
 use crate::Router;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
--- a/src/core/cancel.rs
+++ b/src/dispatch/cancellation_log.rs
@@ -74,7 +74,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::core::Broken;
+    use crate::dispatch::Broken;
     use quickcheck::quickcheck;
 
     const HOW: [Broken; 5] =
--- a/src/core/clock.rs
+++ b/src/dispatch/clock.rs
@@ -1,6 +1,6 @@
 //! The clocks: a steady one for durations, the system's Unix clock for what others put a time on.
 
-use crate::api::Micros;
+use crate::policy::types::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/src/membership/mod.rs
+++ b/src/dispatch/membership.rs
@@ -4,7 +4,7 @@
 //! stands above every source for as long as the same process runs there, so that a source that lags, or a
 //! full list that comes a moment later, does not put the server back into service.
 
-use crate::api::{MemberState, Micros};
+use crate::policy::types::{MemberState, Micros};
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/src/core/mod.rs
+++ b/src/dispatch/mod.rs
@@ -5,16 +5,18 @@
 //! never waits for any of them.
 
 mod actor;
-pub mod cancel;
+pub mod cancellation_log;
 mod clock;
-mod kept;
+pub mod membership;
+mod purge_records;
+pub mod request;
 
 pub use actor::{start, Running};
 pub use clock::Clock;
 
-use crate::api::{Micros, Note, ServerId, Settings};
-pub use crate::membership::Listing;
-pub use crate::request::{is_name, Answer, Ask, Cause, Copy};
+pub use crate::dispatch::membership::Listing;
+pub use crate::dispatch::request::{is_name, Answer, Ask, Cause, Copy};
+use crate::policy::types::{Micros, Note, ServerId, Settings};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::future::Future;
--- a/src/core/kept.rs
+++ b/src/dispatch/purge_records.rs
@@ -4,7 +4,7 @@
 //! other of purges, one that was cut off hears late, and until then it may have had an old copy fetched to a
 //! server that had dropped it: so the age stays bounded for as long as any director may hear late.
 
-use crate::api::Micros;
+use crate::policy::types::Micros;
 use std::collections::HashMap;
 
 /// What is purged, with the time of the purge and until when that holds, both in Unix microseconds.
--- a/src/request.rs
+++ b/src/dispatch/request.rs
@@ -1,7 +1,7 @@
 //! A client's request and its answer, whichever front it came through: types without a clock or I/O, below
 //! the core that answers them.
 
-use crate::api::Micros;
+use crate::policy::types::Micros;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/fronts/ops.rs
+++ b/src/frontend/admin.rs
@@ -2,7 +2,7 @@
 //! lines of which the last is `END`.
 
 use super::serve::Closing;
-use crate::core::{ClassCounts, Core, Figures};
+use crate::dispatch::{ClassCounts, Core, Figures};
 use miniserde::{json, Serialize};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -49,7 +49,7 @@
     pub reloads: Rc<Reloads>,
     /// Talk among directors, where that is on.
     #[cfg(feature = "peers")]
-    pub peers: Option<crate::peers::Peers>,
+    pub peers: Option<crate::cluster::Peers>,
 }
 
 #[derive(Serialize)]
@@ -137,7 +137,7 @@
     async fn answer(&self, call: &[u8]) -> String {
         #[cfg(feature = "peers")]
         if let (Some(peers), Ok(call)) = (&self.peers, std::str::from_utf8(call)) {
-            if let Some(answer) = crate::peers::door::answer(peers, call).await {
+            if let Some(answer) = crate::cluster::door::answer(peers, call).await {
                 return answer;
             }
         }
@@ -151,7 +151,7 @@
             b"check" if *self.closing.borrow() != Closing::No => "NO it is about to end\n".into(),
             #[cfg(feature = "peers")]
             b"check" if self.peers.is_some() => match &self.peers {
-                Some(peers) => format!("YES {}\n", crate::peers::door::stage(peers).await),
+                Some(peers) => format!("YES {}\n", crate::cluster::door::stage(peers).await),
                 None => "YES\n".into(),
             },
             b"check" => "YES\n".into(),
--- a/src/fronts/platform.rs
+++ b/src/frontend/platform.rs
@@ -2,7 +2,7 @@
 
 use super::http::{Head, Response};
 use super::serve::Front;
-use crate::core::{bare_tag, is_name, Answer, Ask, Cause, Core};
+use crate::dispatch::{bare_tag, is_name, Answer, Ask, Cause, Core};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/fronts/serve.rs
+++ b/src/frontend/serve.rs
@@ -2,8 +2,8 @@
 
 use super::http::{self, BadRequest, Head, Response};
 use super::stream::ClientStream;
-use crate::core::{Answer, Ask, Cause, Core};
-use crate::transport::ahead;
+use crate::dispatch::{Answer, Ask, Cause, Core};
+use crate::upstream::ahead;
 use bytes::{Buf, Bytes, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
     fn read(&self, head: &Head, body: Bytes) -> Result<Ask, Response>;
     /// The largest body of a request.
     fn largest_body(&self) -> usize {
-        crate::core::LARGEST_WRITE
+        crate::dispatch::LARGEST_WRITE
     }
     /// The one place where outcomes become statuses.
     fn word(&self, answer: Answer) -> Response;
--- a/src/fronts/signed.rs
+++ b/src/frontend/signed.rs
@@ -2,9 +2,9 @@
 
 use super::http::{Head, Response};
 use super::serve::Front;
-use crate::core::{bare_tag, Answer, Ask, Clock, Core};
+use crate::discovery::watched_file::Watched;
+use crate::dispatch::{bare_tag, Answer, Ask, Clock, Core};
 use crate::signed::{self, Counts, Denied, KeyFile, Keys, Worded};
-use crate::sources::watched::Watched;
 use bytes::Bytes;
 use miniserde::json;
 use std::sync::Arc;
--- a/src/fronts/stream.rs
+++ b/src/frontend/stream.rs
@@ -1,7 +1,7 @@
 //! A client's connection, which one task reads and writes and others may look at.
 
-use crate::core::Client;
-use crate::transport::has_closed;
+use crate::dispatch::Client;
+use crate::upstream::has_closed;
 use std::io::{ErrorKind, IoSlice, Result};
 use std::net::Shutdown;
 use std::pin::Pin;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,18 +2,17 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`api`], [`Router`] | the decisions and their interface |
-//! | [`estimate`] | what is reckoned from few events; pure, imports nothing |
-//! | [`core`] | the actor that owns them, which knows no wire |
+//! | [`policy`] | the decisions, with their interface and their estimators; pure |
+//! | [`dispatch`] | the actor that owns them, which knows no wire |
 //! | [`signed`] | checks of signed URLs and tokens, without I/O |
-//! | [`transport`] | how servers are reached |
-//! | `replica` | state that directors share, merged without I/O; feature `peers` |
-//! | `peers` | talk among directors: members, datagrams, what lasts on a disk; feature `peers` |
-//! | [`sources`] | where members and purges come from: the notice board, files in xDS form |
-//! | [`fronts`] | what clients and operators speak with |
+//! | [`upstream`] | how servers are reached |
+//! | [`discovery`] | where members and purges come from: the discovery service, files in xDS form |
+//! | `replication` | state that directors share, merged without I/O; feature `peers` |
+//! | `cluster` | gossip among directors: members, datagrams, what lasts on a disk; feature `peers` |
+//! | [`frontend`] | what clients and operators speak with |
 //! | [`daemon`] | all of it put together |
 //! | `middleware` | a tower layer and service, behind the feature of that name |
-//! | [`settings`], [`wire`] | the settings' decoder; the simulator's wire |
+//! | [`config`], [`simulator`] | the configuration's decoders; the simulator's wire |
 //!
 //! # The decisions
 //!
@@ -53,29 +52,24 @@
 #[cfg(doctest)]
 struct Readme;
 
-pub mod api;
-pub mod core;
+#[cfg(feature = "peers")]
+pub mod cluster;
+pub mod config;
 pub mod daemon;
-mod decide;
 pub mod director;
-pub mod estimate;
-pub mod fronts;
+pub mod discovery;
+pub mod dispatch;
+pub mod frontend;
 #[cfg(feature = "cli")]
 pub mod log;
-pub mod membership;
 #[cfg(feature = "middleware")]
 pub mod middleware;
-pub mod operator;
-#[cfg(feature = "peers")]
-pub mod peers;
+pub mod policy;
 #[cfg(feature = "peers")]
-pub mod replica;
-mod request;
-pub mod settings;
+pub mod replication;
 pub mod signed;
-pub mod sources;
-pub mod transport;
-pub mod wire;
+pub mod simulator;
+pub mod upstream;
 
-pub use api::*;
-pub use decide::Router;
+pub use policy::types::*;
+pub use policy::Router;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,6 +1,6 @@
 //! The log of the daemon: structured events on standard error.
 
-use crate::operator::{LogForm, LogSection};
+use crate::config::operator::{LogForm, LogSection};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,10 +2,10 @@
 //! reads the configuration anew.
 
 use clap::{Parser, Subcommand};
-use foxhold::director::Config;
-use foxhold::fronts::signed::parse_keys;
-use foxhold::operator::Operator;
-use foxhold::sources::xds;
+use foxhold::config::operator::Operator;
+use foxhold::config::platform::Config;
+use foxhold::discovery::xds;
+use foxhold::frontend::signed::parse_keys;
 use foxhold::{daemon, log};
 use rustix::process::{getrlimit, Resource};
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
@@ -111,7 +111,7 @@
     /// Shows the others, as a table or as they come.
     fn peers(&self, json: bool) -> ExitCode {
         let shown = self.answer("peers").map(|answer| answer.lines().next().unwrap_or_default().to_owned());
-        let table = shown.as_deref().map(miniserde::json::from_str::<foxhold::peers::Status>);
+        let table = shown.as_deref().map(miniserde::json::from_str::<foxhold::cluster::Status>);
         match table {
             Ok(Ok(shown)) if !json => {
                 print!("{shown}");
@@ -219,7 +219,7 @@
     }
     #[cfg(feature = "peers")]
     if let Some(peers) = &operator.peers {
-        named(&peers.key, &|t| foxhold::peers::frame::parse_keys(t).map(drop))?;
+        named(&peers.key, &|t| foxhold::cluster::frame::parse_keys(t).map(drop))?;
         if let Some(folder) = peers.folder.as_ref().filter(|f| !f.is_dir()) {
             return Err(format!("{}: peers.folder: {} is no folder", file.display(), folder.display()));
         }
--- a/src/middleware/director.rs
+++ b/src/middleware/director.rs
@@ -1,9 +1,9 @@
 //! Requests by way of the director.
 
 use super::{only, say, Boxed, Budget, Routes};
-use crate::core::{bare_tag, Answer, Ask, Cause, ClientHandle, Core, Pending, LARGEST_WRITE};
+use crate::config::operator::LibrarySection;
 use crate::director::Director;
-use crate::operator::LibrarySection;
+use crate::dispatch::{bare_tag, Answer, Ask, Cause, ClientHandle, Core, Pending, LARGEST_WRITE};
 use crate::signed::{self, Counts, Grant, Unfit};
 use bytes::Bytes;
 use http::header::{ALLOW, IF_NONE_MATCH};
--- a/src/middleware/mod.rs
+++ b/src/middleware/mod.rs
@@ -10,11 +10,11 @@
 //! an extractor. All keep the rules of the daemon's fronts.
 //!
 //! A request is let go when its future is dropped. A server that may be late to do so, as one that does not
-//! look while bytes of a next request are unread, leaves a [`ClientHandle`](crate::core::ClientHandle) among
-//! the request's extensions: the client is looked at before anything is sent for it.
+//! look while bytes of a next request are unread, leaves a [`ClientHandle`](crate::dispatch::ClientHandle)
+//! among the request's extensions: the client is looked at before anything is sent for it.
 //!
-//! A body is taken whole before it is passed on, up to [`LARGEST_WRITE`](crate::core::LARGEST_WRITE), within
-//! a [`Budget`] in bytes for all requests together. What finds no room is a 503 with `Retry-After`, at once.
+//! A body is taken whole before it is passed on, up to [`LARGEST_WRITE`](crate::dispatch::LARGEST_WRITE),
+//! within a [`Budget`] in bytes for all requests together. What finds no room is a 503 with `Retry-After`, at once.
 
 mod budget;
 mod director;
--- a/src/middleware/signed.rs
+++ b/src/middleware/signed.rs
@@ -1,7 +1,7 @@
 //! The check of signed URLs and tokens before a service.
 
 use super::{only, say, Boxed};
-use crate::core::Clock;
+use crate::dispatch::Clock;
 use crate::signed::{self, Counts, Denied, Keys};
 use bytes::Bytes;
 use http::header::HOST;
--- a/src/decide.rs
+++ b/src/policy/router.rs
@@ -1,4 +1,4 @@
-//! All decisions of the router. The interface (settings, events, actions, ids) is in `src/api.rs`.
+//! All decisions of the router. The interface (settings, events, actions, ids) is in `src/policy/types.rs`.
 //!
 //! Ordinary path: an object has its first three caches of the zone in a rendezvous hash; the part picks
 //! which of them comes first (once the object is hot, the less busy of two of them). A miss is filled from
@@ -6,15 +6,15 @@
 //! believed held by the second, the second wins when the first's tally of our fills under way is over half
 //! higher. All else is guard or exception.
 
-use crate::api::*;
-use crate::estimate::admission::{AdmittedShare, Steps};
-use crate::estimate::crowd::Crowds;
-use crate::estimate::fade::Fading;
-use crate::estimate::gamma::{excess, whole, Prior};
-use crate::estimate::hash::{mix, unit};
-use crate::estimate::pace::Pace;
-use crate::estimate::purged::{Purge, Purges};
-use crate::estimate::recent::Recent;
+use crate::policy::estimators::admission::{AdmittedShare, Steps};
+use crate::policy::estimators::crowd::Crowds;
+use crate::policy::estimators::fade::Fading;
+use crate::policy::estimators::gamma::{excess, whole, Prior};
+use crate::policy::estimators::hash::{mix, unit};
+use crate::policy::estimators::pace::Pace;
+use crate::policy::estimators::purged::{Purge, Purges};
+use crate::policy::estimators::recent::Recent;
+use crate::policy::types::*;
 use std::collections::BTreeMap;
 
 /// Belief: a parent that filled and kept a copy is thought to hold it this long (the design's value).
--- a/src/replica/digest.rs
+++ b/src/replication/digest.rs
@@ -4,7 +4,7 @@
 //! which make a node above, and so on up to the root. A node's sum is that of its entries' hashes, so it is
 //! kept up to date by a few additions for each change, in whatever order changes come.
 
-use crate::estimate::hash::mix;
+use crate::policy::estimators::hash::mix;
 
 /// Children of a node.
 pub const WIDE: usize = 16;
--- a/src/replica/word.rs
+++ b/src/replication/entry.rs
@@ -3,8 +3,8 @@
 //! Every merge is commutative, associative and idempotent, so that the order in which copies come, and how
 //! often, decides nothing; where two copies leave a doubt, the safer one wins (a drain, a later purge).
 
-use crate::api::{MemberState, Micros};
-use crate::membership::Listing;
+use crate::dispatch::membership::Listing;
+use crate::policy::types::{MemberState, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/src/replica/talk.rs
+++ b/src/replication/gossip.rs
@@ -18,10 +18,10 @@
 //! no more back than a fixed multiple.
 
 use super::digest::Node;
+use super::entry::{bytes, Key, Merged, Word};
 use super::state::{leaf_places, Now, Refused, State};
-use super::word::{bytes, Key, Merged, Word};
-use crate::api::Micros;
-use crate::estimate::hash::{mix, unit};
+use crate::policy::estimators::hash::{mix, unit};
+use crate::policy::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Debug;
--- a/src/replica/mod.rs
+++ b/src/replication/mod.rs
@@ -15,7 +15,7 @@
 //! `docs/replica.md` is for operators.
 
 pub mod digest;
-pub mod fresh;
+pub mod entry;
+pub mod gossip;
+pub mod replay_window;
 pub mod state;
-pub mod talk;
-pub mod word;
--- a/src/replica/state.rs
+++ b/src/replication/state.rs
@@ -14,9 +14,9 @@
 //! entries are turned down then, counted and logged.
 
 use super::digest::{hash, leaf, Digest};
-use super::word::{bytes, fits, Key, Kind, Merged, Place, Run, Word, Words};
-use crate::api::{MemberState, Micros};
-use crate::membership::Listing;
+use super::entry::{bytes, fits, Key, Kind, Merged, Place, Run, Word, Words};
+use crate::dispatch::membership::Listing;
+use crate::policy::types::{MemberState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
--- a/src/signed/mod.rs
+++ b/src/signed/mod.rs
@@ -13,7 +13,7 @@
 pub use keys::{KeyFile, Keys, MAX_SKEW};
 pub use request::{ask, word, Counts, Unfit, Worded};
 
-use crate::api::Micros;
+use crate::policy::types::Micros;
 
 /// Why a credential is turned down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/signed/request.rs
+++ b/src/signed/request.rs
@@ -2,8 +2,8 @@
 //! listener and the middleware.
 
 use super::{Denied, Grant};
-use crate::api::Settings;
-use crate::request::{is_name, Answer, Ask, Cause};
+use crate::dispatch::request::{is_name, Answer, Ask, Cause};
+use crate::policy::types::Settings;
 use bytes::Bytes;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
--- a/src/signed/token.rs
+++ b/src/signed/token.rs
@@ -2,8 +2,8 @@
 
 use super::keys::{decode_base64url, Keys};
 use super::{check_times, Denied, Grant};
-use crate::api::Micros;
-use crate::settings::{real, text};
+use crate::config::settings::{real, text};
+use crate::policy::types::Micros;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use miniserde::json::{self, Object, Value};
--- a/src/signed/url.rs
+++ b/src/signed/url.rs
@@ -3,7 +3,7 @@
 
 use super::keys::{decode_base64url, Keys};
 use super::{check_times, Denied, Grant};
-use crate::api::Micros;
+use crate::policy::types::Micros;
 
 const PARAMETERS: [&str; 3] = ["Expires", "KeyName", "Signature"];
 
--- a/src/wire/action.rs
+++ b/src/simulator/action.rs
@@ -1,6 +1,6 @@
 //! Formats actions of the decision module as lines.
 
-use crate::api::{Action, Micros};
+use crate::policy::types::{Action, Micros};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use std::fmt::Write as _;
 
--- a/src/wire/event.rs
+++ b/src/simulator/event.rs
@@ -2,7 +2,7 @@
 
 use super::fields::{Fields, Parsed};
 use super::Hosted;
-use crate::api::*;
+use crate::policy::types::*;
 use base64::{engine::general_purpose::STANDARD, Engine};
 
 /// Messages to one router, but its member list.
--- a/src/wire/fields.rs
+++ b/src/simulator/fields.rs
@@ -1,7 +1,7 @@
 //! Reads the values of one line, in order, with errors that name the field.
 
-use crate::api::{Micros, ObjectId, Outcome, ServerId};
-use crate::settings::micros;
+use crate::config::settings::micros;
+use crate::policy::types::{Micros, ObjectId, Outcome, ServerId};
 
 /// A value, or what is wrong with its field.
 pub(super) type Parsed<T> = Result<T, String>;
--- a/src/wire/mod.rs
+++ b/src/simulator/mod.rs
@@ -5,8 +5,8 @@
 mod event;
 mod fields;
 
-use crate::api::{Action, Event, Micros};
-use crate::settings::parse_settings;
+use crate::config::settings::parse_settings;
+use crate::policy::types::{Action, Event, Micros};
 use crate::Router;
 use action::format_action;
 use event::{parse_event, parse_item, parse_view, MESSAGES};
--- a/src/transport/host.rs
+++ b/src/upstream/host.rs
@@ -4,8 +4,8 @@
 //! Each attempt is a task of its own on the director's thread. A task that panics, is dropped or never ends
 //! is an attempt that may have run; it takes nothing else with it.
 
-use crate::api::ServerId;
-use crate::core::{Broken, End, Health, Listing, Message, Order, Peers, Reports, Ticket, Want};
+use crate::dispatch::{Broken, End, Health, Listing, Message, Order, Peers, Reports, Ticket, Want};
+use crate::policy::types::ServerId;
 use std::collections::HashMap;
 use std::future::Future;
 use std::pin::Pin;
@@ -26,7 +26,7 @@
     /// run it must end with [`Broken::Written`]: a write is sent again only after an end that proves it.
     ///
     /// A site may allow no calling off. A future that waits before its first byte, as for a connection, asks
-    /// [`Over::look`](crate::core::Over::look) of the attempt last thing before that byte, and ends with
+    /// [`Over::look`](crate::dispatch::Over::look) of the attempt last thing before that byte, and ends with
     /// [`Broken::CalledOff`] where it is over.
     fn exchange(&self, server: &Listing, want: Want) -> Boxed<End>;
 
--- a/src/transport/lines.rs
+++ b/src/upstream/line_codec.rs
@@ -1,7 +1,7 @@
 //! The line protocol spoken with caches, parents and the origin: requests written, answers parsed.
 
-use crate::api::{Micros, Note};
-use crate::core::{Copy, Reply, Verdict, Want};
+use crate::dispatch::{Copy, Reply, Verdict, Want};
+use crate::policy::types::{Micros, Note};
 use bytes::{BufMut, Bytes, BytesMut};
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -213,7 +213,7 @@
             "tag" => fields.tag = Some(value.into()),
             "lag" => {
                 let ms: f64 = value.parse().map_err(|_| BadLine("'lag' is not a number"))?;
-                fields.waited = crate::settings::micros(ms);
+                fields.waited = crate::config::settings::micros(ms);
             }
             "res" => fields.note = parse_note(value),
             "gauges" => {
--- a/src/transport/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! How servers are reached: each way opens an actor for a server and speaks its wire.
 
 pub mod host;
-pub mod lines;
+pub mod line_codec;
 pub mod servers;
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
--- a/src/transport/servers.rs
+++ b/src/upstream/servers.rs
@@ -4,11 +4,11 @@
 //! own that reports ends straight to the core. An attempt that no connection began to write goes back to the
 //! actor when its connection ends, and is placed anew for as long as it may still be sent.
 
-use super::lines::{self, Content, Reader};
+use super::line_codec::{self, Content, Reader};
 use super::{has_ended, is_short_of_descriptors};
-use crate::api::ServerId;
-use crate::core::{Broken, Health, Listing, Message, Order, Over, Peers, Reports, Ticket, Want};
-use crate::settings::Transport;
+use crate::config::settings::Transport;
+use crate::dispatch::{Broken, Health, Listing, Message, Order, Over, Peers, Reports, Ticket, Want};
+use crate::policy::types::ServerId;
 use bytes::{Buf, BytesMut};
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind::WouldBlock;
@@ -363,7 +363,7 @@
             }
             self.ids.remove(&open.id);
             let from = self.out.len();
-            lines::write_forget(&open.id, &mut self.out);
+            line_codec::write_forget(&open.id, &mut self.out);
             self.queued += (self.out.len() - from) as u64;
             if self.forgotten.len() >= MOST_FORGOTTEN {
                 self.forgotten.pop_front();
@@ -427,7 +427,7 @@
                     self.report(want.ticket, Err(Broken::Unwritten)).await;
                 }
                 Order::Want(want) => {
-                    lines::write_want(&want, now, &mut self.out);
+                    line_codec::write_want(&want, now, &mut self.out);
                     let start = self.queued;
                     self.queued += (self.out.len() - from) as u64;
                     let open = Open { id: want.id.clone(), start, end: self.queued, since: now };
@@ -437,7 +437,7 @@
                 }
                 Order::Probe(number) => {
                     let tag: Arc<str> = format!("p{number}").into();
-                    lines::write_probe(&tag, &mut self.out);
+                    line_codec::write_probe(&tag, &mut self.out);
                     self.queued += (self.out.len() - from) as u64;
                     self.probes.insert(tag, number);
                 }
@@ -453,7 +453,7 @@
         }
     }
 
-    async fn report(&mut self, ticket: Ticket, end: crate::core::End) {
+    async fn report(&mut self, ticket: Ticket, end: crate::dispatch::End) {
         self.reports.send(Message::Ended(ticket, end)).await;
         let _ = self.actor.send(News::Done(self.number, ticket)).await;
     }
@@ -523,7 +523,7 @@
                     0 => {
                         // No probe of the module's: whatever comes shows that the connection lives.
                         let from = self.out.len();
-                        lines::write_probe(SIGN, &mut self.out);
+                        line_codec::write_probe(SIGN, &mut self.out);
                         self.queued += (self.out.len() - from) as u64;
                         asked = 1;
                     }
@@ -557,7 +557,7 @@
         }
     }
 
-    async fn answer(&mut self, message: lines::Message) {
+    async fn answer(&mut self, message: line_codec::Message) {
         match message.content {
             Content::Probe(well, gauges) => {
                 if let Some(number) = self.probes.remove(&message.id) {
--- a/tests/board.rs
+++ b/tests/board.rs
@@ -2,8 +2,8 @@
 
 mod standin;
 
-use foxhold::core::{Message, Reports};
-use foxhold::sources::board;
+use foxhold::discovery::client;
+use foxhold::dispatch::{Message, Reports};
 use standin::local;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -31,7 +31,7 @@
         let (listener, address) = listener().await;
         let (reports, news) = mpsc::channel(16);
         let (address, at) = watch::channel(address);
-        tokio::task::spawn_local(board::follow(at, 3, purges_only, Reports::new(reports), None));
+        tokio::task::spawn_local(client::follow(at, 3, purges_only, Reports::new(reports), None));
         Board { listener, news, address }
     }
 
@@ -169,7 +169,7 @@
         for _ in 0..60 {
             let (reports, news) = mpsc::channel(16);
             let (address, follows) = watch::channel(at.clone());
-            tokio::task::spawn_local(board::follow(follows, 3, false, Reports::new(reports), None));
+            tokio::task::spawn_local(client::follow(follows, 3, false, Reports::new(reports), None));
             told.push((address, news));
         }
         let mut first = Vec::new();
@@ -260,7 +260,7 @@
             let board = Unreachable::start().await;
             let (reports, news) = mpsc::channel(16);
             let (address, at) = watch::channel(board.address.clone());
-            tokio::task::spawn_local(board::follow(at, 3, false, Reports::new(reports), None));
+            tokio::task::spawn_local(client::follow(at, 3, false, Reports::new(reports), None));
             returns.push(tokio::task::spawn_local(async move {
                 // By then the wait is as long as it gets; each returns at another moment of it.
                 tokio::time::sleep(Duration::from_millis(4_000 + 170 * n)).await;
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -5,14 +5,14 @@
 
 mod standin;
 
-use foxhold::api::{Note, ServerId};
-use foxhold::core::{
+use foxhold::dispatch::{
     Ask, Broken, Clock, Copy, Core, End, Listing, Message, Order, Peers, Reply, Reports, Ticket, Verdict,
     Want,
 };
-use foxhold::fronts::platform::Platform;
-use foxhold::fronts::stream::ClientStream;
-use foxhold::transport::host::{Boxed, Exchange, Host};
+use foxhold::frontend::platform::Platform;
+use foxhold::frontend::stream::ClientStream;
+use foxhold::policy::types::{Note, ServerId};
+use foxhold::upstream::host::{Boxed, Exchange, Host};
 use standin::*;
 use std::io::{ErrorKind, Write};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -305,7 +305,7 @@
 #[cfg(feature = "middleware")]
 #[test]
 fn no_attempt_begins_by_the_middleware_for_a_client_that_can_be_seen_to_have_left() {
-    use foxhold::core::ClientHandle;
+    use foxhold::dispatch::ClientHandle;
     use foxhold::middleware::DirectorService;
     use tower::ServiceExt;
     local(async {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -2,8 +2,8 @@
 
 mod standin;
 
-use foxhold::api::*;
-use foxhold::core::{self, *};
+use foxhold::dispatch::{self, *};
+use foxhold::policy::types::*;
 use standin::{listing, paused, settings};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -78,7 +78,7 @@
     ];
     let clock = Clock::starting_at(NOW);
     let known = vec![Message::Members { full: true, members }];
-    let core = core::start(settings, 7, clock, told.clone(), known).expect("good settings").core;
+    let core = dispatch::start(settings, 7, clock, told.clone(), known).expect("good settings").core;
     Site { core, told, clock }
 }
 
--- a/tests/director.rs
+++ b/tests/director.rs
@@ -2,10 +2,10 @@
 
 mod standin;
 
-use foxhold::api::Settings;
-use foxhold::core::{Answer, Cause, Clock};
-use foxhold::fronts::platform::Platform;
-use foxhold::fronts::serve::{Closing, Front};
+use foxhold::dispatch::{Answer, Cause, Clock};
+use foxhold::frontend::platform::Platform;
+use foxhold::frontend::serve::{Closing, Front};
+use foxhold::policy::types::Settings;
 use standin::*;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tests/estimate.rs
+++ b/tests/estimate.rs
@@ -1,9 +1,9 @@
 //! The estimates, against what they say of themselves.
 
-use foxhold::estimate::crowd::Crowds;
-use foxhold::estimate::fade::Fading;
-use foxhold::estimate::gamma::{excess, whole, Prior};
-use foxhold::estimate::recent::Recent;
+use foxhold::policy::estimators::crowd::Crowds;
+use foxhold::policy::estimators::fade::Fading;
+use foxhold::policy::estimators::gamma::{excess, whole, Prior};
+use foxhold::policy::estimators::recent::Recent;
 use quickcheck::{Gen, QuickCheck, TestResult};
 
 fn check<A: quickcheck::Testable>(property: A) {
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -3,11 +3,11 @@
 mod standin;
 
 use base64::{engine::general_purpose::URL_SAFE, Engine};
-use foxhold::api::Micros;
-use foxhold::core::{Clock, Core, Message};
-use foxhold::fronts::signed::{follow_keys, parse_keys, Metrics, Signed};
+use foxhold::discovery::watched_file::Watched;
+use foxhold::dispatch::{Clock, Core, Message};
+use foxhold::frontend::signed::{follow_keys, parse_keys, Metrics, Signed};
+use foxhold::policy::types::Micros;
 use foxhold::signed::Counts;
-use foxhold::sources::watched::Watched;
 use hmac::{Hmac, KeyInit, Mac};
 use standin::*;
 use std::sync::Arc;
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,61 +1,95 @@
-//! The parts stand one on the other: what each imports lies below it, so there are no circles.
+//! The modules stand one on the other: what each imports lies below it, so there are no circles.
 
-use std::path::Path;
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
 
-/// From the ground up. A part imports parts named before it only.
-const LAYERS: [&str; 19] = [
-    "estimate",
-    "api",
-    "request",
-    "decide",
-    "membership",
-    "replica",
-    "operator",
+/// The modules, from the ground up; each imports only modules named before it. A module of a folder that is
+/// named by itself stands apart from the rest of the folder, which is named without it.
+const LAYERS: [&str; 20] = [
+    "policy::estimators",
+    "policy::types",
+    "policy",
+    "dispatch::membership",
+    "dispatch::request",
+    "replication",
+    "config::operator",
     "log",
-    "settings",
+    "config::settings",
     "signed",
-    "wire",
-    "core",
-    "transport",
-    "sources",
-    "peers",
+    "simulator",
+    "dispatch",
+    "upstream",
+    "discovery",
+    "cluster",
+    "config",
     "director",
-    "fronts",
+    "frontend",
     "middleware",
     "daemon",
 ];
 
-fn imports(path: &Path, found: &mut Vec<String>) {
-    if path.is_dir() {
-        for entry in std::fs::read_dir(path).expect("a folder") {
-            imports(&entry.expect("an entry").path(), found);
+/// The layer of a module, by the longest name in the list that it begins with.
+fn rank(module: &str) -> Option<usize> {
+    let holds = |layer: &str| {
+        module.strip_prefix(layer).is_some_and(|rest| rest.is_empty() || rest.starts_with("::"))
+    };
+    let layers = LAYERS.iter().enumerate().filter(|(_, layer)| holds(layer));
+    layers.max_by_key(|(_, layer)| layer.len()).map(|(rank, _)| rank)
+}
+
+fn source() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
+}
+
+/// All modules with their code, by path: `config::settings`.
+fn modules(folder: &Path, parents: &str, found: &mut BTreeMap<String, String>) {
+    for entry in std::fs::read_dir(folder).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        let name = path.file_stem().expect("a name").to_string_lossy().into_owned();
+        if parents.is_empty() && ["bin", "lib", "main"].contains(&&*name) {
+            continue;
+        }
+        let module = match (parents, &*name) {
+            ("", name) => name.to_owned(),
+            (parents, "mod") => parents.to_owned(),
+            (parents, name) => format!("{parents}::{name}"),
+        };
+        if path.is_dir() {
+            modules(&path, &module, found);
+        } else {
+            found.insert(module, std::fs::read_to_string(path).expect("text"));
         }
-        return;
     }
-    let text = std::fs::read_to_string(path).expect("text");
+}
+
+/// The modules that code imports from this crate, as far as their paths are written in small letters.
+fn imports(code: &str) -> Vec<String> {
+    let mut found = Vec::new();
     // Code only: a doc may point anywhere.
-    for line in text.lines().filter(|l| !l.trim_start().starts_with("//")) {
+    for line in code.lines().filter(|l| !l.trim_start().starts_with("//")) {
         for rest in line.split("crate::").skip(1) {
-            let name: String = rest.chars().take_while(|c| c.is_ascii_lowercase() || *c == '_').collect();
-            assert!(!rest.starts_with('{'), "one part a line, so that it is seen here: {line}");
-            // What the library gives out by its root is of the interface and the decisions.
-            found.extend((!name.is_empty()).then_some(name));
+            let small = |c: &char| c.is_ascii_lowercase() || ['_', ':'].contains(c);
+            let path: String = rest.chars().take_while(small).collect();
+            let path = path.trim_end_matches(':');
+            assert!(!rest.starts_with('{'), "one module a line, so that it is seen here: {line}");
+            // What the library gives out by its root is of the policy.
+            found.extend((!path.is_empty()).then(|| path.to_owned()));
         }
     }
+    found
 }
 
 #[test]
 fn imports_go_down_only() {
-    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut seen = 0;
-    for (rank, name) in LAYERS.iter().enumerate() {
-        let (folder, file) = (source.join(name), source.join(format!("{name}.rs")));
-        let mut found = Vec::new();
-        imports(if folder.is_dir() { &folder } else { &file }, &mut found);
-        for other in found.iter().filter(|other| *other != name) {
-            let below = LAYERS.iter().position(|l| l == other);
-            assert!(below.is_some_and(|below| below < rank), "{name} imports {other}");
-            seen += 1;
+    let (mut all, mut seen) = (BTreeMap::new(), 0);
+    modules(&source(), "", &mut all);
+    for (module, code) in &all {
+        let own = rank(module).unwrap_or_else(|| panic!("{module} has no place"));
+        for other in imports(code) {
+            let below =
+                rank(&other).unwrap_or_else(|| panic!("{module} imports {other}, which has no place"));
+            assert!(below <= own, "{module} imports {other}");
+            seen += usize::from(below < own);
         }
     }
     assert!(seen > 30, "{seen} imports were seen");
@@ -63,10 +97,12 @@
 
 #[test]
 fn every_part_has_its_place() {
-    let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    for entry in std::fs::read_dir(source).expect("a folder") {
-        let path = entry.expect("an entry").path();
-        let name = path.file_stem().expect("a name").to_string_lossy().into_owned();
-        assert!(["bin", "lib", "main"].contains(&&*name) || LAYERS.contains(&&*name), "{name} has no place");
+    let mut all = BTreeMap::new();
+    modules(&source(), "", &mut all);
+    for module in all.keys() {
+        assert!(rank(module).is_some(), "{module} has no place");
+    }
+    for layer in LAYERS {
+        assert!(all.keys().any(|module| module.starts_with(layer)), "{layer} is no module");
     }
 }
--- a/tests/library.rs
+++ b/tests/library.rs
@@ -2,11 +2,11 @@
 
 mod standin;
 
-use foxhold::api::*;
-use foxhold::core::*;
 use foxhold::director::{AskError, Director, Question, Stopped};
-use foxhold::sources::Told;
-use foxhold::transport::host::{Boxed, Exchange, Host};
+use foxhold::discovery::Told;
+use foxhold::dispatch::*;
+use foxhold::policy::types::*;
+use foxhold::upstream::host::{Boxed, Exchange, Host};
 use standin::{listing, local, settings, want, Manner, Server};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -166,7 +166,7 @@
     local(async {
         let server = Server::start(Manner::Silent).await;
         let (mailbox, mut inbox) = tokio::sync::mpsc::channel(16);
-        let mut servers = foxhold::transport::servers::Servers::new(standin::transport(), 4);
+        let mut servers = foxhold::upstream::servers::Servers::new(standin::transport(), 4);
         let peer = servers.open(ServerId(1), &server.listing("s", "edge", "cache"), Reports::new(mailbox));
         let ticket = Ticket { request: 1, attempt: 0 };
         let until = tokio::time::Instant::now() + Duration::from_secs(1);
@@ -439,7 +439,7 @@
         assert_eq!(none, Err(AskError::UnknownClass("videos".into())));
         let error = Director::builder(Settings::default()).start().expect_err("no classes");
         assert!(error.to_string().contains("no classes"), "{error}");
-        let missing = foxhold::sources::XdsFile::new("/nowhere/members.json");
+        let missing = foxhold::discovery::XdsFile::new("/nowhere/members.json");
         let error = Director::builder(settings()).membership(missing).start().expect_err("no file");
         assert!(error.to_string().contains("/nowhere/members.json"), "{error}");
     });
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -26,9 +26,9 @@
 
 #[test]
 fn the_module_fits_its_limits() {
-    let text = include_str!("../src/decide.rs");
+    let text = include_str!("../src/policy/router.rs");
     let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
     assert!(lines <= 940, "{lines} lines");
     let head: String = text.lines().take(3).collect();
-    assert!(head.contains("src/api.rs"), "the interface is named at the top");
+    assert!(head.contains("src/policy/types.rs"), "the interface is named at the top");
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Operators' drains against what sources list.
 
-use foxhold::api::{MemberState, Micros};
-use foxhold::membership::{Drains, Listing};
+use foxhold::dispatch::membership::{Drains, Listing};
+use foxhold::policy::types::{MemberState, Micros};
 
 fn listing(state: MemberState, since: Micros) -> Listing {
     let (zone, kind) = ("edge".into(), "cache".into());
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's own file, and what the program says of files before it serves.
 
-use foxhold::operator::{LibrarySection, LogForm, Operator};
+use foxhold::config::operator::{LibrarySection, LogForm, Operator};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -19,7 +19,7 @@
 fn sections_are_read_with_paths_beside_the_file_and_nothing_expanded() {
     let operator = parse(
         "signed: {listen: '127.0.0.1:1', keys: 'keys-${HOME}.json'}\nmembers:\n  xds: /var/members.json\n\
-         library: {open: 9}\nlog: {level: 'info,foxhold::core=debug', form: json}\n",
+         library: {open: 9}\nlog: {level: 'info,foxhold::dispatch=debug', form: json}\n",
     )
     .expect("a good file");
     let signed = operator.signed.expect("a front");
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -2,12 +2,12 @@
 
 mod standin;
 
-use foxhold::api::*;
-use foxhold::core::{Clock, Message};
-use foxhold::director::Config;
-use foxhold::fronts::ops::{self, Door, Reloads};
-use foxhold::fronts::platform::Platform;
-use foxhold::fronts::serve::Closing;
+use foxhold::config::platform::Config;
+use foxhold::dispatch::{Clock, Message};
+use foxhold::frontend::admin::{self, Door, Reloads};
+use foxhold::frontend::platform::Platform;
+use foxhold::frontend::serve::Closing;
+use foxhold::policy::types::*;
 use standin::*;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -46,7 +46,7 @@
         let (open, reloads) = (Rc::new(Cell::new(0)), Rc::new(Reloads::default()));
         let peers = None;
         let door = Door { core: core.clone(), open: open.clone(), closing, reloads: reloads.clone(), peers };
-        tokio::task::spawn_local(ops::accept(listener, door));
+        tokio::task::spawn_local(admin::accept(listener, door));
         for n in 0..3 {
             assert_eq!(send(&front, &get("videos", n)).await.status, 200);
         }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,11 +1,11 @@
 //! Random cuts of valid messages and random garbage against the parsers, from fixed seeds.
 
 use bytes::BytesMut;
-use foxhold::director::Config;
-use foxhold::fronts::http;
+use foxhold::config::platform::Config;
+use foxhold::discovery::{client, xds};
+use foxhold::frontend::http;
 use foxhold::signed;
-use foxhold::sources::{board, xds};
-use foxhold::transport::lines;
+use foxhold::upstream::line_codec;
 use quickcheck::{Arbitrary, Gen};
 
 fn check<A: Arbitrary + std::fmt::Debug>(seed: u64, property: impl Fn(&A) -> bool) {
@@ -41,11 +41,11 @@
 
 #[test]
 fn answers_of_servers_read_the_same_however_they_are_cut() {
-    let mut reader = lines::Reader::default();
+    let mut reader = line_codec::Reader::default();
     let whole = in_pieces(ANSWERS, &[], |b| reader.next(b)).expect("good answers");
     assert_eq!(whole.len(), 5);
     check(1, move |cuts: &Vec<u16>| {
-        let mut reader = lines::Reader::default();
+        let mut reader = line_codec::Reader::default();
         in_pieces(ANSWERS, cuts, |b| reader.next(b)).as_ref() == Ok(&whole)
     });
 }
@@ -70,11 +70,11 @@
 #[test]
 fn lines_of_the_board_read_the_same_however_they_are_cut() {
     let read = |cuts: &[u16]| {
-        let lines = in_pieces(NOTICES, cuts, board::next_line).expect("short lines");
-        lines.iter().map(|l| board::parse_line(l)).collect::<Result<Vec<_>, _>>()
+        let lines = in_pieces(NOTICES, cuts, client::next_line).expect("short lines");
+        lines.iter().map(|l| client::parse_line(l)).collect::<Result<Vec<_>, _>>()
     };
     let whole = read(&[]).expect("good lines");
-    assert_eq!((whole.len(), &whole[2]), (4, &board::Line::Last(42)));
+    assert_eq!((whole.len(), &whole[2]), (4, &client::Line::Last(42)));
     check(3, move |cuts: &Vec<u16>| read(cuts).as_ref() == Ok(&whole));
 }
 
@@ -82,11 +82,11 @@
 #[test]
 fn garbage_is_turned_down_and_never_a_panic() {
     fn feed(bytes: &[u8]) -> bool {
-        let mut reader = lines::Reader::default();
+        let mut reader = line_codec::Reader::default();
         let _ = in_pieces(bytes, &[], |b| reader.next(b));
         let _ = in_pieces(bytes, &[], |b| http::parse_head(b, 100));
-        let _ = in_pieces(bytes, &[], board::next_line)
-            .map(|l| l.iter().map(|l| board::parse_line(l)).filter(Result::is_ok).count());
+        let _ = in_pieces(bytes, &[], client::next_line)
+            .map(|l| l.iter().map(|l| client::parse_line(l)).filter(Result::is_ok).count());
         let text = String::from_utf8_lossy(bytes);
         let _ = (xds::parse(&text).is_ok(), Config::parse(&text).is_ok());
         let file = r#"{"keys":[{"name":"k","alg":"HMAC-SHA1","key":"MDEyMzQ1Njc4OWFiY2RlZg"}]}"#;
--- a/tests/peers_frame.rs
+++ b/tests/peers_frame.rs
@@ -1,9 +1,9 @@
 //! The authenticated form of messages among directors, and the file of their keys.
 #![cfg(feature = "peers")]
 
-use foxhold::peers::frame::{parse_keys, Body, Message, Rejection, Seal, VERSION};
-use foxhold::peers::members::Member;
-use foxhold::replica::talk::Say;
+use foxhold::cluster::frame::{parse_keys, Body, Message, Rejection, Seal, VERSION};
+use foxhold::cluster::members::Member;
+use foxhold::replication::gossip::Say;
 use proptest::prelude::*;
 
 fn seal(fleet: &str, byte: u8) -> Seal {
--- a/tests/peers_members.rs
+++ b/tests/peers_members.rs
@@ -3,7 +3,7 @@
 #![cfg(feature = "peers")]
 
 use foca::Timer;
-use foxhold::peers::members::{Member, Members, ProtocolOutput};
+use foxhold::cluster::members::{Member, Members, ProtocolOutput};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/tests/peers_status.rs
+++ b/tests/peers_status.rs
@@ -1,7 +1,7 @@
 //! The JSON of the command `peers`, whose names operators' scripts read.
 #![cfg(feature = "peers")]
 
-use foxhold::peers::{PeerStatus, Status};
+use foxhold::cluster::{PeerStatus, Status};
 
 #[test]
 fn the_status_keeps_the_names_of_its_json() {
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -3,12 +3,12 @@
 
 mod standin;
 
-use foxhold::api::ServerId;
-use foxhold::core::{Broken, Clock, Core, End, Message, Order, Over, Peers, Reports, Ticket, Want};
-use foxhold::fronts::platform::Platform;
-use foxhold::fronts::serve::{self, Closing, Places, Shared};
-use foxhold::settings::Transport;
-use foxhold::transport::servers::Servers;
+use foxhold::config::settings::Transport;
+use foxhold::dispatch::{Broken, Clock, Core, End, Message, Order, Over, Peers, Reports, Ticket, Want};
+use foxhold::frontend::platform::Platform;
+use foxhold::frontend::serve::{self, Closing, Places, Shared};
+use foxhold::policy::types::ServerId;
+use foxhold::upstream::servers::Servers;
 use standin::*;
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -228,7 +228,7 @@
         let ([cache, parent, origin], mut members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
         members[0].address = address.into();
         let core = start(settings(), Clock::system(), members);
-        let ask = foxhold::core::Ask {
+        let ask = foxhold::dispatch::Ask {
             id: core.fresh_id(),
             object: "7f3a9c21e0b4d655".into(),
             size_kb: 50.0,
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -7,9 +7,9 @@
 mod program;
 mod standin;
 
-use foxhold::core::{self, Clock, Message};
-use foxhold::fronts::platform::Platform;
-use foxhold::transport::servers::Servers;
+use foxhold::dispatch::{self, Clock, Message};
+use foxhold::frontend::platform::Platform;
+use foxhold::upstream::servers::Servers;
 use program::{call, config, read_request, status, write_request, Program, Scratch, Start};
 use standin::{local, trio, Manner, Server};
 use std::cell::Cell;
@@ -304,7 +304,8 @@
         let (_servers, members) = trio(COPY).await;
         let known = vec![Message::Members { full: true, members }];
         let servers = Servers::new(standin::transport(), 10);
-        let running = core::start(standin::settings(), 7, Clock::system(), servers, known).expect("settings");
+        let running =
+            dispatch::start(standin::settings(), 7, Clock::system(), servers, known).expect("settings");
         let address = standin::serve(&running.core, Platform(running.core.clone())).await;
         let read = read_request(1, 1_000).replace("guide-videos", "videos");
         assert_eq!(status(&address, ALIVE).await, Some(200));
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -3,11 +3,11 @@
 //! `replica_model.rs`.
 #![cfg(feature = "peers")]
 
-use foxhold::core::Listing;
-use foxhold::replica::digest::{Digest, Node};
-use foxhold::replica::state::{Bounds, Now, Refused, State};
-use foxhold::replica::talk::{Say, Stage, Talk};
-use foxhold::replica::word::{bytes, Key, Kind, Merged, Place, Run, Word, Words};
+use foxhold::dispatch::Listing;
+use foxhold::replication::digest::{Digest, Node};
+use foxhold::replication::entry::{bytes, Key, Kind, Merged, Place, Run, Word, Words};
+use foxhold::replication::gossip::{Say, Stage, Talk};
+use foxhold::replication::state::{Bounds, Now, Refused, State};
 use foxhold::MemberState;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/tests/replica_fresh.rs
+++ b/tests/replica_fresh.rs
@@ -1,7 +1,7 @@
 //! Which messages of a sender are new: no duplicates, no replays.
 #![cfg(feature = "peers")]
 
-use foxhold::replica::fresh::{Fresh, SPAN};
+use foxhold::replication::replay_window::{Fresh, SPAN};
 
 #[test]
 fn each_number_of_a_run_counts_once_and_an_ended_run_no_more() {
--- a/tests/replica_model.rs
+++ b/tests/replica_model.rs
@@ -3,7 +3,7 @@
 //! by the same check.
 #![cfg(feature = "peers")]
 
-use foxhold::replica::word::{Place, Run, Word, Words};
+use foxhold::replication::entry::{Place, Run, Word, Words};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 /// The rules under check; a mutant changes one of them.
@@ -47,7 +47,7 @@
 }
 
 fn pack(word: &Word) -> Vec<u8> {
-    foxhold::replica::word::bytes(word)
+    foxhold::replication::entry::bytes(word)
 }
 
 fn unpack(bytes: &[u8]) -> Word {
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -2,10 +2,10 @@
 
 mod standin;
 
-use foxhold::api::ServerId;
-use foxhold::core::{Broken, End, Message, Order, Peers, Reports, Ticket, Verdict};
-use foxhold::settings::Transport;
-use foxhold::transport::servers::Servers;
+use foxhold::config::settings::Transport;
+use foxhold::dispatch::{Broken, End, Message, Order, Peers, Reports, Ticket, Verdict};
+use foxhold::policy::types::ServerId;
+use foxhold::upstream::servers::Servers;
 use standin::{listing, local, transport, Manner, Server};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -3,8 +3,8 @@
 
 mod standin;
 
-use foxhold::api::*;
-use foxhold::core::{self, *};
+use foxhold::dispatch::{self, *};
+use foxhold::policy::types::*;
 use quickcheck::{Arbitrary, Gen};
 use standin::{listing, paused, settings};
 use std::time::Duration;
@@ -97,7 +97,7 @@
         let known = vec![Message::Members { full: true, members: fleet(0) }];
         let settings = Settings { probes: true, ..settings() };
         let clock = Clock::starting_at(1_764_576_000_000_000);
-        let core = core::start(settings, 7, clock, Moody, known).expect("good settings").core;
+        let core = dispatch::start(settings, 7, clock, Moody, known).expect("good settings").core;
         let (mut gen, mut quarters, mut answered) = (Gen::from_size_and_seed(64, 11), Vec::new(), 0u64);
         let (tell, mut told) = mpsc::unbounded_channel();
         for second in 0..MINUTES * 60 {
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -1,11 +1,11 @@
 //! Stand-ins of the project's own: servers that speak the line protocol, and a client's side of HTTP.
 #![allow(dead_code)]
 
-use foxhold::api::*;
-use foxhold::core::{self, Clock, Core, Listing, Message, Ticket, Want};
-use foxhold::fronts::serve::{self, Front, Places, Shared};
-use foxhold::settings::Transport;
-use foxhold::transport::servers::Servers;
+use foxhold::config::settings::Transport;
+use foxhold::dispatch::{self, Clock, Core, Listing, Message, Ticket, Want};
+use foxhold::frontend::serve::{self, Front, Places, Shared};
+use foxhold::policy::types::*;
+use foxhold::upstream::servers::Servers;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
@@ -203,7 +203,7 @@
 pub fn start(settings: Settings, clock: Clock, members: Vec<Listing>) -> Core {
     let known = vec![Message::Members { full: true, members }];
     let servers = Servers::new(transport(), 100);
-    core::start(settings, 7, clock, servers, known).expect("good settings").core
+    dispatch::start(settings, 7, clock, servers, known).expect("good settings").core
 }
 
 /// Serves a front on a port of its own and returns its address.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: a golden exchange, and plain messages on what is malformed.
 
-use foxhold::settings::parse_settings;
-use foxhold::wire::Host;
+use foxhold::config::settings::parse_settings;
+use foxhold::simulator::Host;
 
 const PARAMS: &str = r#"{"balancers":1,"bounds":{"cancel":true,"maxAttempts":4,"retryAfter":true,
 "maxRetryAfterMs":1000.0},
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -4,13 +4,13 @@
 mod standin;
 
 use bytes::BytesMut;
-use foxhold::core::{Clock, Listing, Message, Ticket, Verdict, Want};
-use foxhold::fronts::ops::{self, Door, Reloads};
-use foxhold::fronts::platform::Platform;
-use foxhold::fronts::serve::Closing;
-use foxhold::settings::{decode_transport, parse_settings};
-use foxhold::sources::board;
-use foxhold::transport::lines;
+use foxhold::config::settings::{decode_transport, parse_settings};
+use foxhold::discovery::client;
+use foxhold::dispatch::{Clock, Listing, Message, Ticket, Verdict, Want};
+use foxhold::frontend::admin::{self, Door, Reloads};
+use foxhold::frontend::platform::Platform;
+use foxhold::frontend::serve::Closing;
+use foxhold::upstream::line_codec;
 use foxhold::{Effect, KeyScope, Notes, Siblings};
 use standin::*;
 use std::cell::Cell;
@@ -68,23 +68,23 @@
     };
     let flags = [(true, false, false), (false, true, false), (false, false, true), (true, true, false)];
     let mut out = BytesMut::new();
-    lines::write_want(&plain("0000000000000001", now), now, &mut out);
-    lines::write_want(&full, now, &mut out);
+    line_codec::write_want(&plain("0000000000000001", now), now, &mut out);
+    line_codec::write_want(&full, now, &mut out);
     for (join, held_only, renew) in flags {
         let want = Want { via: Some(source.clone()), keep: 1, join, held_only, renew, ..plain("a", now) };
-        lines::write_want(&want, now, &mut out);
+        line_codec::write_want(&want, now, &mut out);
     }
-    lines::write_want(&Want { until: now, ..plain("late", now) }, now, &mut out);
-    lines::write_forget("0000000000000001", &mut out);
-    lines::write_probe("p7", &mut out);
+    line_codec::write_want(&Want { until: now, ..plain("late", now) }, now, &mut out);
+    line_codec::write_forget("0000000000000001", &mut out);
+    line_codec::write_probe("p7", &mut out);
     same_as_fixture("line-requests.txt", &visible(&out));
 }
 
 /// What an answer was read as; notes by their number.
-fn answer(content: &lines::Content) -> String {
+fn answer(content: &line_codec::Content) -> String {
     let reply = match content {
-        lines::Content::Probe(healthy, load) => return format!("health {healthy} {load:?}"),
-        lines::Content::Reply(reply) => reply,
+        line_codec::Content::Probe(healthy, load) => return format!("health {healthy} {load:?}"),
+        line_codec::Content::Reply(reply) => reply,
     };
     let verdict = match &reply.verdict {
         Verdict::Copy(copy) => format!("copy {:?} {:?}", copy.tag, copy.body),
@@ -121,7 +121,7 @@
     }
     text += "p1 READY - 0\r\n\r\np2 READY\r\np3 AILING gauges=x0:0.25\r\np4 AILING - 0\r\n\r\n";
     let mut buffer = BytesMut::from(text.as_bytes());
-    let (mut reader, mut read) = (lines::Reader::default(), String::new());
+    let (mut reader, mut read) = (line_codec::Reader::default(), String::new());
     while let Some(message) = reader.next(&mut buffer).expect("good lines") {
         read += &format!("{} {}\n", message.id, answer(&message.content));
     }
@@ -130,24 +130,24 @@
     for bad in ["a ACK - x\r\n", "a WHAT - 0\r\n", "a ACK lag=x 0\r\n", " ACK - 0\r\n", "a\r\n", "a ACK -\n"]
     {
         let mut buffer = BytesMut::from(bad.as_bytes());
-        assert!(lines::Reader::default().next(&mut buffer).is_err(), "{bad:?}");
+        assert!(line_codec::Reader::default().next(&mut buffer).is_err(), "{bad:?}");
     }
 }
 
 // ---- discovery ----
 
 /// What an event was read as; states by their number.
-fn event(news: &board::News) -> String {
+fn event(news: &client::News) -> String {
     let member = |listing: &Listing| {
         let Listing { name, address, zone, kind, cell, state, size, since } = listing;
         format!(" {name} {address} {zone} {kind} {cell} {} {size} {since}", *state as u8)
     };
     match news {
-        board::News::Members { full, members } => {
+        client::News::Members { full, members } => {
             format!("members {full}{}", members.iter().map(member).collect::<String>())
         }
-        board::News::Purge { object, group, ms } => format!("purge {object:?} {group} {ms}"),
-        board::News::Other => "other".into(),
+        client::News::Purge { object, group, ms } => format!("purge {object:?} {group} {ms}"),
+        client::News::Other => "other".into(),
     }
 }
 
@@ -180,15 +180,15 @@
     ];
     let mut read = String::new();
     for line in lines {
-        let line = board::parse_line(line.as_bytes()).expect("a good line");
+        let line = client::parse_line(line.as_bytes()).expect("a good line");
         read += &match line {
-            board::Line::Last(rev) => format!("last {rev}\n"),
-            board::Line::Notice(notice) => format!("{} {}\n", notice.rev, event(&notice.news)),
+            client::Line::Last(rev) => format!("last {rev}\n"),
+            client::Line::Notice(notice) => format!("{} {}\n", notice.rev, event(&notice.news)),
         };
     }
     same_as_fixture("discovery.txt", &read);
     for bad in [r#"{"rev":8,"flush":{"ms":1}}"#, "", "x", &complete.replace("in_service", "resting")] {
-        assert!(board::parse_line(bad.as_bytes()).is_err(), "{bad}");
+        assert!(client::parse_line(bad.as_bytes()).is_err(), "{bad}");
     }
 }
 
@@ -234,7 +234,7 @@
         };
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let admin = listener.local_addr().expect("an address").to_string();
-        tokio::task::spawn_local(ops::accept(listener, door));
+        tokio::task::spawn_local(admin::accept(listener, door));
         let videos = "/ops/videos/7f3a9c21e0b4d655";
         let job = |id: u64| format!("X-Job-Id: {id:016x}\r\nX-Allow-Ms: 2900\r\n");
         let mut out = String::new();
@@ -387,12 +387,12 @@
 #[cfg(feature = "peers")]
 mod directors {
     use super::{fixture, same_as_fixture};
-    use foxhold::peers::frame::{Body, Message, Seal};
-    use foxhold::peers::members::Member;
-    use foxhold::peers::store;
-    use foxhold::replica::digest::Node;
-    use foxhold::replica::talk::Say;
-    use foxhold::replica::word::{Key, Place, Run, Word, Words};
+    use foxhold::cluster::frame::{Body, Message, Seal};
+    use foxhold::cluster::members::Member;
+    use foxhold::cluster::store;
+    use foxhold::replication::digest::Node;
+    use foxhold::replication::entry::{Key, Place, Run, Word, Words};
+    use foxhold::replication::gossip::Say;
     use std::time::Duration;
 
     const UNIX: u64 = 1_764_576_000_000_000;
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -2,10 +2,10 @@
 
 mod standin;
 
-use foxhold::api::MemberState;
-use foxhold::core::{Listing, Message, Reports};
-use foxhold::sources::xds;
-use foxhold::sources::{follow_file, watched::Watched};
+use foxhold::discovery::xds;
+use foxhold::discovery::{follow_file, watched_file::Watched};
+use foxhold::dispatch::{Listing, Message, Reports};
+use foxhold::policy::types::MemberState;
 use standin::{listing, paused};
 use std::time::Duration;
 use tokio::sync::mpsc;
