--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -11,17 +11,17 @@
 fn settings() -> Settings {
     let class = |name: &str, aim, deadline| Class {
         name: name.into(),
-        aim,
+        latency_objective: aim,
         deadline,
-        worth: 1.0,
+        priority_weight: 1.0,
         ..Class::default()
     };
     Settings {
         classes: vec![class("videos", 400_000, 5_000_000), class("pages", 250_000, 3_000_000)],
         routers_by_zone: vec![0, 4],
         routers: 4,
-        flow: 9_500.0,
-        probes: true,
+        transfer_kb_per_s: 9_500.0,
+        health_checks: true,
         ..standin::settings()
     }
 }
@@ -42,7 +42,7 @@
             cell: 0,
             state,
             size: 12.0,
-            since: 0,
+            started_at: 0,
         }
     };
     (0..servers).map(member).collect()
@@ -58,7 +58,7 @@
         group: Some((mixed % 32) as u32),
         deadline: now + 3_000_000,
         size_kb: 200.0,
-        repeat: false,
+        is_retry: false,
     }
 }
 
@@ -76,13 +76,13 @@
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            took: 20_000,
-            over: true,
-            note: if n.is_multiple_of(3) { Note::Filled } else { Note::Hit },
-            waited: 10_000,
-            report: Vec::new(),
+            elapsed: 20_000,
+            request_finished: true,
+            cache_status: if n.is_multiple_of(3) { CacheStatus::Filled } else { CacheStatus::Hit },
+            source_wait: 10_000,
+            load_report: Vec::new(),
         };
-        router.handle(now + 400, Event::Ended(end), out);
+        router.handle(now + 400, Event::AttemptEnded(end), out);
     }
     black_box(&out);
 }
@@ -93,7 +93,11 @@
         for objects in [1_000, 100_000] {
             let mut router = Router::new(settings(), 7).expect("good settings");
             let mut out = Vec::new();
-            router.handle(0, Event::Members { kind: ListKind::Full, members: members(servers) }, &mut out);
+            router.handle(
+                0,
+                Event::Members { kind: MemberUpdate::Full, members: members(servers) },
+                &mut out,
+            );
             let mut n = 0;
             for _ in 0..30_000 {
                 n += 1;
--- a/crates/foxhold-testbed/src/hollow/clock.rs
+++ b/crates/foxhold-testbed/src/hollow/clock.rs
@@ -1,7 +1,7 @@
 //! Simulated time: one queue of events, in the order of their times and, at one time, of their scheduling.
 
 use foxhold::policy::types::Micros;
-use foxhold::replication::state::Now;
+use foxhold::replication::state::ClockReading;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
@@ -61,8 +61,8 @@
     }
 
     /// The time as the replicated state takes it: a director's steady clock starts near Unix time too.
-    pub fn host_time(&self) -> Now {
-        Now { steady: UNIX_START + self.now, unix: UNIX_START + self.now }
+    pub fn host_time(&self) -> ClockReading {
+        ClockReading { monotonic: UNIX_START + self.now, unix: UNIX_START + self.now }
     }
 
     /// Schedules an event after a delay. False: the queue is full and the event is not taken.
--- a/crates/foxhold-testbed/src/hollow/director.rs
+++ b/crates/foxhold-testbed/src/hollow/director.rs
@@ -7,10 +7,10 @@
     DISCOVERY_FANOUT, DISCOVERY_INTERVAL, GREETING_INTERVAL, REMEMBERED_SENDERS, SEED_INTERVAL,
 };
 use foxhold::policy::types::Micros;
-use foxhold::replication::entry::{Key, Run};
-use foxhold::replication::gossip::{Say, Stage, Talk};
-use foxhold::replication::replay_window::Fresh;
-use foxhold::replication::state::{Bounds, Now, State};
+use foxhold::replication::entry::{Incarnation, Key};
+use foxhold::replication::gossip::{GossipMessage, GossipProtocol, Stage};
+use foxhold::replication::replay_window::ReplayWindow;
+use foxhold::replication::state::{Bounds, ClockReading, ReplicatedState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -58,8 +58,8 @@
     sent: u64,
     seal: Rc<Seal>,
     members: Members,
-    talk: Talk<SocketAddr>,
-    fresh: Fresh<SocketAddr>,
+    talk: GossipProtocol<SocketAddr>,
+    fresh: ReplayWindow<SocketAddr>,
     last_received: HashMap<SocketAddr, Micros>,
     known: HashSet<Member>,
     next_greeting: Micros,
@@ -71,11 +71,11 @@
 
 impl Director {
     /// One of so many directors, at its start.
-    pub fn new(me: usize, directors: usize, seal: Rc<Seal>, seed: u64, now: Now) -> Director {
+    pub fn new(me: usize, directors: usize, seal: Rc<Seal>, seed: u64, now: ClockReading) -> Director {
         let mut random = StdRng::seed_from_u64(seed ^ (me as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let run: u64 = random.random();
         let members = Members::new(member(me, now.unix), directors as u32, run);
-        let talk = Talk::new(State::new(Run(run), Bounds::default()), run, now);
+        let talk = GossipProtocol::new(ReplicatedState::new(Incarnation(run), Bounds::default()), run, now);
         Director {
             me,
             run,
@@ -83,12 +83,12 @@
             seal,
             members,
             talk,
-            fresh: Fresh::new(REMEMBERED_SENDERS),
+            fresh: ReplayWindow::new(REMEMBERED_SENDERS),
             last_received: HashMap::new(),
             known: HashSet::new(),
-            next_greeting: now.steady,
-            next_seeds: now.steady,
-            next_discovery: now.steady,
+            next_greeting: now.monotonic,
+            next_seeds: now.monotonic,
+            next_discovery: now.monotonic,
             peers_known: 0,
             random,
         }
@@ -104,13 +104,13 @@
     }
 
     /// Holds a purge of that time, as if it had long been told.
-    pub fn hold(&mut self, key: Key, at: Micros, now: Now) {
+    pub fn hold(&mut self, key: Key, at: Micros, now: ClockReading) {
         // Refused only past the bound on entries, which the report shows by the entries held.
         let _ = self.talk.state.purge(key, at, now);
     }
 
     /// The entries that it holds.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ReplicatedState {
         &self.talk.state
     }
 
@@ -125,22 +125,22 @@
     }
 
     /// What is due by itself, each [`foxhold::cluster::TICK`].
-    pub fn tick(&mut self, now: Now) -> Output {
+    pub fn tick(&mut self, now: ClockReading) -> Output {
         let mut output = Output::default();
         self.converse(now, &mut output);
-        if now.steady >= self.next_seeds {
-            self.next_seeds = now.steady
+        if now.monotonic >= self.next_seeds {
+            self.next_seeds = now.monotonic
                 + (SEED_INTERVAL.as_micros() as f64 * self.random.random_range(0.5..1.5)) as Micros;
             self.look_for_seeds(&mut output);
         }
-        if now.steady >= self.next_discovery {
-            self.next_discovery = now.steady + DISCOVERY_INTERVAL.as_micros() as Micros;
+        if now.monotonic >= self.next_discovery {
+            self.next_discovery = now.monotonic + DISCOVERY_INTERVAL.as_micros() as Micros;
             self.discover(&mut output);
         }
         output
     }
 
-    fn converse(&mut self, now: Now, output: &mut Output) {
+    fn converse(&mut self, now: ClockReading, output: &mut Output) {
         let mut said = Vec::new();
         self.talk.tick(now, &mut said);
         self.say(said, output);
@@ -171,11 +171,11 @@
     }
 
     /// An operator's purge, told here now.
-    pub fn purge(&mut self, key: Key, now: Now) -> Output {
+    pub fn purge(&mut self, key: Key, now: ClockReading) -> Output {
         let mut output = Output::default();
         let change = self.talk.state.purge(key, now.unix, now).ok().flatten();
         output.learned.extend(change.iter().map(|(key, _)| key.clone()));
-        self.talk.told(change);
+        self.talk.publish(change);
         self.converse(now, &mut output);
         output
     }
@@ -189,16 +189,16 @@
     }
 
     /// A datagram came.
-    pub fn datagram(&mut self, bytes: &[u8], now: Now) -> Output {
+    pub fn datagram(&mut self, bytes: &[u8], now: ClockReading) -> Output {
         let mut output = Output::default();
         let Ok(message) = self.seal.open(bytes) else { return output };
         let from = message.from.address;
-        if from == address(self.me) || !self.fresh.take(&from, message.run, message.number) {
+        if from == address(self.me) || !self.fresh.accept(&from, message.incarnation, message.number) {
             return output;
         }
-        self.last_received.insert(from, now.steady);
-        if now.steady >= self.next_greeting && !self.known.contains(&message.from) {
-            self.next_greeting = now.steady + GREETING_INTERVAL.as_micros() as Micros;
+        self.last_received.insert(from, now.monotonic);
+        if now.monotonic >= self.next_greeting && !self.known.contains(&message.from) {
+            self.next_greeting = now.monotonic + GREETING_INTERVAL.as_micros() as Micros;
             let asked = self.members.announce(from);
             self.apply_membership(asked, &mut output);
         }
@@ -207,20 +207,20 @@
                 let asked = self.members.handle_message(&bytes);
                 self.apply_membership(asked, &mut output);
             }
-            Body::Say(say) => {
+            Body::Gossip(say) => {
                 let mut said = Vec::new();
-                self.talk.heard(&from, say, now, &mut said);
+                self.talk.handle_message(&from, say, now, &mut said);
                 self.say(said, &mut output);
             }
         }
         output
     }
 
-    fn say(&mut self, said: Vec<(SocketAddr, Say)>, output: &mut Output) {
+    fn say(&mut self, said: Vec<(SocketAddr, GossipMessage)>, output: &mut Output) {
         for (to, say) in said {
-            self.send(to, Body::Say(say), output);
+            self.send(to, Body::Gossip(say), output);
         }
-        output.learned.extend(self.talk.news().into_iter().map(|news| news.key));
+        output.learned.extend(self.talk.take_updates().into_iter().map(|news| news.key));
     }
 
     fn apply_membership(&mut self, asked: ProtocolOutput, output: &mut Output) {
@@ -236,13 +236,13 @@
         let others: Vec<SocketAddr> = self.known.iter().map(|m| m.address).collect();
         let dead: BTreeSet<SocketAddr> = self.members.dead().into_iter().map(|m| m.address).collect();
         self.last_received.retain(|address, _| others.contains(address) || dead.contains(address));
-        self.talk.members(sorted(others));
+        self.talk.set_members(sorted(others));
     }
 
     fn send(&mut self, to: SocketAddr, body: Body, output: &mut Output) {
         self.sent += 1;
         let from = self.members.local().clone();
-        let message = Message { from, run: self.run, number: self.sent, body };
+        let message = Message { from, incarnation: self.run, number: self.sent, body };
         if let (Some(datagram), Some(to)) = (self.seal.seal(&message), number(&to)) {
             output.datagrams.push((to, datagram));
         }
--- a/crates/foxhold-testbed/src/hollow/simulation.rs
+++ b/crates/foxhold-testbed/src/hollow/simulation.rs
@@ -168,7 +168,7 @@
 
     fn start(&mut self, n: usize) {
         let now = self.clock.host_time();
-        let seed = self.options.seed.wrapping_add(now.steady);
+        let seed = self.options.seed.wrapping_add(now.monotonic);
         let director = Director::new(n, self.slots.len(), self.seal.clone(), seed, now);
         let slot = &mut self.slots[n];
         *slot = Slot { director: Some(Box::new(director)), start: slot.start + 1, started: self.clock.now() };
@@ -182,7 +182,7 @@
     fn hold(&mut self, n: usize) {
         let now = self.clock.host_time();
         let Some(director) = self.slots[n].director.as_mut() else { return };
-        let kept = director.state().bounds().purges_kept;
+        let kept = director.state().bounds().purge_retention;
         for held in 0..self.size.held {
             let age = kept * Micros::from(held) / Micros::from(self.size.held);
             director.hold(Key::Object(format!("held-{held:011}")), now.unix - age, now);
@@ -339,7 +339,8 @@
 
     /// Measured purges that some running director lacks, but for those that are no longer kept.
     fn missed(&self, measured_from: usize) -> usize {
-        let Some(kept) = self.running().next().map(|director| director.state().bounds().purges_kept) else {
+        let Some(kept) = self.running().next().map(|director| director.state().bounds().purge_retention)
+        else {
             return 0;
         };
         let lacks = |purge: &usize| {
--- a/crates/foxhold-testbed/src/overhead.rs
+++ b/crates/foxhold-testbed/src/overhead.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::replay::{daemon, exchange, ConfigFile, Failure};
 use crate::trace::object;
-use foxhold::director::{Director, Question};
+use foxhold::director::{CacheRequest, Director};
 use hdrhistogram::Histogram;
 use std::net::TcpStream;
 use std::path::Path;
@@ -106,11 +106,11 @@
             let (mut times, mut others) = (Histogram::<u64>::new(3)?, 0);
             for n in (k..requests).step_by(at_once) {
                 let object = object((n % objects + 1) as u64);
-                let question = Question::new("guide-videos", object).size_kb(5.0);
+                let question = CacheRequest::new("guide-videos", object).size_kb(5.0);
                 let begun = Instant::now();
-                let answer = director.ask(question).await;
+                let answer = director.send(question).await;
                 times.record(begun.elapsed().as_micros() as u64)?;
-                others += usize::from(!matches!(answer, Ok(foxhold::dispatch::Answer::Served(_))));
+                others += usize::from(!matches!(answer, Ok(foxhold::dispatch::ClientResponse::Served(_))));
             }
             Ok((times, others))
         })
--- a/crates/foxhold-testbed/src/replay.rs
+++ b/crates/foxhold-testbed/src/replay.rs
@@ -13,10 +13,12 @@
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::{IntoResponse, Response};
 use axum::routing::any;
-use foxhold::config::platform::Config;
-use foxhold::director::{Director, Question};
-use foxhold::dispatch::{Answer, Cause, Listing, Order, Peers, Reports};
-use foxhold::upstream::servers::Servers;
+use foxhold::config::platform::PlatformConfig;
+use foxhold::director::{CacheRequest, Director};
+use foxhold::dispatch::{
+    ClientResponse, DispatcherSender, Endpoint, EndpointCommand, EndpointConnector, FailureReason,
+};
+use foxhold::upstream::servers::UpstreamConnector;
 use foxhold::ServerId;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -188,8 +190,8 @@
 async fn library(config: &Path, altered: Option<usize>) -> Result<(String, Running), Failure> {
     let mut builder = Director::from_file(config)?;
     if let Some(nth) = altered {
-        let servers = Config::read(config)?.servers();
-        builder = builder.transport(Altered { servers, left: Arc::new(AtomicUsize::new(nth)) });
+        let servers = PlatformConfig::read(config)?.servers();
+        builder = builder.connector(Altered { servers, left: Arc::new(AtomicUsize::new(nth)) });
     }
     let app = axum::Router::new()
         .route("/alive", any(|| async {}))
@@ -214,7 +216,7 @@
 ) -> Response {
     let header = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
     let number = |name: &str| header(name).and_then(|v| v.parse::<f64>().ok());
-    let mut question = Question::new(class, object).body(body);
+    let mut question = CacheRequest::new(class, object).body(body);
     if let Some(id) = header("x-job-id") {
         question = question.id(id);
     }
@@ -228,45 +230,53 @@
         question = question.size_kb(size);
     }
     if let Some(allow) = number("x-allow-ms") {
-        question = question.allow(Duration::from_secs_f64(allow / 1e3));
+        question = question.timeout(Duration::from_secs_f64(allow / 1e3));
     }
     let status = |code: u16| StatusCode::from_u16(code).unwrap_or_default();
     let tagged = |tag: Option<Arc<str>>| tag.map(|t| [("etag", format!("\"{t}\""))]);
-    match director.ask(question).await {
-        Ok(Answer::Served(copy)) => match tagged(copy.tag) {
+    match director.send(question).await {
+        Ok(ClientResponse::Served(copy)) => match tagged(copy.etag) {
             Some(tag) => (tag, copy.body).into_response(),
             None => copy.body.into_response(),
         },
-        Ok(Answer::Unchanged(_)) => status(304).into_response(),
-        Ok(Answer::Refused { wait: Some(wait), .. }) => {
+        Ok(ClientResponse::NotModified(_)) => status(304).into_response(),
+        Ok(ClientResponse::Rejected { retry_after: Some(wait), .. }) => {
             (status(503), [("x-wait-ms", wait.as_millis().max(1).to_string())]).into_response()
         }
-        Ok(Answer::Refused { .. }) => status(503).into_response(),
-        Ok(Answer::Failed(Cause::Deadline)) => status(504).into_response(),
-        Ok(Answer::Failed(Cause::Duplicate)) => status(409).into_response(),
-        Ok(Answer::Failed(_)) | Err(_) => status(502).into_response(),
+        Ok(ClientResponse::Rejected { .. }) => status(503).into_response(),
+        Ok(ClientResponse::Failed(FailureReason::DeadlineExceeded)) => status(504).into_response(),
+        Ok(ClientResponse::Failed(FailureReason::DuplicateRequest)) => status(409).into_response(),
+        Ok(ClientResponse::Failed(_)) | Err(_) => status(502).into_response(),
     }
 }
 
 /// The line protocol, with one decision changed on its way.
 struct Altered {
-    servers: Servers,
+    servers: UpstreamConnector,
     left: Arc<AtomicUsize>,
 }
 
-impl Peers for Altered {
-    fn open(&mut self, server: ServerId, listing: &Listing, reports: Reports) -> mpsc::Sender<Order> {
-        let inner = self.servers.open(server, listing, reports);
+impl EndpointConnector for Altered {
+    fn connect(
+        &mut self,
+        server: ServerId,
+        listing: &Endpoint,
+        reports: DispatcherSender,
+    ) -> mpsc::Sender<EndpointCommand> {
+        let inner = self.servers.connect(server, listing, reports);
         let (mailbox, mut orders) = mpsc::channel(512);
         let left = self.left.clone();
         tokio::task::spawn_local(async move {
             while let Some(mut order) = orders.recv().await {
-                if let Order::Want(want) = &mut order {
-                    let parent = want.via.as_ref().is_some_and(|v| v.starts_with("parent"));
+                if let EndpointCommand::Send(want) = &mut order {
+                    let parent = want.fill_source.as_ref().is_some_and(|v| v.starts_with("parent"));
                     if parent && left.fetch_sub(1, Ordering::Relaxed) == 0 {
-                        let other =
-                            if want.via.as_deref() == Some("parent-1") { "parent-3" } else { "parent-1" };
-                        want.via = Some(other.into());
+                        let other = if want.fill_source.as_deref() == Some("parent-1") {
+                            "parent-3"
+                        } else {
+                            "parent-1"
+                        };
+                        want.fill_source = Some(other.into());
                     }
                 }
                 if inner.send(order).await.is_err() {
--- a/crates/foxhold-testbed/src/test_client.rs
+++ b/crates/foxhold-testbed/src/test_client.rs
@@ -2,7 +2,7 @@
 //!
 //! Directors do not acknowledge the updates that they send each other: what one loses it gets from another later. A
 //! client has nobody to repeat for it, so it reads back what it sent. Each batch of updates is followed by a
-//! [`Say::Pull`] of the range of places that the batch lies in, and the [`Say::Chunk`] that answers it acknowledges
+//! [`GossipMessage::TransferRequest`] of the range of places that the batch lies in, and the [`GossipMessage::TransferChunk`] that answers it acknowledges
 //! every update of the batch that it contains. What is not acknowledged in time is sent again, unchanged, so that a
 //! director that already holds it has nothing to do. Batches outstanding, their rate, attempts for each and the
 //! time for all are bounded.
@@ -13,8 +13,8 @@
 use foxhold::cluster::frame::{Body, Message, Seal};
 use foxhold::cluster::members::Member;
 use foxhold::replication::digest::hash;
-use foxhold::replication::entry::{bytes, Key, Merged, Word};
-use foxhold::replication::gossip::Say;
+use foxhold::replication::entry::{encode, Key, MergeOutcome, Value};
+use foxhold::replication::gossip::GossipMessage;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -81,17 +81,17 @@
 struct Update {
     place: u64,
     key: Key,
-    word: Word,
+    word: Value,
 }
 
 impl Update {
-    fn new(key: Key, word: Word) -> Update {
-        Update { place: hash(&bytes(&key)), key, word }
+    fn new(key: Key, word: Value) -> Update {
+        Update { place: hash(&encode(&key)), key, word }
     }
 
     /// Whether a director that holds this word of the key has heard of the update.
-    fn is_in(&self, key: &Key, held: &Word) -> bool {
-        self.key == *key && held.clone().merge(&self.word) == Merged::Same
+    fn is_in(&self, key: &Key, held: &Value) -> bool {
+        self.key == *key && held.clone().merge(&self.word) == MergeOutcome::Unchanged
     }
 }
 
@@ -117,7 +117,7 @@
     }
 
     /// Takes out what a director holds. Where that is some of it, the rest is due at once.
-    fn acknowledge(&mut self, held: &[(Key, Word)]) {
+    fn acknowledge(&mut self, held: &[(Key, Value)]) {
         let before = self.updates.len();
         self.updates.retain(|update| !held.iter().any(|(key, word)| update.is_in(key, word)));
         if self.updates.len() < before {
@@ -147,7 +147,7 @@
 }
 
 impl Delivery {
-    fn new(updates: Vec<(Key, Word)>) -> Delivery {
+    fn new(updates: Vec<(Key, Value)>) -> Delivery {
         let mut updates: Vec<Update> =
             updates.into_iter().map(|(key, word)| Update::new(key, word)).collect();
         updates.sort_by_key(|update| update.place);
@@ -175,7 +175,7 @@
     }
 
     /// Entries that a director holds from this place on.
-    fn acknowledge(&mut self, first: u64, held: &[(Key, Word)]) {
+    fn acknowledge(&mut self, first: u64, held: &[(Key, Value)]) {
         let answered = |batch: &&mut Batch| batch.range().is_some_and(|range| range.0 == first);
         if let Some(batch) = self.outstanding.iter_mut().find(answered) {
             batch.acknowledge(held);
@@ -213,9 +213,10 @@
     }
 
     /// Seals a message as the next of this sender.
-    pub fn sealed(&mut self, say: Say) -> Result<Vec<u8>, DeliveryError> {
+    pub fn sealed(&mut self, say: GossipMessage) -> Result<Vec<u8>, DeliveryError> {
         self.number += 1;
-        let message = Message { from: self.from.clone(), run: 1, number: self.number, body: Body::Say(say) };
+        let message =
+            Message { from: self.from.clone(), incarnation: 1, number: self.number, body: Body::Gossip(say) };
         self.seal.seal(&message).ok_or(DeliveryError::TooLarge)
     }
 
@@ -229,7 +230,7 @@
     pub async fn deliver(
         &mut self,
         to: SocketAddr,
-        updates: Vec<(Key, Word)>,
+        updates: Vec<(Key, Value)>,
     ) -> Result<Delivered, DeliveryError> {
         let deadline = Instant::now() + DELIVERY_TIMEOUT;
         let mut delivery = Delivery::new(updates);
@@ -266,8 +267,8 @@
             let retry = std::mem::replace(&mut batch.sent, true);
             batch.attempt()?;
             let updates = batch.updates.iter().map(|update| (update.key.clone(), update.word.clone()));
-            let update = self.sealed(Say::Words(updates.collect()))?;
-            let read_back = self.sealed(Say::Pull(0, first, last))?;
+            let update = self.sealed(GossipMessage::Updates(updates.collect()))?;
+            let read_back = self.sealed(GossipMessage::TransferRequest(0, first, last))?;
             self.send(to, &update).await?;
             self.send(to, &read_back).await?;
             delivered.batches += u64::from(!retry);
@@ -278,10 +279,12 @@
 
     /// The entries that a director answers a request to read with, and the place that they begin at; none: it is
     /// another message, or from somebody else.
-    fn chunk(&self, director: SocketAddr, datagram: &[u8]) -> Option<(u64, Vec<(Key, Word)>)> {
+    fn chunk(&self, director: SocketAddr, datagram: &[u8]) -> Option<(u64, Vec<(Key, Value)>)> {
         let message = self.seal.open(datagram).ok()?;
         match message.body {
-            Body::Say(Say::Chunk(_, first, held, ..)) if message.from.address == director => {
+            Body::Gossip(GossipMessage::TransferChunk(_, first, held, ..))
+                if message.from.address == director =>
+            {
                 Some((first, held))
             }
             _ => None,
@@ -302,7 +305,7 @@
     /// lost all the same.
     pub async fn flood(&mut self, to: SocketAddr, groups: Range<u32>) -> Result<(), DeliveryError> {
         for (n, updates) in purges(groups).chunks(FLOOD_UPDATES).enumerate() {
-            let datagram = self.sealed(Say::Words(updates.to_vec()))?;
+            let datagram = self.sealed(GossipMessage::Updates(updates.to_vec()))?;
             self.send(to, &datagram).await?;
             if n % 2 == 0 {
                 sleep(FLOOD_PAUSE).await;
@@ -313,7 +316,7 @@
 }
 
 /// Purges of groups, all of the same moment.
-fn purges(groups: Range<u32>) -> Vec<(Key, Word)> {
+fn purges(groups: Range<u32>) -> Vec<(Key, Value)> {
     let at = (unix_ms() - PURGE_AGE_MS) * 1_000;
-    groups.map(|group| (Key::Group(group), Word::Purged(at))).collect()
+    groups.map(|group| (Key::Group(group), Value::Purged(at))).collect()
 }
--- a/crates/foxhold-testbed/tests/talk.rs
+++ b/crates/foxhold-testbed/tests/talk.rs
@@ -3,8 +3,8 @@
 
 use foxhold::cluster::frame::{Body, Message, Seal};
 use foxhold::cluster::members::Member;
-use foxhold::replication::entry::{Key, Word};
-use foxhold::replication::gossip::Say;
+use foxhold::replication::entry::{Key, Value};
+use foxhold::replication::gossip::GossipMessage;
 use foxhold_testbed::peer_network::LinkConditions;
 use foxhold_testbed::talk::{Fleet, FleetConfig};
 use foxhold_testbed::test_client::TestClient;
@@ -81,9 +81,9 @@
 }
 
 /// What someone says who has another key, or speaks for another fleet.
-fn sealed(fleet: &str, key: &[u8], say: Say) -> Vec<u8> {
+fn sealed(fleet: &str, key: &[u8], say: GossipMessage) -> Vec<u8> {
     let from = Member::new("outsider", "127.0.0.1:9".parse().expect("an address"), 1);
-    let message = Message { from, run: 1, number: 1, body: Body::Say(say) };
+    let message = Message { from, incarnation: 1, number: 1, body: Body::Gossip(say) };
     Seal::new(fleet, &[key.to_vec()]).expect("a key").seal(&message).expect("small")
 }
 
@@ -408,7 +408,7 @@
         told(&fleet, 1, "drain cache-1").await;
         let before = same(&fleet, &all(&fleet), s(5)).await;
         let to = fleet.reached_at(0);
-        let words = || Say::Words(vec![(Key::Group(1), Word::Purged(unix()))]);
+        let words = || GossipMessage::Updates(vec![(Key::Group(1), Value::Purged(unix()))]);
         let mut client = TestClient::open(&fleet).await.expect("a client");
         for _ in 0..50 {
             client.send(to, &sealed("lab", &[9; 32], words())).await.expect("loopback");
@@ -420,7 +420,9 @@
             client.send(to, &[1; 4]).await.expect("loopback");
         }
         // A good message that is sent once more.
-        let good = client.sealed(Say::Words(vec![(Key::Group(2), Word::Purged(unix()))])).expect("small");
+        let good = client
+            .sealed(GossipMessage::Updates(vec![(Key::Group(2), Value::Purged(unix()))]))
+            .expect("small");
         client.send(to, &good).await.expect("loopback");
         client.send(to, &good).await.expect("loopback");
         fleet
--- a/crates/foxhold-testbed/tests/test_client.rs
+++ b/crates/foxhold-testbed/tests/test_client.rs
@@ -1,6 +1,6 @@
 //! The test client's delivery: what is lost is sent again, and what is never acknowledged ends within its bounds.
 
-use foxhold::replication::entry::{Key, Word};
+use foxhold::replication::entry::{Key, Value};
 use foxhold_testbed::peer_network::LinkConditions;
 use foxhold_testbed::talk::{Fleet, FleetConfig};
 use foxhold_testbed::test_client::{DeliveryError, TestClient};
@@ -23,9 +23,9 @@
     FleetConfig { directors: 1, seed: 7, ..FleetConfig::default() }
 }
 
-fn purges() -> Vec<(Key, Word)> {
+fn purges() -> Vec<(Key, Value)> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_micros() as u64;
-    (0..ENTRIES).map(|group| (Key::Group(group), Word::Purged(now))).collect()
+    (0..ENTRIES).map(|group| (Key::Group(group), Value::Purged(now))).collect()
 }
 
 #[test]
--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -3,7 +3,7 @@
 use super::catch_up::{stage_name, CatchUp};
 use super::core_feed::CoreFeed;
 use super::frame::MAX_DATAGRAM_BYTES;
-use super::handle::Order;
+use super::handle::ClusterCommand;
 use super::members::Members;
 use super::membership::Membership;
 use super::persistence::Persistence;
@@ -11,12 +11,12 @@
 use super::store::Store;
 use super::transport::Transport;
 use crate::config::operator::PeersSection;
-use crate::discovery::client::Notice;
-use crate::dispatch::{Clock, Reports};
+use crate::discovery::client::WatchEvent;
+use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
-use crate::replication::entry::{Key, Kind, Word};
-use crate::replication::gossip::{News, Talk};
-use crate::replication::state::{Now, Refused};
+use crate::replication::entry::{Key, Kind, Value};
+use crate::replication::gossip::{GossipProtocol, Update};
+use crate::replication::state::{ClockReading, MergeError};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -32,7 +32,7 @@
     /// The operator's settings.
     pub(super) section: PeersSection,
     /// The replicated state and its protocol.
-    pub(super) replication: Talk<SocketAddr>,
+    pub(super) replication: GossipProtocol<SocketAddr>,
     /// The membership protocol.
     pub(super) members: Members,
     /// The socket.
@@ -40,26 +40,26 @@
     /// The writer to the disk, if the state is stored.
     pub(super) store: Option<Store>,
     /// The way to the core.
-    pub(super) core: Reports,
+    pub(super) core: DispatcherSender,
     /// The clock.
     pub(super) clock: Clock,
     /// Commands from this process.
-    pub(super) commands: mpsc::Receiver<Order>,
+    pub(super) commands: mpsc::Receiver<ClusterCommand>,
     /// Events of the discovery source.
-    pub(super) notices: mpsc::Receiver<Notice>,
+    pub(super) notices: mpsc::Receiver<WatchEvent>,
 }
 
 /// The actor; it does nothing until it runs.
 pub struct Actor {
-    pub(super) replication: Talk<SocketAddr>,
+    pub(super) replication: GossipProtocol<SocketAddr>,
     pub(super) membership: Membership,
     pub(super) transport: Transport,
     pub(super) core: CoreFeed,
     pub(super) persistence: Persistence,
     catch_up: CatchUp,
     clock: Clock,
-    commands: mpsc::Receiver<Order>,
-    notices: mpsc::Receiver<Notice>,
+    commands: mpsc::Receiver<ClusterCommand>,
+    notices: mpsc::Receiver<WatchEvent>,
 }
 
 impl Actor {
@@ -78,14 +78,14 @@
             notices: parts.notices,
         };
         let stored = Kind::ALL.into_iter().flat_map(|kind| actor.replication.state.of(kind));
-        let stored: Vec<News> =
-            stored.map(|(key, entry)| News { key: key.clone(), word: entry.clone() }).collect();
+        let stored: Vec<Update> =
+            stored.map(|(key, entry)| Update { key: key.clone(), value: entry.clone() }).collect();
         stored.into_iter().for_each(|update| actor.accept(update));
         actor
     }
 
-    pub(super) fn now(&self) -> Now {
-        Now { steady: self.clock.now(), unix: self.clock.unix() }
+    pub(super) fn now(&self) -> ClockReading {
+        ClockReading { monotonic: self.clock.now(), unix: self.clock.unix() }
     }
 
     /// Runs until the last handle is dropped, or until the command to leave.
@@ -104,7 +104,7 @@
                     tokio::task::yield_now().await;
                 }
                 command = self.commands.recv() => match command {
-                    Some(Order::Leave(done)) => return self.leave(done).await,
+                    Some(ClusterCommand::Leave(done)) => return self.leave(done).await,
                     Some(command) => self.execute(command),
                     None => return,
                 },
@@ -146,43 +146,43 @@
     }
 
     /// Takes over an entry that is new to this director, to be written and delivered to the core.
-    pub(super) fn accept(&mut self, update: News) {
+    pub(super) fn accept(&mut self, update: Update) {
         self.persistence.mark(&update.key);
         self.core.accept(update, &self.replication.state);
     }
 
     /// Applies an event of the discovery source and spreads what changed by it.
-    fn apply_notice(&mut self, notice: &Notice) {
+    fn apply_notice(&mut self, notice: &WatchEvent) {
         let now = self.now();
         for (key, entry) in source::apply(&mut self.replication.state, notice, now) {
             // The core has it from the source itself, except for how long a purge is kept here.
             if key.kind() == Kind::Purges {
-                self.core.push(News { key: key.clone(), word: entry.clone() });
+                self.core.push(Update { key: key.clone(), value: entry.clone() });
             }
             self.persistence.mark(&key);
-            if let Key::Listed(name) = &key {
+            if let Key::Endpoint(name) = &key {
                 self.core.recheck_drain(name, &self.replication.state);
             }
-            self.replication.told(Some((key, entry)));
+            self.replication.publish(Some((key, entry)));
         }
     }
 
     /// Executes a command. A reply that nobody waits for any more is dropped.
-    fn execute(&mut self, command: Order) {
+    fn execute(&mut self, command: ClusterCommand) {
         let now = self.now();
         match command {
-            Order::Drain(name, on, reply) => {
+            ClusterCommand::Drain(name, on, reply) => {
                 let change = self.replication.state.drain(&name, on, now);
                 self.finish_change(change, reply);
             }
-            Order::Purge(key, reply) => {
+            ClusterCommand::Purge(key, reply) => {
                 let change = self.replication.state.purge(key, now.unix, now);
                 self.finish_change(change, reply);
             }
-            Order::Show(reply) => drop(reply.send(self.status(now))),
-            Order::List(kind, reply) => drop(reply.send(self.list(kind))),
-            Order::Stage(reply) => drop(reply.send(stage_name(self.replication.stage()))),
-            Order::Leave(_) => {}
+            ClusterCommand::Status(reply) => drop(reply.send(self.status(now))),
+            ClusterCommand::List(kind, reply) => drop(reply.send(self.list(kind))),
+            ClusterCommand::Stage(reply) => drop(reply.send(stage_name(self.replication.stage()))),
+            ClusterCommand::Leave(_) => {}
         }
     }
 
@@ -190,15 +190,15 @@
     /// operator who waits for a drain.
     fn finish_change(
         &mut self,
-        change: Result<Option<(Key, Word)>, Refused>,
-        reply: oneshot::Sender<Result<bool, Refused>>,
+        change: Result<Option<(Key, Value)>, MergeError>,
+        reply: oneshot::Sender<Result<bool, MergeError>>,
     ) {
         let _ = reply.send(change.as_ref().map(Option::is_some).map_err(|cause| *cause));
         let change = change.ok().flatten();
         if let Some((key, entry)) = &change {
-            self.accept(News { key: key.clone(), word: entry.clone() });
+            self.accept(Update { key: key.clone(), value: entry.clone() });
         }
-        self.replication.told(change);
+        self.replication.publish(change);
         self.tick_replication(self.now());
         self.core.flush(&self.replication.state, Instant::now());
     }
--- a/src/cluster/core_feed.rs
+++ b/src/cluster/core_feed.rs
@@ -1,34 +1,34 @@
 //! Delivers replicated updates to the core, without ever waiting for it.
 
 use super::drain_feed::{wanted_drain, DrainFeed};
-use crate::dispatch::{Message as CoreMessage, Reports};
+use crate::dispatch::{DispatcherMessage as CoreMessage, DispatcherSender};
 use crate::policy::types::Micros;
-use crate::replication::entry::{Key, Word};
-use crate::replication::gossip::News;
-use crate::replication::state::State;
+use crate::replication::entry::{Key, Value};
+use crate::replication::gossip::Update;
+use crate::replication::state::ReplicatedState;
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
 /// Updates on their way to the core. What its mailbox has no room for is tried again later.
 pub(super) struct CoreFeed {
-    core: Reports,
+    core: DispatcherSender,
     /// How long the core is to keep a purge.
     purges_kept: Micros,
-    updates: VecDeque<News>,
+    updates: VecDeque<Update>,
     drains: DrainFeed,
 }
 
 impl CoreFeed {
     /// With nothing to deliver.
-    pub(super) fn new(core: Reports, purges_kept: Micros) -> CoreFeed {
+    pub(super) fn new(core: DispatcherSender, purges_kept: Micros) -> CoreFeed {
         CoreFeed { core, purges_kept, updates: VecDeque::new(), drains: DrainFeed::default() }
     }
 
     /// Takes an update of the replicated state.
-    pub(super) fn accept(&mut self, update: News, state: &State) {
-        match (&update.key, &update.word) {
-            (Key::Drain(name), Word::Drain(drain)) => self.drains.changed(name, drain.drains()),
-            (Key::Listed(name), Word::Listed(..)) => {
+    pub(super) fn accept(&mut self, update: Update, state: &ReplicatedState) {
+        match (&update.key, &update.value) {
+            (Key::Drain(name), Value::Drain(drain)) => self.drains.changed(name, drain.drains()),
+            (Key::Endpoint(name), Value::Endpoint(..)) => {
                 self.recheck_drain(name, state);
                 self.updates.push_back(update);
             }
@@ -37,13 +37,13 @@
     }
 
     /// Takes an update past the handling of drains.
-    pub(super) fn push(&mut self, update: News) {
+    pub(super) fn push(&mut self, update: Update) {
         self.updates.push_back(update);
     }
 
     /// Delivers a server's drain anew if it is in force: the core forgets it when another process runs under
     /// the server's name.
-    pub(super) fn recheck_drain(&mut self, name: &str, state: &State) {
+    pub(super) fn recheck_drain(&mut self, name: &str, state: &ReplicatedState) {
         if wanted_drain(state, name) == Some(true) {
             self.drains.schedule(name);
         }
@@ -60,7 +60,7 @@
     }
 
     /// Delivers what the core has room for.
-    pub(super) fn flush(&mut self, state: &State, now: Instant) {
+    pub(super) fn flush(&mut self, state: &ReplicatedState, now: Instant) {
         if !self.flush_updates() {
             return;
         }
@@ -82,17 +82,20 @@
     }
 
     /// The message to the core; none: the core has no use for the update.
-    fn core_message(&self, update: &News) -> Option<CoreMessage> {
+    fn core_message(&self, update: &Update) -> Option<CoreMessage> {
         let keep = self.purges_kept;
-        match (&update.key, &update.word) {
-            (Key::Object(name), Word::Purged(at)) => {
-                Some(CoreMessage::Purged { object: Some(name.as_str().into()), group: 0, at: *at, keep })
+        match (&update.key, &update.value) {
+            (Key::Object(name), Value::Purged(at)) => Some(CoreMessage::Purged {
+                object: Some(name.as_str().into()),
+                group: 0,
+                at: *at,
+                retention: keep,
+            }),
+            (Key::Group(group), Value::Purged(at)) => {
+                Some(CoreMessage::Purged { object: None, group: *group, at: *at, retention: keep })
             }
-            (Key::Group(group), Word::Purged(at)) => {
-                Some(CoreMessage::Purged { object: None, group: *group, at: *at, keep })
-            }
-            (Key::Listed(name), Word::Listed(_, place)) => {
-                Some(CoreMessage::Members { full: false, members: vec![place.listing(name)] })
+            (Key::Endpoint(name), Value::Endpoint(_, place)) => {
+                Some(CoreMessage::Members { full: false, members: vec![place.endpoint(name)] })
             }
             _ => None,
         }
--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -1,10 +1,10 @@
 //! Delivers operators' drains to the core, again until it has taken them.
 
 use super::LOG_TARGET;
-use crate::dispatch::{Message as CoreMessage, Reports};
-use crate::replication::entry::{Key, Kind, Word};
-use crate::replication::gossip::News;
-use crate::replication::state::State;
+use crate::dispatch::{DispatcherMessage as CoreMessage, DispatcherSender};
+use crate::replication::entry::{Key, Kind, Value};
+use crate::replication::gossip::Update;
+use crate::replication::state::ReplicatedState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -56,7 +56,12 @@
 
     /// Sends what is due, as far as the core has room. Returns the listings of servers whose drain has ended:
     /// the core does not keep what the source said meanwhile.
-    pub(super) fn flush(&mut self, core: &Reports, state: &State, now: Instant) -> Vec<News> {
+    pub(super) fn flush(
+        &mut self,
+        core: &DispatcherSender,
+        state: &ReplicatedState,
+        now: Instant,
+    ) -> Vec<Update> {
         let due: Vec<String> = self.due.iter().filter(|d| *d.1 <= now).map(|d| d.0.clone()).collect();
         let mut listings = Vec::new();
         for name in due {
@@ -76,8 +81,8 @@
                 continue;
             }
             self.in_core.remove(&name);
-            let key = Key::Listed(name);
-            listings.extend(state.get(&key).cloned().map(|entry| News { key, word: entry }));
+            let key = Key::Endpoint(name);
+            listings.extend(state.get(&key).cloned().map(|entry| Update { key, value: entry }));
         }
         listings
     }
@@ -85,11 +90,11 @@
 
 /// Whether operators want the process that is listed under this name to drain; none: what they said is about
 /// another process, or its listing is not known yet.
-pub(super) fn wanted_drain(state: &State, name: &str) -> Option<bool> {
-    let Some(Word::Drain(drain)) = state.get(&Key::Drain(name.into())) else { return None };
-    match state.get(&Key::Listed(name.into())) {
-        Some(Word::Listed(_, place)) if place.state == STATE_GONE => None,
-        Some(Word::Listed(_, place)) if place.since > drain.since => Some(false),
+pub(super) fn wanted_drain(state: &ReplicatedState, name: &str) -> Option<bool> {
+    let Some(Value::Drain(drain)) = state.get(&Key::Drain(name.into())) else { return None };
+    match state.get(&Key::Endpoint(name.into())) {
+        Some(Value::Endpoint(_, place)) if place.state == STATE_GONE => None,
+        Some(Value::Endpoint(_, place)) if place.started_at > drain.started_at => Some(false),
         // Sent once the server is listed. Without a replicated list the core has it from its own source.
         None if state.count(Kind::Members) > 0 => None,
         _ => Some(drain.drains()),
--- a/src/cluster/frame.rs
+++ b/src/cluster/frame.rs
@@ -10,7 +10,7 @@
 
 use super::members::Member;
 use crate::replication::digest::hash;
-use crate::replication::gossip::Say;
+use crate::replication::gossip::GossipMessage;
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
@@ -32,7 +32,7 @@
     /// A message of the membership protocol, as its library encodes it.
     Swim(Vec<u8>),
     /// A message of the replication protocol.
-    Say(Say),
+    Gossip(GossipMessage),
 }
 
 /// A message with its sender and its number, by which a second copy is recognised.
@@ -41,7 +41,7 @@
     /// The sender.
     pub from: Member,
     /// The sender's run: a random number, drawn at each start of the process.
-    pub run: u64,
+    pub incarnation: u64,
     /// The number of the message within that run, from 1.
     pub number: u64,
     /// The content.
--- a/src/cluster/gossip.rs
+++ b/src/cluster/gossip.rs
@@ -4,8 +4,8 @@
 use super::frame::Body;
 use super::members::{Member, ProtocolOutput};
 use super::LOG_TARGET;
-use crate::replication::gossip::Say;
-use crate::replication::state::Now;
+use crate::replication::gossip::GossipMessage;
+use crate::replication::state::ClockReading;
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
@@ -14,7 +14,7 @@
     pub(super) fn handle_datagram(&mut self, datagram: &[u8]) {
         let Some(message) = self.transport.open(datagram) else { return };
         let now = self.now();
-        if let Some(greeting) = self.membership.received(&message.from, now.steady) {
+        if let Some(greeting) = self.membership.received(&message.from, now.monotonic) {
             self.apply_membership(greeting);
         }
         match message.body {
@@ -22,14 +22,14 @@
                 let output = self.membership.members.handle_message(&bytes);
                 self.apply_membership(output);
             }
-            Body::Say(body) => self.handle_replication(&message.from, body, now),
+            Body::Gossip(body) => self.handle_replication(&message.from, body, now),
         }
     }
 
-    fn handle_replication(&mut self, from: &Member, body: Say, now: Now) {
+    fn handle_replication(&mut self, from: &Member, body: GossipMessage, now: ClockReading) {
         let before = self.replication.counts().clone();
         let mut replies = Vec::new();
-        self.replication.heard(&from.address, body, now, &mut replies);
+        self.replication.handle_message(&from.address, body, now, &mut replies);
         let after = self.replication.counts();
         if after.differing > before.differing {
             tracing::warn!(
@@ -50,18 +50,18 @@
     }
 
     /// Lets the replication protocol send what is due.
-    pub(super) fn tick_replication(&mut self, now: Now) {
+    pub(super) fn tick_replication(&mut self, now: ClockReading) {
         let mut messages = Vec::new();
         self.replication.tick(now, &mut messages);
         self.send_replication(messages);
     }
 
     /// Sends messages, and takes over the entries that changed since the last time.
-    fn send_replication(&mut self, messages: Vec<(SocketAddr, Say)>) {
+    fn send_replication(&mut self, messages: Vec<(SocketAddr, GossipMessage)>) {
         for (to, message) in messages {
-            self.transport.send(self.membership.members.local(), to, Body::Say(message));
+            self.transport.send(self.membership.members.local(), to, Body::Gossip(message));
         }
-        let updates = self.replication.news();
+        let updates = self.replication.take_updates();
         if !updates.is_empty() {
             updates.into_iter().for_each(|update| self.accept(update));
             self.core.flush(&self.replication.state, Instant::now());
@@ -106,6 +106,6 @@
             tracing::info!(target: LOG_TARGET, "peers: {change}");
         }
         let peers = self.membership.refresh();
-        self.replication.members(peers);
+        self.replication.set_members(peers);
     }
 }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -44,7 +44,7 @@
 pub use actor::{Actor, TICK};
 /// The path by which the admin endpoint still calls [`admin`].
 pub use admin as door;
-pub use handle::{Order, Peers};
+pub use handle::{ClusterCommand, ClusterHandle};
 pub use membership::{DISCOVERY_FANOUT, DISCOVERY_INTERVAL, GREETING_INTERVAL, SEED_INTERVAL};
 pub use startup::open;
 pub use status::{PeerStatus, Status};
--- a/src/cluster/persistence.rs
+++ b/src/cluster/persistence.rs
@@ -3,7 +3,7 @@
 use super::store::Store;
 use crate::policy::types::Micros;
 use crate::replication::entry::{Key, Kind};
-use crate::replication::state::State;
+use crate::replication::state::ReplicatedState;
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -44,7 +44,7 @@
     }
 
     /// Writes if it is time to.
-    pub(super) fn write_if_due(&mut self, state: &State, now: Instant, unix: Micros) {
+    pub(super) fn write_if_due(&mut self, state: &ReplicatedState, now: Instant, unix: Micros) {
         let is_due = now >= self.next_write;
         if is_due && !(self.is_incomplete() && now < self.next_whole_write) {
             self.write(state, now, unix);
@@ -57,7 +57,7 @@
     }
 
     /// Hands what has changed to the writer, or all entries after a write that failed.
-    pub(super) fn write(&mut self, state: &State, now: Instant, unix: Micros) {
+    pub(super) fn write(&mut self, state: &ReplicatedState, now: Instant, unix: Micros) {
         let whole = self.is_incomplete();
         let Some(store) = &self.store else { return };
         self.next_write = now + WRITE_INTERVAL;
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -5,8 +5,8 @@
 use super::members::Member;
 use super::status::{PeerStatus, Status};
 use crate::policy::types::{MemberState, Micros};
-use crate::replication::entry::{Key, Kind, Word};
-use crate::replication::state::Now;
+use crate::replication::entry::{Key, Kind, Value};
+use crate::replication::state::ClockReading;
 use std::collections::BTreeMap;
 
 impl Actor {
@@ -16,7 +16,7 @@
     }
 
     /// The status, as JSON.
-    pub(super) fn status(&self, now: Now) -> String {
+    pub(super) fn status(&self, now: ClockReading) -> String {
         let state = &self.replication.state;
         let own = self.membership.members.local();
         let dead = self.membership.members.dead().into_iter();
@@ -35,11 +35,11 @@
         })
     }
 
-    fn peers(&self, now: Now) -> Vec<PeerStatus> {
-        let ms_since = |at: Micros| now.steady.saturating_sub(at) / 1_000;
+    fn peers(&self, now: ClockReading) -> Vec<PeerStatus> {
+        let ms_since = |at: Micros| now.monotonic.saturating_sub(at) / 1_000;
         let peer = |member: Member| PeerStatus {
             last_received_ms: self.membership.last_received(&member).map(ms_since),
-            last_in_sync_ms: self.replication.alike(&member.address).map(ms_since),
+            last_in_sync_ms: self.replication.last_in_sync(&member.address).map(ms_since),
             name: member.name,
             address: member.address.to_string(),
         };
@@ -74,21 +74,21 @@
         let datagrams = self.transport.counts.rejected.iter();
         let datagrams = datagrams.map(|(cause, n)| (cause.name().to_owned(), *n));
         let entries = self.replication.counts().refused.iter();
-        let entries = entries.map(|(cause, n)| (format!("entry_{cause:?}").to_lowercase(), *n));
+        let entries = entries.map(|(cause, n)| (format!("entry_{}", cause.name()), *n));
         let membership = [("members".to_owned(), self.membership.members.rejected)];
         datagrams.chain(entries).chain(membership).collect()
     }
 }
 
-fn line(key: &Key, entry: &Word) -> String {
+fn line(key: &Key, entry: &Value) -> String {
     match entry {
-        Word::Purged(at) => format!("{key} purged at {}.{:06}", at / 1_000_000, at % 1_000_000),
-        Word::Drain(drain) => {
+        Value::Purged(at) => format!("{key} purged at {}.{:06}", at / 1_000_000, at % 1_000_000),
+        Value::Drain(drain) => {
             let verb = if drain.drains() { "drains" } else { "does not drain" };
-            let count = drain.told.len() + drain.undone.len();
-            format!("{key} {verb}, process of {}, {count} words", drain.since)
+            let count = drain.drains_by_incarnation.len() + drain.undrains_by_incarnation.len();
+            format!("{key} {verb}, process of {}, {count} words", drain.started_at)
         }
-        Word::Listed(rev, place) => match place.listing("").state {
+        Value::Endpoint(rev, place) => match place.endpoint("").state {
             MemberState::Running => format!("{key} in service at {}, event {rev}", place.address),
             MemberState::Draining => format!("{key} terminating at {}, event {rev}", place.address),
             MemberState::Gone => format!("{key} terminated, event {rev}"),
--- a/src/cluster/source.rs
+++ b/src/cluster/source.rs
@@ -1,18 +1,22 @@
 //! Applies events of the local discovery source to the replicated state.
 
 use crate::config::settings::micros;
-use crate::discovery::client::{News, Notice};
-use crate::replication::entry::{Key, Word};
-use crate::replication::state::{Now, State};
+use crate::discovery::client::{WatchChange, WatchEvent};
+use crate::replication::entry::{Key, Value};
+use crate::replication::state::{ClockReading, ReplicatedState};
 
 /// Applies an event, and returns the entries that changed by it.
-pub(super) fn apply(state: &mut State, notice: &Notice, now: Now) -> Vec<(Key, Word)> {
-    match &notice.news {
-        News::Members { full, members } => state.listed(notice.rev, *full, members, now),
-        News::Purge { object, group, ms } => {
+pub(super) fn apply(
+    state: &mut ReplicatedState,
+    notice: &WatchEvent,
+    now: ClockReading,
+) -> Vec<(Key, Value)> {
+    match &notice.change {
+        WatchChange::Members { full, members } => state.listed(notice.revision, *full, members, now),
+        WatchChange::Purge { object, group, ms } => {
             let key = object.clone().map_or(Key::Group(*group), Key::Object);
             state.purge(key, micros(*ms), now).ok().flatten().into_iter().collect()
         }
-        News::Other => Vec::new(),
+        WatchChange::Unknown => Vec::new(),
     }
 }
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -2,18 +2,18 @@
 
 use super::actor::{Actor, Parts};
 use super::frame::{parse_keys, Seal};
-use super::handle::{Peers, COMMAND_QUEUE};
+use super::handle::{ClusterHandle, COMMAND_QUEUE};
 use super::members::{Member, Members};
 use super::store::{self, Store};
 use super::transport::Transport;
 use super::{draw, source, LOG_TARGET};
 use crate::config::operator::PeersSection;
-use crate::discovery::client::Notice;
-use crate::dispatch::{Clock, Reports};
+use crate::discovery::client::WatchEvent;
+use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
-use crate::replication::entry::{Key, Run, Word};
-use crate::replication::gossip::Talk;
-use crate::replication::state::{Bounds, Now, State};
+use crate::replication::entry::{Incarnation, Key, Value};
+use crate::replication::gossip::GossipProtocol;
+use crate::replication::state::{Bounds, ClockReading, ReplicatedState};
 use std::path::Path;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
@@ -25,17 +25,17 @@
 /// holds; `notices`: its further ones. An error is one line that names the key at fault.
 pub async fn open(
     section: PeersSection,
-    core: Reports,
+    core: DispatcherSender,
     clock: Clock,
-    known: &[Notice],
-    notices: mpsc::Receiver<Notice>,
-) -> Result<(Peers, Actor), String> {
+    known: &[WatchEvent],
+    notices: mpsc::Receiver<WatchEvent>,
+) -> Result<(ClusterHandle, Actor), String> {
     let seal = read_keys(&section)?;
     let socket = UdpSocket::bind(section.listen)
         .await
         .map_err(|e| format!("peers.listen: {}: {e}", section.listen))?;
-    let (now, run) = (Now { steady: clock.now(), unix: clock.unix() }, draw());
-    let mut state = State::new(Run(run), bounds(&section));
+    let (now, run) = (ClockReading { monotonic: clock.now(), unix: clock.unix() }, draw());
+    let mut state = ReplicatedState::new(Incarnation(run), bounds(&section));
     let (store, incarnation) = match &section.folder {
         Some(folder) => restore(folder, &mut state, now).map(|(store, n)| (Some(store), n))?,
         None => (None, now.unix),
@@ -46,7 +46,7 @@
     let own = Member::new(&section.name, section.advertise, incarnation);
     let (sender, commands) = mpsc::channel(COMMAND_QUEUE);
     let actor = Actor::new(Parts {
-        replication: Talk::new(state, run, now),
+        replication: GossipProtocol::new(state, run, now),
         members: Members::new(own, section.about, run),
         transport: Transport::new(socket, seal, section.advertise, run),
         store,
@@ -56,7 +56,7 @@
         notices,
         section,
     });
-    Ok((Peers(sender), actor))
+    Ok((ClusterHandle(sender), actor))
 }
 
 fn read_keys(section: &PeersSection) -> Result<Seal, String> {
@@ -67,7 +67,7 @@
 }
 
 /// Loads the stored entries into the state; returns the store and the incarnation to start with.
-fn restore(folder: &Path, state: &mut State, now: Now) -> Result<(Store, u64), String> {
+fn restore(folder: &Path, state: &mut ReplicatedState, now: ClockReading) -> Result<(Store, u64), String> {
     let (store, stored) = store::open(folder, now.unix)?;
     if let Some(reason) = &stored.set_aside {
         tracing::warn!(
@@ -76,11 +76,11 @@
         );
     }
     let entries = stored.entries.len();
-    let merged = |(key, entry): &&(Key, Word)| state.merge(key, entry, now).is_ok();
+    let merged = |(key, entry): &&(Key, Value)| state.merge(key, entry, now).is_ok();
     let taken = stored.entries.iter().filter(merged).count();
     // A clock that was set back makes the age unknown, which counts as too old.
     let age = now.unix.checked_sub(stored.saved_at);
-    if stored.saved_at > 0 && age.is_none_or(|age| age > state.bounds().horizon) {
+    if stored.saved_at > 0 && age.is_none_or(|age| age > state.bounds().tombstone_retention) {
         let forgotten = state.away();
         tracing::info!(
             target: LOG_TARGET,
@@ -95,7 +95,7 @@
     Bounds {
         entries: section.entries,
         bytes: section.entries.saturating_mul(BYTES_PER_ENTRY),
-        purges_kept: section.purges_kept.as_micros() as Micros,
-        horizon: section.horizon.as_micros() as Micros,
+        purge_retention: section.purges_kept.as_micros() as Micros,
+        tombstone_retention: section.horizon.as_micros() as Micros,
     }
 }
--- a/src/cluster/store.rs
+++ b/src/cluster/store.rs
@@ -6,7 +6,7 @@
 //! counted, and all entries are written again once writing works.
 
 use crate::policy::types::Micros;
-use crate::replication::entry::{bytes, Key, Word};
+use crate::replication::entry::{encode, Key, Value};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 pub struct StoredState {
     /// The entries.
-    pub entries: Vec<(Key, Word)>,
+    pub entries: Vec<(Key, Value)>,
     /// When it was last written, in Unix microseconds; 0: never.
     pub saved_at: Micros,
     /// The incarnation for this run: later than that of the last one.
@@ -168,8 +168,8 @@
 impl Store {
     /// Hands a batch to the writer; `whole`: it holds all entries. An error returns the keys of a batch for
     /// which the queue has no room.
-    pub fn write(&self, batch: Vec<(Key, Option<Word>)>, unix: Micros, whole: bool) -> Result<(), Vec<Key>> {
-        let encoded = batch.iter().map(|(key, entry)| (bytes(key), entry.as_ref().map(bytes))).collect();
+    pub fn write(&self, batch: Vec<(Key, Option<Value>)>, unix: Micros, whole: bool) -> Result<(), Vec<Key>> {
+        let encoded = batch.iter().map(|(key, entry)| (encode(key), entry.as_ref().map(encode))).collect();
         match self.requests.try_send(Request::Write { batch: encoded, unix, whole }) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {
--- a/src/cluster/transport.rs
+++ b/src/cluster/transport.rs
@@ -2,7 +2,7 @@
 
 use super::frame::{Body, Message, Rejection, Seal};
 use super::members::Member;
-use crate::replication::replay_window::Fresh;
+use crate::replication::replay_window::ReplayWindow;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     run: u64,
     /// The number of the message sent last.
     sequence: u64,
-    received: Fresh<SocketAddr>,
+    received: ReplayWindow<SocketAddr>,
     /// Totals since the start.
     pub(super) counts: TransportCounts,
 }
@@ -50,7 +50,7 @@
             own_address,
             run,
             sequence: 0,
-            received: Fresh::new(REMEMBERED_SENDERS),
+            received: ReplayWindow::new(REMEMBERED_SENDERS),
             counts: TransportCounts::default(),
         }
     }
@@ -58,7 +58,7 @@
     /// Sends a message, or drops it and counts that: every message of both protocols may be lost.
     pub(super) fn send(&mut self, from: &Member, to: SocketAddr, body: Body) {
         self.sequence += 1;
-        let message = Message { from: from.clone(), run: self.run, number: self.sequence, body };
+        let message = Message { from: from.clone(), incarnation: self.run, number: self.sequence, body };
         let Some(datagram) = self.seal.seal(&message) else {
             self.counts.unsent += 1;
             return;
@@ -96,7 +96,7 @@
 
     fn first_time(&mut self, message: Message) -> Result<Message, Rejection> {
         let from = message.from.address;
-        if from == self.own_address || !self.received.take(&from, message.run, message.number) {
+        if from == self.own_address || !self.received.accept(&from, message.incarnation, message.number) {
             return Err(Rejection::Replayed);
         }
         Ok(message)
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -162,27 +162,27 @@
             zone,
             routers_by_zone: info.reals("instancesByZone")?.iter().map(|n| *n as u32).collect(),
             routers: top.real("balancers", 1.0)? as u32,
-            zone_link: info.reals("inletKbPerS")?,
-            flow: info.real("flowKbPerS", 0.0)?,
-            sizes_told: matches!(top.text("weights", "off")?, "nominal" | "rough"),
-            must_ask: top.text("discovery", "push")? == "ask",
-            cancel: bounds.flag("cancel")?,
-            second_copies: bounds.flag("secondCopies")?,
-            retry_advice: bounds.flag("retryAfter")?,
-            max_advice: bounds.time("maxRetryAfterMs", 0.0)?,
+            zone_link_kb_per_s: info.reals("inletKbPerS")?,
+            transfer_kb_per_s: info.real("flowKbPerS", 0.0)?,
+            sizes_known: matches!(top.text("weights", "off")?, "nominal" | "rough"),
+            poll_members: top.text("discovery", "push")? == "ask",
+            can_cancel: bounds.flag("cancel")?,
+            hedging: bounds.flag("secondCopies")?,
+            retry_after: bounds.flag("retryAfter")?,
+            max_retry_after: bounds.time("maxRetryAfterMs", 0.0)?,
             max_attempts: bounds.real("maxAttempts", 0.0)? as u32,
-            probes: bounds.flag("probes")?,
-            peers: bounds.flag("peers")?,
-            report: top.part("report", "report.")?.texts("names")?,
-            direct: info.flag("passThroughOk")?,
-            joins: info.flag("collapses")?,
+            health_checks: bounds.flag("probes")?,
+            peer_messages: bounds.flag("peers")?,
+            load_report: top.part("report", "report.")?.texts("names")?,
+            direct_requests: info.flag("passThroughOk")?,
+            request_collapsing: info.flag("collapses")?,
             siblings: info.one_of("peersFill", Siblings::None, &SIBLINGS)?,
-            notes: info.one_of("noteLevel", Notes::None, &NOTES)?,
+            cache_status_level: info.one_of("noteLevel", CacheStatusLevel::None, &NOTES)?,
             drain_grace: rules.time("stopSendingWithinMs", 0.0)?,
-            cold_cache: decode_cold_cache(rules, overload_window)?,
-            cold_parent: decode_cold_parent(info, overload_window)?,
+            cache_slow_start: decode_cold_cache(rules, overload_window)?,
+            parent_slow_start: decode_cold_parent(info, overload_window)?,
             purge_grace: info.time("purgeGraceMs", 0.0)?,
-            purge_done: info.time("purgeDoneMs", 0.0)?,
+            purge_complete_within: info.time("purgeDoneMs", 0.0)?,
         })
     }
 }
@@ -194,7 +194,8 @@
 const SIBLINGS: [(&str, Siblings); 3] =
     [("off", Siblings::None), ("location", Siblings::Zone), ("any", Siblings::Any)];
 /// Values of `noteLevel`.
-const NOTES: [(&str, Notes); 3] = [("off", Notes::None), ("hit", Notes::Hit), ("all", Notes::All)];
+const NOTES: [(&str, CacheStatusLevel); 3] =
+    [("off", CacheStatusLevel::None), ("hit", CacheStatusLevel::Hit), ("all", CacheStatusLevel::All)];
 
 /// The zones' names, and the place of this router's own among them.
 fn decode_zones(top: &Params) -> Parsed<(Vec<String>, usize)> {
@@ -205,21 +206,21 @@
     Ok((zones, place))
 }
 
-fn decode_cold_cache(rules: &Params, window: Micros) -> Parsed<ColdRule> {
-    Ok(ColdRule {
-        floor: rules.real("coldFrom", 0.0)?,
-        warm_within: rules.time("warmWithinMs", 0.0)?,
-        multiple: rules.real("fallMultiple", 0.0)?,
-        window,
+fn decode_cold_cache(rules: &Params, window: Micros) -> Parsed<SlowStartRule> {
+    Ok(SlowStartRule {
+        initial_capacity_share: rules.real("coldFrom", 0.0)?,
+        warm_up_time: rules.time("warmWithinMs", 0.0)?,
+        overload_multiple: rules.real("fallMultiple", 0.0)?,
+        overload_window: window,
     })
 }
 
-fn decode_cold_parent(info: &Params, window: Micros) -> Parsed<ColdRule> {
-    Ok(ColdRule {
-        floor: info.real("parentFloor", 0.0)?,
-        warm_within: info.time("parentWarmsInMs", 0.0)?,
-        multiple: info.real("parentLimitFactor", 0.0)?,
-        window,
+fn decode_cold_parent(info: &Params, window: Micros) -> Parsed<SlowStartRule> {
+    Ok(SlowStartRule {
+        initial_capacity_share: info.real("parentFloor", 0.0)?,
+        warm_up_time: info.time("parentWarmsInMs", 0.0)?,
+        overload_multiple: info.real("parentLimitFactor", 0.0)?,
+        overload_window: window,
     })
 }
 
@@ -244,25 +245,29 @@
 }
 
 fn decode_class(class: &Params, index: usize, lists: &ClassLists) -> Parsed<Class> {
-    let keyed = Effect::Keyed {
+    let keyed = Idempotency::IdempotencyKey {
         scope: class.one_of("keyScope", KeyScope::All, &KEY_SCOPES)?,
         window: class.time("windowMs", 0.0)?,
     };
-    let effects = [("idempotent", Effect::Safe), ("deduplicated", keyed), ("at_most_once", Effect::Unsafe)];
+    let effects = [
+        ("idempotent", Idempotency::Idempotent),
+        ("deduplicated", keyed),
+        ("at_most_once", Idempotency::AtMostOnce),
+    ];
     if class.get("name").is_none() {
         return Err(class.bad("name", "missing"));
     }
     Ok(Class {
         name: class.text("name", "")?.to_owned(),
-        aim: class.time("aimMs", 0.0)?,
-        aim_stretch: class.real("aimStretch", 0.0)?,
+        latency_objective: class.time("aimMs", 0.0)?,
+        objective_stretch: class.real("aimStretch", 0.0)?,
         deadline: class.time("deadlineMs", 0.0)?,
-        worth: class.real("worth", 1.0)?,
-        late_share: class.real("lateShare", 0.0)?,
-        effect: class.one_of("effect", Effect::Unsafe, &effects)?,
-        fresh: micros(lists.lifetimes_ms.get(index).copied().unwrap_or(0.0)),
-        grace: micros(lists.graces_ms.get(index).copied().unwrap_or(0.0)),
-        stale_share: lists.stale_shares.get(index).copied().unwrap_or(1.0),
+        priority_weight: class.real("worth", 1.0)?,
+        late_weight_share: class.real("lateShare", 0.0)?,
+        idempotency: class.one_of("effect", Idempotency::AtMostOnce, &effects)?,
+        freshness_lifetime: micros(lists.lifetimes_ms.get(index).copied().unwrap_or(0.0)),
+        stale_grace: micros(lists.graces_ms.get(index).copied().unwrap_or(0.0)),
+        stale_weight_share: lists.stale_shares.get(index).copied().unwrap_or(1.0),
         write: lists.writes.get(index).copied().unwrap_or(false),
         retired: false,
     })
@@ -286,31 +291,31 @@
 
 /// What the settings say of connections to servers; only the daemon reads it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Transport {
+pub struct ConnectionSettings {
     /// A connection that is not up by then has failed.
     pub connect_timeout: Duration,
     /// Servers close connections that were idle this long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Attempts that one connection carries at a time.
-    pub streams: usize,
+    pub max_streams: usize,
 }
 
-impl Default for Transport {
+impl Default for ConnectionSettings {
     /// The usual values.
     fn default() -> Self {
         let (connect_timeout, idle) = (Duration::from_millis(400), Duration::from_secs(30));
-        Transport { connect_timeout, idle, streams: 100 }
+        ConnectionSettings { connect_timeout, idle_timeout: idle, max_streams: 100 }
     }
 }
 
 /// Reads the part of the settings that concerns connections; what is not told gets its usual value.
-pub fn decode_transport(json: &Value) -> Result<Transport, String> {
+pub fn decode_connection_settings(json: &Value) -> Result<ConnectionSettings, String> {
     let bounds = Params(json, "").part("bounds", "bounds.")?;
-    let usual = Transport::default();
+    let usual = ConnectionSettings::default();
     let time = |key, usual: Duration| bounds.time(key, usual.as_millis() as f64).map(Duration::from_micros);
-    Ok(Transport {
+    Ok(ConnectionSettings {
         connect_timeout: time("connectTimeoutMs", usual.connect_timeout)?,
-        idle: time("connIdleMs", usual.idle)?,
-        streams: bounds.real("streamsPerConn", usual.streams as f64)?.max(1.0) as usize,
+        idle_timeout: time("connIdleMs", usual.idle_timeout)?,
+        max_streams: bounds.real("streamsPerConn", usual.max_streams as f64)?.max(1.0) as usize,
     })
 }
--- a/src/daemon/descriptors.rs
+++ b/src/daemon/descriptors.rs
@@ -39,7 +39,7 @@
 impl Needs {
     /// What must always have a descriptor.
     pub fn reserve(&self) -> usize {
-        let operators = if self.operators { admin::MOST_DESCRIPTORS } else { 0 };
+        let operators = if self.operators { admin::MAX_DESCRIPTORS } else { 0 };
         #[cfg(feature = "peers")]
         let peers = if self.peers { PEERS } else { 0 };
         #[cfg(not(feature = "peers"))]
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -5,18 +5,18 @@
 #[cfg(feature = "peers")]
 use crate::cluster;
 use crate::config::operator::{Operator, PeersSection, SignedSection};
-use crate::config::platform::Config;
+use crate::config::platform::PlatformConfig;
 use crate::director::start_core;
-use crate::discovery::watched_file::Watched;
-use crate::discovery::{Board, Membership, XdsFile};
-use crate::dispatch::{Clock, Core, Message, Reports, Running};
-use crate::frontend::admin::{self, Door, Reloads};
+use crate::discovery::watched_file::WatchedFile;
+use crate::discovery::{DiscoveryService, EndpointSource, XdsFile};
+use crate::dispatch::{Clock, Dispatcher, DispatcherMessage, DispatcherSender, RunningDispatcher};
+use crate::frontend::admin::{self, AdminEndpoint, Reloads};
 use crate::frontend::platform::Platform;
-use crate::frontend::serve::{self, Closing, Places, Shared};
+use crate::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
 use crate::frontend::signed::{self, parse_keys, Metrics, Signed};
 use crate::policy::types::Settings;
 use crate::signed::{Counts, Keys};
-use crate::upstream::servers::Servers;
+use crate::upstream::servers::UpstreamConnector;
 use descriptors::{Needs, Shares};
 use std::cell::Cell;
 use std::future::Future;
@@ -46,36 +46,36 @@
 /// board's address and the settings are taken over; whatever is under way is left alone. Clients come to the
 /// inherited socket, where there is one: another process serves it too, or will.
 pub async fn run(
-    config: Config,
+    config: PlatformConfig,
     operator: Operator,
     inherited: Option<std::net::TcpListener>,
-    configs: mpsc::Receiver<Result<Config, String>>,
+    configs: mpsc::Receiver<Result<PlatformConfig, String>>,
     terminated: impl Future<Output = ()>,
 ) -> Result<(), String> {
     let last_answers = inherited.is_some();
     let shares = shares(&config, &operator, last_answers);
-    let (to_board, board) = watch::channel(config.board.clone());
+    let (to_board, board) = watch::channel(config.discovery_address.clone());
     let keyed = open_keys(operator.signed)?;
     let sources = Sources { board, xds: operator.xds, peers: operator.peers };
     let Started { core, task, peers } = sources.start(&config, shares).await?;
     let reloads = Rc::new(Reloads::default());
-    tokio::task::spawn_local(take_over(config.clone(), configs, to_board, core.reports(), reloads.clone()));
-    let (close, closing) = watch::channel(Closing::No);
+    tokio::task::spawn_local(take_over(config.clone(), configs, to_board, core.sender(), reloads.clone()));
+    let (close, closing) = watch::channel(ShutdownPhase::Running);
     let open = Rc::new(Cell::new(0));
-    let places = Places::new(shares.usual_clients, shares.most_clients);
+    let places = ConnectionSlots::new(shares.usual_clients, shares.most_clients);
     let fronts = Fronts { core: core.clone(), places, closing: closing.clone(), open: open.clone() };
     let mut accepting = vec![fronts.platform(&config.listen, inherited).await?];
-    if !config.ops.is_empty() {
-        let door = Door {
-            core: core.clone(),
-            open: open.clone(),
-            closing,
+    if !config.admin_address.is_empty() {
+        let door = AdminEndpoint {
+            dispatcher: core.clone(),
+            requests_in_flight: open.clone(),
+            shutdown: closing,
             reloads,
             #[cfg(feature = "peers")]
             peers: peers.clone(),
         };
         // Open until the program ends, for the figures of what is still under way.
-        admin::listen(&config.ops, door).await?;
+        admin::listen(&config.admin_address, door).await?;
     }
     if let Some(keyed) = keyed {
         accepting.extend(fronts.signed(keyed).await?);
@@ -89,27 +89,27 @@
 }
 
 /// Shares out the descriptors, before anything of the director's is opened.
-fn shares(config: &Config, operator: &Operator, hand_over: bool) -> Shares {
-    let operators = !config.ops.is_empty();
+fn shares(config: &PlatformConfig, operator: &Operator, hand_over: bool) -> Shares {
+    let operators = !config.admin_address.is_empty();
     let signed = operator.signed.as_ref().map_or(0, |s| 1 + usize::from(s.metrics.is_some()));
     let listeners = usize::from(!hand_over) + usize::from(operators) + signed;
     let open = descriptors::open_now();
     let needs = Needs { open, listeners, operators, peers: operator.peers.is_some(), hand_over };
-    Shares::new(config.sockets, &needs)
+    Shares::new(config.max_descriptors, &needs)
 }
 
 /// The section of the signed front with its keys' file, read for the first time.
-type Keyed = (Watched, Keys, SignedSection);
+type Keyed = (WatchedFile, Keys, SignedSection);
 
 fn open_keys(section: Option<SignedSection>) -> Result<Option<Keyed>, String> {
     let Some(section) = section else { return Ok(None) };
-    let (file, keys) = Watched::open(section.keys.clone(), parse_keys)?;
+    let (file, keys) = WatchedFile::open(section.keys.clone(), parse_keys)?;
     Ok(Some((file, keys, section)))
 }
 
 /// The talk among directors, where the operator's file has a section for it.
 #[cfg(feature = "peers")]
-type Talk = Option<cluster::Peers>;
+type Talk = Option<cluster::ClusterHandle>;
 /// There is none in a program that was built without it.
 #[cfg(not(feature = "peers"))]
 type Talk = Option<std::convert::Infallible>;
@@ -123,7 +123,7 @@
 
 /// The core, its task, and the talk among directors.
 struct Started {
-    core: Core,
+    core: Dispatcher,
     task: JoinHandle<()>,
     peers: Talk,
 }
@@ -131,7 +131,7 @@
 impl Sources {
     /// Opens them and starts the core, and the talk among directors where the operator's file has a section
     /// for it; nothing of that is opened or started otherwise.
-    async fn start(self, config: &Config, shares: Shares) -> Result<Started, String> {
+    async fn start(self, config: &PlatformConfig, shares: Shares) -> Result<Started, String> {
         #[cfg(not(feature = "peers"))]
         if self.peers.is_some() {
             return Err("peers: this program was built without talk among directors".into());
@@ -140,17 +140,24 @@
         let (tap, notices) = self.peers.as_ref().map(|_| mpsc::channel(NOTICES)).unzip();
         // Where the list comes from a file, the board tells of purges only.
         let purges_only = self.xds.is_some();
-        let mut sources: Vec<Box<dyn Membership>> = Vec::new();
-        sources.extend(self.xds.map(|path| Box::new(XdsFile::new(path)) as Box<dyn Membership>));
-        let (address, rev, known) = (self.board, config.rev, config.known.clone());
-        sources.push(Box::new(Board { address, rev, known, purges_only, tap }));
-        let servers = Box::new(Servers::new(config.transport.clone(), shares.servers));
-        let Running { core, task } =
+        let mut sources: Vec<Box<dyn EndpointSource>> = Vec::new();
+        sources.extend(self.xds.map(|path| Box::new(XdsFile::new(path)) as Box<dyn EndpointSource>));
+        let (address, rev, known) = (self.board, config.discovery_revision, config.initial_events.clone());
+        sources.push(Box::new(DiscoveryService {
+            address,
+            revision: rev,
+            initial_events: known,
+            purges_only,
+            subscriber: tap,
+        }));
+        let servers = Box::new(UpstreamConnector::new(config.connections.clone(), shares.servers));
+        let RunningDispatcher { dispatcher: core, task } =
             start_core(config.settings.clone(), config.seed, clock, servers, sources)?;
         #[cfg(feature = "peers")]
         let peers = match self.peers.zip(notices) {
             Some((section, notices)) => {
-                let opened = cluster::open(section, core.reports(), clock, &config.known, notices).await;
+                let opened =
+                    cluster::open(section, core.sender(), clock, &config.initial_events, notices).await;
                 let (peers, actor) = opened?;
                 tokio::task::spawn_local(actor.run());
                 Some(peers)
@@ -168,19 +175,19 @@
 
 /// What the fronts of the program share.
 struct Fronts {
-    core: Core,
-    places: Rc<Places>,
-    closing: watch::Receiver<Closing>,
+    core: Dispatcher,
+    places: Rc<ConnectionSlots>,
+    closing: watch::Receiver<ShutdownPhase>,
     open: Rc<Cell<usize>>,
 }
 
 impl Fronts {
-    fn share(&self) -> Shared {
-        Shared {
-            core: self.core.clone(),
-            places: self.places.clone(),
-            closing: self.closing.clone(),
-            open: self.open.clone(),
+    fn share(&self) -> ListenerContext {
+        ListenerContext {
+            dispatcher: self.core.clone(),
+            slots: self.places.clone(),
+            shutdown: self.closing.clone(),
+            requests_in_flight: self.open.clone(),
         }
     }
 
@@ -217,7 +224,7 @@
     accepting: Vec<JoinHandle<()>>,
     /// Clients came to an inherited socket, which a successor serves.
     last_answers: bool,
-    close: watch::Sender<Closing>,
+    close: watch::Sender<ShutdownPhase>,
     /// Requests that are taken and not answered.
     open: Rc<Cell<usize>>,
     #[cfg_attr(not(feature = "peers"), allow(dead_code))]
@@ -226,7 +233,7 @@
 
 impl Ending {
     /// Returns once what was taken is answered, or the longest deadline is over.
-    async fn run(self, core: &Core) {
+    async fn run(self, core: &Dispatcher) {
         let told = Instant::now();
         let longest = core.settings().classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let longest = Duration::from_micros(longest).max(LEAST_DEADLINE);
@@ -234,15 +241,15 @@
             // Guards against taking from the shared socket what the successor should: who is served here once
             // more is told to come anew, and comes to it.
             self.accepting.iter().for_each(JoinHandle::abort);
-            let _ = self.close.send(Closing::AfterAnswer);
+            let _ = self.close.send(ShutdownPhase::CloseAfterResponse);
         }
         #[cfg(feature = "peers")]
         if let Some(peers) = &self.peers {
             // Others hear at once that it goes, and the disk has all that was told; what comes is served.
-            let _ = timeout(LEAVING, peers.ask(cluster::Order::Leave)).await;
+            let _ = timeout(LEAVING, peers.send(cluster::ClusterCommand::Leave)).await;
         }
         sleep_until(told + STILL_COMING).await;
-        let _ = self.close.send(Closing::Idle);
+        let _ = self.close.send(ShutdownPhase::CloseIdle);
         // Slept first: connections with a request that has begun to come are counted once they are told.
         loop {
             sleep(Duration::from_millis(5)).await;
@@ -259,14 +266,14 @@
 /// on, so the events that a later configuration holds will come from there. What else is new is logged. One
 /// that can't be used is turned down whole, and the one before stays.
 async fn take_over(
-    mut config: Config,
-    mut configs: mpsc::Receiver<Result<Config, String>>,
+    mut config: PlatformConfig,
+    mut configs: mpsc::Receiver<Result<PlatformConfig, String>>,
     board: watch::Sender<String>,
-    core: Reports,
+    core: DispatcherSender,
     reloads: Rc<Reloads>,
 ) {
     while let Some(new) = configs.recv().await {
-        let new = match new.and_then(|new| new.may_follow(&config).map(|()| new)) {
+        let new = match new.and_then(|new| new.can_replace(&config).map(|()| new)) {
             Ok(new) => new,
             Err(error) => {
                 tracing::warn!("{error}; the configuration before stays");
@@ -275,10 +282,16 @@
             }
         };
         tracing::info!("configuration read anew");
-        reloads.taken.set(reloads.taken.get() + 1);
+        reloads.succeeded.set(reloads.succeeded.get() + 1);
         let placed = |s: &Settings| (s.zones.clone(), s.zone, s.kinds.clone(), s.parent_kind, s.origin_kind);
-        let fixed = |c: &Config| {
-            (c.listen.clone(), c.ops.clone(), c.sockets, c.transport.clone(), placed(&c.settings))
+        let fixed = |c: &PlatformConfig| {
+            (
+                c.listen.clone(),
+                c.admin_address.clone(),
+                c.max_descriptors,
+                c.connections.clone(),
+                placed(&c.settings),
+            )
         };
         if fixed(&new) != fixed(&config) {
             tracing::info!(
@@ -286,9 +299,11 @@
             );
         }
         if new.settings != config.settings {
-            core.send(Message::Settings(Box::new(new.settings.clone()))).await;
+            core.send(DispatcherMessage::Settings(Box::new(new.settings.clone()))).await;
         }
         config = new;
-        board.send_if_modified(|at| std::mem::replace(at, config.board.clone()) != config.board);
+        board.send_if_modified(|at| {
+            std::mem::replace(at, config.discovery_address.clone()) != config.discovery_address
+        });
     }
 }
--- a/src/director/builder.rs
+++ b/src/director/builder.rs
@@ -2,12 +2,12 @@
 
 use super::{BuildError, Control, Director, Shutdown};
 use crate::config::operator::LibrarySection;
-use crate::config::platform::Config;
-use crate::config::settings::Transport;
-use crate::discovery::{Board, Membership};
-use crate::dispatch::{self, Clock, Core, Peers, Running};
+use crate::config::platform::PlatformConfig;
+use crate::config::settings::ConnectionSettings;
+use crate::discovery::{DiscoveryService, EndpointSource};
+use crate::dispatch::{self, Clock, Dispatcher, EndpointConnector, RunningDispatcher};
 use crate::policy::types::{Settings, SettingsError};
-use crate::upstream::servers::Servers;
+use crate::upstream::servers::UpstreamConnector;
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
@@ -21,8 +21,8 @@
     settings: Settings,
     seed: u64,
     clock: Clock,
-    sources: Vec<Box<dyn Membership>>,
-    peers: Box<dyn Peers + Send>,
+    sources: Vec<Box<dyn EndpointSource>>,
+    peers: Box<dyn EndpointConnector + Send>,
 }
 
 impl Builder {
@@ -32,33 +32,43 @@
             seed: std::process::id().into(),
             clock: Clock::system(),
             sources: Vec::new(),
-            peers: Box::new(Servers::new(Transport::default(), LibrarySection::default().descriptors)),
+            peers: Box::new(UpstreamConnector::new(
+                ConnectionSettings::default(),
+                LibrarySection::default().descriptors,
+            )),
         }
     }
 
-    pub(super) fn from_config(config: Config) -> Self {
+    pub(super) fn from_config(config: PlatformConfig) -> Self {
         let servers = config.servers();
-        let Config { board, seed, settings, rev, known, .. } = config;
+        let PlatformConfig {
+            discovery_address: board,
+            seed,
+            settings,
+            discovery_revision: rev,
+            initial_events: known,
+            ..
+        } = config;
         // The address stays: nobody else holds the sender.
         let address = watch::channel(board).1;
-        Builder::new(settings).seed(seed).transport(servers).membership(Board {
+        Builder::new(settings).seed(seed).connector(servers).endpoint_source(DiscoveryService {
             address,
-            rev,
-            known,
+            revision: rev,
+            initial_events: known,
             purges_only: false,
-            tap: None,
+            subscriber: None,
         })
     }
 
     /// Where members come from; called again it adds a further source. Without one there are only those that
     /// [`Director::members`] tells of.
-    pub fn membership(mut self, source: impl Membership) -> Self {
+    pub fn endpoint_source(mut self, source: impl EndpointSource) -> Self {
         self.sources.push(Box::new(source));
         self
     }
 
     /// How servers are reached; the line protocol unless told otherwise.
-    pub fn transport(mut self, peers: impl Peers + Send + 'static) -> Self {
+    pub fn connector(mut self, peers: impl EndpointConnector + Send + 'static) -> Self {
         self.peers = Box::new(peers);
         self
     }
@@ -85,7 +95,11 @@
         Ok(Director::new(core, control))
     }
 
-    fn run(self, ready: SyncSender<Result<Core, BuildError>>, mut orders: mpsc::UnboundedReceiver<Control>) {
+    fn run(
+        self,
+        ready: SyncSender<Result<Dispatcher, BuildError>>,
+        mut orders: mpsc::UnboundedReceiver<Control>,
+    ) {
         let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => return drop(ready.send(Err(error.into()))),
@@ -95,7 +109,7 @@
         let done = tasks.block_on(&runtime, async {
             let started = start_core(settings, seed, clock, peers, sources).map_err(BuildError::Config);
             let (core, mut task) = match started {
-                Ok(Running { core, task }) => (core, task),
+                Ok(RunningDispatcher { dispatcher: core, task }) => (core, task),
                 Err(error) => {
                     let _ = ready.send(Err(error));
                     return None;
@@ -124,9 +138,9 @@
 }
 
 /// Waits until all is answered or the deadline is over.
-async fn wind_down(core: &Core, deadline: Duration) -> Shutdown {
+async fn wind_down(core: &Dispatcher, deadline: Duration) -> Shutdown {
     let begun = Instant::now();
-    let live = || async { core.figures().await.map_or(0, |f| f.tables.live) };
+    let live = || async { core.metrics().await.map_or(0, |f| f.tables.pending_requests) };
     let open = live().await;
     let mut left = open;
     while left > 0 && begun.elapsed() < deadline {
@@ -142,17 +156,17 @@
     settings: Settings,
     seed: u64,
     clock: Clock,
-    peers: Box<dyn Peers + Send>,
-    mut sources: Vec<Box<dyn Membership>>,
-) -> Result<Running, String> {
+    peers: Box<dyn EndpointConnector + Send>,
+    mut sources: Vec<Box<dyn EndpointSource>>,
+) -> Result<RunningDispatcher, String> {
     let mut known = Vec::new();
     for source in &mut sources {
-        known.extend(source.known()?);
+        known.extend(source.initial()?);
     }
     let running =
         dispatch::start(settings, seed, clock, peers, known).map_err(|e: SettingsError| e.to_string())?;
     for source in sources {
-        tokio::task::spawn_local(source.follow(running.core.reports()));
+        tokio::task::spawn_local(source.follow(running.dispatcher.sender()));
     }
     Ok(running)
 }
--- a/src/director/error.rs
+++ b/src/director/error.rs
@@ -20,7 +20,7 @@
 /// Why a question has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
-pub enum AskError {
+pub enum SendError {
     /// No class of this name is configured at present. Nothing was sent.
     #[error("no class named '{0}'")]
     UnknownClass(String),
@@ -46,10 +46,10 @@
     },
 }
 
-impl AskError {
+impl SendError {
     /// Whether what was asked may have run. Where not, it can be asked again, whatever its class.
     pub fn may_have_run(&self) -> bool {
-        matches!(self, AskError::Stopped { may_have_run: true })
+        matches!(self, SendError::Stopped { may_have_run: true })
     }
 }
 
@@ -63,7 +63,7 @@
 pub struct Shutdown {
     /// Questions that were open when it began.
     pub open: usize,
-    /// Those that were cut off at the deadline; each ends with [`AskError::Stopped`].
+    /// Those that were cut off at the deadline; each ends with [`SendError::Stopped`].
     pub cut_off: usize,
     /// How long it took.
     pub took: Duration,
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -1,33 +1,42 @@
 //! The director as a library: a thread of its own and a handle that may go anywhere.
 //!
 //! ```
-//! use foxhold::director::{Director, Question};
-//! use foxhold::discovery::Told;
-//! # use foxhold::dispatch::{Broken, Copy, End, Listing, Reply, Verdict, Want};
-//! # use foxhold::upstream::host::{Boxed, Exchange, Host};
-//! # use foxhold::{Class, MemberState, Note, Settings};
+//! use foxhold::director::{Director, CacheRequest};
+//! use foxhold::discovery::StaticEndpoints;
+//! # use foxhold::dispatch::{AttemptError, AttemptResult, Endpoint, Representation, ResponseStatus};
+//! # use foxhold::dispatch::{UpstreamRequest, UpstreamResponse};
+//! # use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
+//! # use foxhold::{Class, MemberState, CacheStatus, Settings};
 //! # struct Mine;
 //! # impl Exchange for Mine {
-//! #     fn exchange(&self, _: &Listing, _: Want) -> Boxed<End> {
-//! #         let verdict = Verdict::Copy(Copy { tag: None, body: "bytes".into() });
-//! #         Box::pin(async { Ok(Reply { verdict, note: Note::Hit, waited: 0, gauges: Vec::new() }) })
+//! #     fn exchange(&self, _: &Endpoint, _: UpstreamRequest) -> BoxFuture<AttemptResult> {
+//! #         let status = ResponseStatus::Ok(Representation { etag: None, body: "bytes".into() });
+//! #         let cache_status = CacheStatus::Hit;
+//! #         let load_report = Vec::new();
+//! #         let response = UpstreamResponse { status, cache_status, source_wait: 0, load_report };
+//! #         Box::pin(async { Ok(response) })
 //! #     }
 //! # }
 //! # let settings = Settings {
-//! #     classes: vec![Class { name: "pages".into(), aim: 400_000, deadline: 2_000_000, ..Class::default()
-//! }],
+//! #     classes: vec![Class {
+//! #         name: "pages".into(), latency_objective: 400_000, deadline: 2_000_000, ..Class::default()
+//! #     }],
 //! #     kinds: vec!["cache".into(), "parent".into(), "origin".into()],
 //! #     parent_kind: Some(1), origin_kind: 2, zones: vec!["hub".into(), "edge".into()], zone: 1,
 //! #     ..Settings::default()
 //! # };
-//! # let cache = Listing { name: "c-1".into(), address: "".into(), zone: "edge".into(), kind: "cache".into(),
-//! #     cell: 0, state: MemberState::Running, size: 8.0, since: 0 };
+//! # let cache = Endpoint {
+//! #     name: "c-1".into(), address: "".into(), zone: "edge".into(), kind: "cache".into(),
+//! #     cell: 0, state: MemberState::Running, size: 8.0, started_at: 0 };
 //! let director =
-//! Director::builder(settings).membership(Told(vec![cache])).transport(Host::new(Mine)).start()?;
+//! Director::builder(settings)
+//!     .endpoint_source(StaticEndpoints(vec![cache]))
+//!     .connector(HostTransport::new(Mine))
+//!     .start()?;
 //! # tokio::runtime::Builder::new_multi_thread().build()?.block_on(async {
-//! let answer = director.ask(Question::new("pages", "index.html")).await?;
-//! # assert!(matches!(answer, foxhold::dispatch::Answer::Served(_)));
-//! # Ok::<(), foxhold::director::AskError>(()) })?;
+//! let answer = director.send(CacheRequest::new("pages", "index.html")).await?;
+//! # assert!(matches!(answer, foxhold::dispatch::ClientResponse::Served(_)));
+//! # Ok::<(), foxhold::director::SendError>(()) })?;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
@@ -35,10 +44,13 @@
 mod error;
 
 pub use builder::{start_core, Builder};
-pub use error::{AskError, BuildError, Shutdown, Stopped};
+pub use error::{BuildError, SendError, Shutdown, Stopped};
 
-use crate::config::platform::Config;
-use crate::dispatch::{is_name, Answer, Ask, Cause, Core, Figures, Listing, Message, LARGEST_WRITE};
+use crate::config::platform::PlatformConfig;
+use crate::dispatch::{
+    is_name, ClientRequest, ClientResponse, Dispatcher, DispatcherMessage, DispatcherMetrics, Endpoint,
+    FailureReason, MAX_WRITE_BYTES,
+};
 use crate::policy::types::{Micros, Settings};
 use bytes::Bytes;
 use std::future::Future;
@@ -49,17 +61,17 @@
 
 /// What is asked for.
 #[derive(Clone, Debug, Default)]
-pub struct Question {
+pub struct CacheRequest {
     class: String,
-    ask: Ask,
+    ask: ClientRequest,
     allow: Option<Duration>,
 }
 
-impl Question {
+impl CacheRequest {
     /// Asks for an object of a class, by its name among the settings' classes.
     pub fn new(class: impl Into<String>, object: impl Into<Arc<str>>) -> Self {
-        let ask = Ask { object: object.into(), ..Ask::default() };
-        Question { class: class.into(), ask, allow: None }
+        let ask = ClientRequest { object: object.into(), ..ClientRequest::default() };
+        CacheRequest { class: class.into(), ask, allow: None }
     }
 
     /// A part of the object, counted from 0.
@@ -81,20 +93,20 @@
     }
 
     /// How long an answer is waited for; the class's deadline unless told.
-    pub fn allow(mut self, wait: Duration) -> Self {
+    pub fn timeout(mut self, wait: Duration) -> Self {
         self.allow = Some(wait);
         self
     }
 
-    /// The tag of a copy that is there already: an answer may be [`Answer::Unchanged`] then.
-    pub fn known(mut self, tag: impl Into<Arc<str>>) -> Self {
-        self.ask.known = Some(tag.into());
+    /// The tag of a copy that is there already: an answer may be [`ClientResponse::NotModified`] then.
+    pub fn if_none_match(mut self, tag: impl Into<Arc<str>>) -> Self {
+        self.ask.if_none_match = Some(tag.into());
         self
     }
 
     /// What servers know a repeat by, for classes whose repeats they throw away: the same with each repeat.
-    pub fn token(mut self, token: impl Into<Arc<str>>) -> Self {
-        self.ask.token = Some(token.into());
+    pub fn idempotency_key(mut self, token: impl Into<Arc<str>>) -> Self {
+        self.ask.idempotency_key = Some(token.into());
         self
     }
 
@@ -112,28 +124,32 @@
     }
 
     /// Marks a client's repeat.
-    pub fn repeat(mut self) -> Self {
-        self.ask.repeat = true;
+    pub fn retry(mut self) -> Self {
+        self.ask.is_retry = true;
         self
     }
 
-    fn read(self, core: &Core) -> Result<Ask, AskError> {
+    fn read(self, core: &Dispatcher) -> Result<ClientRequest, SendError> {
         let (settings, mut ask) = (core.settings(), self.ask);
-        let class = settings.class(&self.class).ok_or(AskError::UnknownClass(self.class))?;
+        let class = settings.class(&self.class).ok_or(SendError::UnknownClass(self.class))?;
         let facts = &settings.classes[class];
-        if [Some(&ask.object), ask.known.as_ref(), ask.token.as_ref()].iter().flatten().any(|n| !is_name(n)) {
-            return Err(AskError::BadName);
+        if [Some(&ask.object), ask.if_none_match.as_ref(), ask.idempotency_key.as_ref()]
+            .iter()
+            .flatten()
+            .any(|n| !is_name(n))
+        {
+            return Err(SendError::BadName);
         }
-        if ask.body.len() > LARGEST_WRITE {
-            return Err(AskError::TooLarge { len: ask.body.len(), most: LARGEST_WRITE });
+        if ask.body.len() > MAX_WRITE_BYTES {
+            return Err(SendError::TooLarge { len: ask.body.len(), most: MAX_WRITE_BYTES });
         }
         if !facts.write && !ask.body.is_empty() {
-            return Err(AskError::UnwantedBody);
+            return Err(SendError::UnwantedBody);
         }
         if ask.id.is_empty() {
-            ask.id = core.fresh_id();
+            ask.id = core.generate_request_id();
         }
-        ask.allow = self.allow.unwrap_or(Duration::from_micros(facts.deadline));
+        ask.timeout = self.allow.unwrap_or(Duration::from_micros(facts.deadline));
         ask.class = class;
         Ok(ask)
     }
@@ -146,7 +162,7 @@
 }
 
 struct Inner {
-    core: Core,
+    core: Dispatcher,
     closing: AtomicBool,
     /// Dropped with the last handle, which ends the thread.
     control: mpsc::UnboundedSender<Control>,
@@ -171,41 +187,48 @@
 
     /// A director as the platform's configuration file describes it: settings, board, seed and connections.
     pub fn from_file(path: impl AsRef<std::path::Path>) -> Result<Builder, BuildError> {
-        Ok(Builder::from_config(Config::read(path.as_ref()).map_err(BuildError::Config)?))
+        Ok(Builder::from_config(PlatformConfig::read(path.as_ref()).map_err(BuildError::Config)?))
     }
 
-    pub(crate) fn new(core: Core, control: mpsc::UnboundedSender<Control>) -> Self {
+    pub(crate) fn new(core: Dispatcher, control: mpsc::UnboundedSender<Control>) -> Self {
         Director(Arc::new(Inner { core, closing: AtomicBool::new(false), control }))
     }
 
     /// Asks for an object. Dropping the future lets go of the question: nothing new is sent for it. The
     /// future holds a handle of its own.
-    pub fn ask(&self, question: Question) -> impl Future<Output = Result<Answer, AskError>> + Send + 'static {
+    pub fn send(
+        &self,
+        question: CacheRequest,
+    ) -> impl Future<Output = Result<ClientResponse, SendError>> + Send + 'static {
         let director = self.clone();
         // Put into the mailbox now, not at the first poll: questions keep the order in which they were asked.
         let pending = match self.stopped() {
-            true => Err(AskError::Stopped { may_have_run: false }),
-            false => question.read(&self.0.core).map(|ask| director.0.core.ask(ask)),
+            true => Err(SendError::Stopped { may_have_run: false }),
+            false => question.read(&self.0.core).map(|ask| director.0.core.submit(ask)),
         };
         async move {
             let _director = director;
             match pending?.await {
-                Answer::Refused { cause: Cause::Ended, .. } => Err(AskError::Stopped { may_have_run: false }),
-                Answer::Failed(Cause::Ended) => Err(AskError::Stopped { may_have_run: true }),
+                ClientResponse::Rejected { reason: FailureReason::ShuttingDown, .. } => {
+                    Err(SendError::Stopped { may_have_run: false })
+                }
+                ClientResponse::Failed(FailureReason::ShuttingDown) => {
+                    Err(SendError::Stopped { may_have_run: true })
+                }
                 answer => Ok(answer),
             }
         }
     }
 
     /// Tells of members: all of them, or those that changed. A drain holds within 1 s of this call's return.
-    pub async fn members(&self, full: bool, members: Vec<Listing>) -> Result<(), Stopped> {
-        self.tell(Message::Members { full, members }).await
+    pub async fn members(&self, full: bool, members: Vec<Endpoint>) -> Result<(), Stopped> {
+        self.tell(DispatcherMessage::Members { full, members }).await
     }
 
     /// Tells of a purge of one object, or else of all of a group, made at this Unix time in microseconds.
     /// From 1 s after this call's return nothing is answered from an older copy.
     pub async fn purge(&self, object: Option<Arc<str>>, group: u32, at: Micros) -> Result<(), Stopped> {
-        self.tell(Message::Purged { object, group, at, keep: 0 }).await
+        self.tell(DispatcherMessage::Purged { object, group, at, retention: 0 }).await
     }
 
     /// Has a server drain, whatever its source says, until another process runs under its name; returns
@@ -223,12 +246,12 @@
     /// Takes other settings over, for questions to come; open ones keep theirs. Zones and kinds stay as they
     /// were.
     pub async fn reload(&self, settings: Settings) -> Result<(), Stopped> {
-        self.tell(Message::Settings(Box::new(settings))).await
+        self.tell(DispatcherMessage::Settings(Box::new(settings))).await
     }
 
     /// The figures at this moment.
-    pub async fn figures(&self) -> Result<Figures, Stopped> {
-        self.0.core.figures().await.ok_or(Stopped)
+    pub async fn metrics(&self) -> Result<DispatcherMetrics, Stopped> {
+        self.0.core.metrics().await.ok_or(Stopped)
     }
 
     /// The settings at this moment.
@@ -237,12 +260,12 @@
     }
 
     /// The handle by which fronts and middleware ask.
-    pub fn core(&self) -> Core {
+    pub fn dispatcher(&self) -> Dispatcher {
         self.0.core.clone()
     }
 
     /// Takes no more questions, waits for those that are open, and ends the thread at the deadline at the
-    /// latest. Every handle gives [`AskError::Stopped`] from the call on.
+    /// latest. Every handle gives [`SendError::Stopped`] from the call on.
     pub async fn shutdown(&self, deadline: Duration) -> Result<Shutdown, Stopped> {
         self.0.closing.store(true, Ordering::Release);
         let (reply, done) = oneshot::channel();
@@ -254,11 +277,11 @@
         self.0.closing.load(Ordering::Acquire) || self.0.core.has_ended()
     }
 
-    async fn tell(&self, message: Message) -> Result<(), Stopped> {
+    async fn tell(&self, message: DispatcherMessage) -> Result<(), Stopped> {
         if self.stopped() {
             return Err(Stopped);
         }
-        self.0.core.reports().send(message).await;
+        self.0.core.sender().send(message).await;
         Ok(())
     }
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! The notice board: the actor that follows it, and its events decoded.
 
 use crate::config::settings::micros;
-use crate::dispatch::{Listing, Message, Reports};
+use crate::dispatch::{DispatcherMessage, DispatcherSender, Endpoint};
 use crate::policy::estimators::hash::unit;
 use crate::policy::types::MemberState;
 use bytes::BytesMut;
@@ -26,25 +26,25 @@
 
 /// An event of the board.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Notice {
+pub struct WatchEvent {
     /// Its number.
-    pub rev: u64,
+    pub revision: u64,
     /// What it tells.
-    pub news: News,
+    pub change: WatchChange,
 }
 
 /// Who else hears the board's events: one that has no room for an event misses it, and the core never waits.
-pub type Tap = Option<mpsc::Sender<Notice>>;
+pub type Subscriber = Option<mpsc::Sender<WatchEvent>>;
 
 /// What an event tells.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum WatchChange {
     /// Members that changed, or all of them.
     Members {
         /// Whether this is the whole list.
         full: bool,
         /// The entries.
-        members: Vec<Listing>,
+        members: Vec<Endpoint>,
     },
     /// A purge of one object or of a group.
     Purge {
@@ -56,7 +56,7 @@
         ms: f64,
     },
     /// Of a kind not known here.
-    Other,
+    Unknown,
 }
 
 /// An event as it is written.
@@ -92,11 +92,11 @@
     ms: f64,
 }
 
-impl Notice {
-    pub(crate) fn from_raw(raw: RawNotice) -> Result<Notice, String> {
+impl WatchEvent {
+    pub(crate) fn from_raw(raw: RawNotice) -> Result<WatchEvent, String> {
         let rev = raw.rev;
         let news = match (raw.pool, raw.flush) {
-            (Some(pool), _) => News::Members {
+            (Some(pool), _) => WatchChange::Members {
                 full: pool.complete.unwrap_or(false),
                 members: pool.members.into_iter().map(RawMember::listing).collect::<Result<_, _>>()?,
             },
@@ -104,35 +104,38 @@
                 if flush.asset.is_none() && flush.collection.is_none() {
                     return Err(format!("event {rev} purges neither an object nor a group"));
                 }
-                News::Purge { object: flush.asset, group: flush.collection.unwrap_or(0), ms: flush.ms }
+                WatchChange::Purge { object: flush.asset, group: flush.collection.unwrap_or(0), ms: flush.ms }
             }
-            (None, None) => News::Other,
+            (None, None) => WatchChange::Unknown,
         };
-        Ok(Notice { rev, news })
+        Ok(WatchEvent { revision: rev, change: news })
     }
 
     /// What the core is told of it; nothing of members, where the list comes from elsewhere.
-    pub fn message(self, purges_only: bool) -> Option<Message> {
-        match self.news {
-            News::Members { .. } if purges_only => None,
-            News::Members { full, members } => Some(Message::Members { full, members }),
-            News::Purge { object, group, ms } => {
-                Some(Message::Purged { object: object.map(Into::into), group, at: micros(ms), keep: 0 })
-            }
-            News::Other => None,
+    pub fn message(self, purges_only: bool) -> Option<DispatcherMessage> {
+        match self.change {
+            WatchChange::Members { .. } if purges_only => None,
+            WatchChange::Members { full, members } => Some(DispatcherMessage::Members { full, members }),
+            WatchChange::Purge { object, group, ms } => Some(DispatcherMessage::Purged {
+                object: object.map(Into::into),
+                group,
+                at: micros(ms),
+                retention: 0,
+            }),
+            WatchChange::Unknown => None,
         }
     }
 }
 
 impl RawMember {
-    fn listing(self) -> Result<Listing, String> {
+    fn listing(self) -> Result<Endpoint, String> {
         let state = match self.phase.as_str() {
             "in_service" => MemberState::Running,
             "terminating" => MemberState::Draining,
             "terminated" => MemberState::Gone,
             other => return Err(format!("member {} is in phase '{other}', which is not known", self.id)),
         };
-        Ok(Listing {
+        Ok(Endpoint {
             name: self.id.into(),
             address: self.host_port.into(),
             zone: self.locality,
@@ -140,28 +143,28 @@
             cell: self.cell.unwrap_or(0.0) as u32,
             state,
             size: self.size.unwrap_or(0.0),
-            since: micros(self.up_since_ms.unwrap_or(0.0)),
+            started_at: micros(self.up_since_ms.unwrap_or(0.0)),
         })
     }
 }
 
 /// A line of the board.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
+pub enum WatchLine {
     /// The number of its last event, sent each second.
-    Last(u64),
+    Heartbeat(u64),
     /// An event.
-    Notice(Notice),
+    Event(WatchEvent),
 }
 
 /// Reads one line.
-pub fn parse_line(line: &[u8]) -> Result<Line, String> {
+pub fn parse_line(line: &[u8]) -> Result<WatchLine, String> {
     let text = std::str::from_utf8(line).map_err(|_| "not text".to_owned())?.trim();
     if !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) {
-        return text.parse().map(Line::Last).map_err(|_| "a number out of range".into());
+        return text.parse().map(WatchLine::Heartbeat).map_err(|_| "a number out of range".into());
     }
     let raw: RawNotice = json::from_str(text).map_err(|_| "not an event".to_owned())?;
-    Notice::from_raw(raw).map(Line::Notice)
+    WatchEvent::from_raw(raw).map(WatchLine::Event)
 }
 
 /// Takes the next whole line off the buffer.
@@ -190,8 +193,8 @@
     mut address: watch::Receiver<String>,
     mut last: u64,
     purges_only: bool,
-    reports: Reports,
-    tap: Tap,
+    reports: DispatcherSender,
+    tap: Subscriber,
 ) {
     let (mut wait, mut unread) = (FIRST_WAIT, None);
     loop {
@@ -232,8 +235,8 @@
     told: &mut bool,
     unread: &mut Option<u64>,
     purges_only: bool,
-    reports: &Reports,
-    tap: &Tap,
+    reports: &DispatcherSender,
+    tap: &Subscriber,
 ) -> String {
     let mut stream = match timeout(CONNECT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
@@ -261,13 +264,17 @@
             };
             match parse_line(&line) {
                 // It is that of what was passed over.
-                Ok(Line::Last(number)) if std::mem::take(&mut passed_over) => *last = number.max(*last),
+                Ok(WatchLine::Heartbeat(number)) if std::mem::take(&mut passed_over) => {
+                    *last = number.max(*last)
+                }
                 // Events come in order, so a number ahead of ours means that some were lost on the way.
-                Ok(Line::Last(number)) if number > *last => return format!("events up to {number} missed"),
-                Ok(Line::Last(_)) => *told = true,
-                Ok(Line::Notice(notice)) if notice.rev <= *last => {}
-                Ok(Line::Notice(notice)) => {
-                    let rev = notice.rev;
+                Ok(WatchLine::Heartbeat(number)) if number > *last => {
+                    return format!("events up to {number} missed")
+                }
+                Ok(WatchLine::Heartbeat(_)) => *told = true,
+                Ok(WatchLine::Event(notice)) if notice.revision <= *last => {}
+                Ok(WatchLine::Event(notice)) => {
+                    let rev = notice.revision;
                     passed_over = false;
                     if let Some(tap) = tap {
                         let _ = tap.try_send(notice.clone()); // full: others tell of it
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -4,63 +4,66 @@
 pub mod watched_file;
 pub mod xds;
 
-use crate::dispatch::{Listing, Message, Reports};
+use crate::dispatch::{DispatcherMessage, DispatcherSender, Endpoint};
 use std::future::Future;
 use std::path::PathBuf;
 use std::pin::Pin;
 use tokio::sync::watch;
-use watched_file::Watched;
+use watched_file::WatchedFile;
 
 /// A task on the director's thread.
 pub type Task = Pin<Box<dyn Future<Output = ()>>>;
 
 /// A source of members, or of purges. It is opened before the director serves and then followed for as long
 /// as it runs; an end of its task leaves the list as it is.
-pub trait Membership: Send + 'static {
+pub trait EndpointSource: Send + 'static {
     /// What is known before anything else. An error ends the start and is one plain line.
-    fn known(&mut self) -> Result<Vec<Message>, String>;
+    fn initial(&mut self) -> Result<Vec<DispatcherMessage>, String>;
 
     /// Reports what changes.
-    fn follow(self: Box<Self>, reports: Reports) -> Task;
+    fn follow(self: Box<Self>, reports: DispatcherSender) -> Task;
 }
 
 /// The host application itself: what it lists at the start; all else it says through the director's handle.
 #[derive(Debug, Default)]
-pub struct Told(pub Vec<Listing>);
+pub struct StaticEndpoints(pub Vec<Endpoint>);
 
-impl Membership for Told {
-    fn known(&mut self) -> Result<Vec<Message>, String> {
-        Ok(vec![Message::Members { full: true, members: std::mem::take(&mut self.0) }])
+impl EndpointSource for StaticEndpoints {
+    fn initial(&mut self) -> Result<Vec<DispatcherMessage>, String> {
+        Ok(vec![DispatcherMessage::Members { full: true, members: std::mem::take(&mut self.0) }])
     }
 
-    fn follow(self: Box<Self>, _: Reports) -> Task {
+    fn follow(self: Box<Self>, _: DispatcherSender) -> Task {
         Box::pin(std::future::ready(()))
     }
 }
 
 /// The platform's notice board.
 #[derive(Debug)]
-pub struct Board {
+pub struct DiscoveryService {
     /// Where it listens; a later address is turned to at once. Empty: nowhere.
     pub address: watch::Receiver<String>,
     /// The number of the last event in `known`.
-    pub rev: u64,
+    pub revision: u64,
     /// The events of the start.
-    pub known: Vec<client::Notice>,
+    pub initial_events: Vec<client::WatchEvent>,
     /// Tell of purges only, for the members come from elsewhere.
     pub purges_only: bool,
     /// Who else hears each event.
-    pub tap: client::Tap,
+    pub subscriber: client::Subscriber,
 }
 
-impl Membership for Board {
-    fn known(&mut self) -> Result<Vec<Message>, String> {
+impl EndpointSource for DiscoveryService {
+    fn initial(&mut self) -> Result<Vec<DispatcherMessage>, String> {
         let purges_only = self.purges_only;
-        Ok(std::mem::take(&mut self.known).into_iter().filter_map(|n| n.message(purges_only)).collect())
+        Ok(std::mem::take(&mut self.initial_events)
+            .into_iter()
+            .filter_map(|n| n.message(purges_only))
+            .collect())
     }
 
-    fn follow(self: Box<Self>, reports: Reports) -> Task {
-        Box::pin(client::follow(self.address, self.rev, self.purges_only, reports, self.tap))
+    fn follow(self: Box<Self>, reports: DispatcherSender) -> Task {
+        Box::pin(client::follow(self.address, self.revision, self.purges_only, reports, self.subscriber))
     }
 }
 
@@ -68,7 +71,7 @@
 #[derive(Debug)]
 pub struct XdsFile {
     path: PathBuf,
-    file: Option<Watched>,
+    file: Option<WatchedFile>,
 }
 
 impl XdsFile {
@@ -78,14 +81,14 @@
     }
 }
 
-impl Membership for XdsFile {
-    fn known(&mut self) -> Result<Vec<Message>, String> {
-        let (file, update) = Watched::open(self.path.clone(), xds::parse)?;
+impl EndpointSource for XdsFile {
+    fn initial(&mut self) -> Result<Vec<DispatcherMessage>, String> {
+        let (file, update) = WatchedFile::open(self.path.clone(), xds::parse)?;
         self.file = Some(file);
         Ok(vec![listed(update)])
     }
 
-    fn follow(self: Box<Self>, reports: Reports) -> Task {
+    fn follow(self: Box<Self>, reports: DispatcherSender) -> Task {
         Box::pin(async move {
             if let Some(file) = self.file {
                 follow_file(file, reports).await;
@@ -94,12 +97,12 @@
     }
 }
 
-fn listed(update: xds::Update) -> Message {
-    Message::Members { full: true, members: update.members }
+fn listed(update: xds::Update) -> DispatcherMessage {
+    DispatcherMessage::Members { full: true, members: update.members }
 }
 
 /// Watches a list in xDS form; each good version of it takes the place of the one before.
-pub async fn follow_file(mut file: Watched, reports: Reports) {
+pub async fn follow_file(mut file: WatchedFile, reports: DispatcherSender) {
     loop {
         let update = file.next(xds::parse).await;
         reports.send(listed(update)).await;
--- a/src/discovery/watched_file.rs
+++ b/src/discovery/watched_file.rs
@@ -9,18 +9,21 @@
 
 /// A file and the text of it that is in force.
 #[derive(Debug)]
-pub struct Watched {
+pub struct WatchedFile {
     path: PathBuf,
     text: String,
     /// What was last said of a bad text, so that it is said once.
     complaint: String,
 }
 
-impl Watched {
+impl WatchedFile {
     /// Reads the file for the first time; there is nothing to fall back on yet.
-    pub fn open<T>(path: PathBuf, parse: impl Fn(&str) -> Result<T, String>) -> Result<(Watched, T), String> {
+    pub fn open<T>(
+        path: PathBuf,
+        parse: impl Fn(&str) -> Result<T, String>,
+    ) -> Result<(WatchedFile, T), String> {
         let (text, content) = read(&path, parse)?;
-        Ok((Watched { path, text, complaint: String::new() }, content))
+        Ok((WatchedFile { path, text, complaint: String::new() }, content))
     }
 
     /// Waits for the next good change. A bad one is logged, and what is in force stays so.
--- a/src/discovery/xds.rs
+++ b/src/discovery/xds.rs
@@ -7,7 +7,7 @@
 //! passed over.
 
 use crate::config::settings::{micros, real, text};
-use crate::dispatch::Listing;
+use crate::dispatch::Endpoint;
 use crate::policy::types::MemberState;
 use miniserde::json::{self, Array, Number, Object, Value};
 use std::collections::{BTreeMap, HashSet};
@@ -22,7 +22,7 @@
     /// Its version.
     pub version: String,
     /// All members, in the order of their names.
-    pub members: Vec<Listing>,
+    pub members: Vec<Endpoint>,
 }
 
 /// A message, its fields looked up by their proto name.
@@ -138,7 +138,7 @@
     Ok(if service.is_empty() { cluster.word("name")? } else { service }.to_owned())
 }
 
-fn endpoints(kind: &str, assignment: Fields<'_>, members: &mut Vec<Listing>) -> Result<(), String> {
+fn endpoints(kind: &str, assignment: Fields<'_>, members: &mut Vec<Endpoint>) -> Result<(), String> {
     for group in assignment.list("endpoints")? {
         let group = Fields::of(group, "endpoints")?;
         let zone = group.message("locality")?.map_or(Ok(""), |l| l.word("zone"))?;
@@ -149,7 +149,7 @@
     Ok(())
 }
 
-fn member(kind: &str, zone: &str, entry: Fields<'_>) -> Result<Listing, String> {
+fn member(kind: &str, zone: &str, entry: Fields<'_>) -> Result<Endpoint, String> {
     let endpoint = entry.message("endpoint")?.ok_or("an entry without an endpoint")?;
     let address = endpoint.message("address")?.ok_or("an endpoint without an address")?;
     let socket = address.message("socket_address")?.ok_or("an address that is not a socket's")?;
@@ -172,14 +172,14 @@
     if !crate::dispatch::is_name(name) {
         return Err(format!("endpoint {address}: its name can't be passed on"));
     }
-    Ok(Listing {
+    Ok(Endpoint {
         name: name.into(),
         state: state(entry)?,
         zone: zone.to_owned(),
         kind: kind.to_owned(),
         cell: own_number("cell")? as u32,
         size,
-        since: micros(own_number("up_since_ms")?),
+        started_at: micros(own_number("up_since_ms")?),
         address: address.into(),
     })
 }
@@ -235,7 +235,7 @@
     ]))
 }
 
-fn entry(member: &Listing) -> Value {
+fn entry(member: &Endpoint) -> Value {
     let (host, port) = member.address.rsplit_once(':').unwrap_or((&member.address, "0"));
     let host = host.trim_start_matches('[').trim_end_matches(']');
     let number = |n: f64| Value::Number(Number::F64(n));
@@ -244,7 +244,7 @@
     let own = message([
         ("id", word(&member.name)),
         ("cell", whole(member.cell.into())),
-        ("up_since_ms", number(member.since as f64 / 1e3)),
+        ("up_since_ms", number(member.started_at as f64 / 1e3)),
     ]);
     let status = if member.state == MemberState::Running { "HEALTHY" } else { "DRAINING" };
     message([
--- a/src/dispatch/actor.rs
+++ b/src/dispatch/actor.rs
@@ -1,9 +1,9 @@
 //! The actor: live requests, their attempts and timers, and the list, round the decision module.
 
-use super::cancellation_log::{Ledger, Proof};
+use super::cancellation_log::{CancellationLog, ExecutionProof};
 use super::purge_records::Kept;
 use super::*;
-use crate::dispatch::membership::Drains;
+use crate::dispatch::membership::DrainOverrides;
 use crate::policy::types::*;
 use crate::Router;
 use std::cmp::Reverse;
@@ -35,13 +35,13 @@
 
 /// A request that is held or whose attempts have not all ended.
 struct Live {
-    ask: Ask,
+    ask: ClientRequest,
     /// The object's number.
     object: u64,
     /// Gone once it is answered.
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<ClientResponse>>,
     /// Told when it is answered or its client has left.
-    over: Over,
+    over: CancellationToken,
     /// When the client gives up, less the way back.
     deadline: Micros,
     attempts: u32,
@@ -58,7 +58,7 @@
 impl Live {
     /// Whether its client has left, as far as was told.
     fn is_left(&self) -> bool {
-        self.over.is() || self.reply.as_ref().is_some_and(oneshot::Sender::is_closed)
+        self.over.is_cancelled() || self.reply.as_ref().is_some_and(oneshot::Sender::is_closed)
     }
 }
 
@@ -77,10 +77,10 @@
 
 /// A listed server.
 struct Server {
-    listing: Listing,
+    listing: Endpoint,
     /// Its start by the steady clock.
     since: Micros,
-    mailbox: mpsc::Sender<Order>,
+    mailbox: mpsc::Sender<EndpointCommand>,
 }
 
 impl Server {
@@ -91,8 +91,8 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Alarm {
-    Router(Token),
-    Attempt(Ticket),
+    Router(TimerToken),
+    Attempt(AttemptId),
     Expiry(u64),
     Probe(u64),
     LetGo(u64),
@@ -109,17 +109,17 @@
     written: u64,
     clock: Clock,
     peers: P,
-    reports: Reports,
+    reports: DispatcherSender,
     servers: HashMap<ServerId, Server>,
     names: HashMap<Arc<str>, ServerId>,
     live: HashMap<u64, Live>,
     /// The ids of these, as servers are given them.
     ids: HashSet<Arc<str>>,
-    attempts: HashMap<Ticket, Out>,
+    attempts: HashMap<AttemptId, Out>,
     probes: HashMap<u64, (ServerId, Micros)>,
     /// Requests whose clients have left and whose attempts have not all been told of.
-    let_go: Ledger,
-    drains: Drains,
+    let_go: CancellationLog,
+    drains: DrainOverrides,
     /// No copy from before this Unix time is served.
     not_before: Option<Micros>,
     /// Purges that hold for longer than the module remembers them.
@@ -131,23 +131,23 @@
 }
 
 /// The actor's task and the handle that speaks to it.
-pub struct Running {
+pub struct RunningDispatcher {
     /// Hands requests over.
-    pub core: Core,
+    pub dispatcher: Dispatcher,
     /// Ends only with a panic or when every handle is gone.
     pub task: tokio::task::JoinHandle<()>,
 }
 
 /// Starts the actor on the present `LocalSet`, with the news that it is to know before anything else.
-pub fn start<P: Peers + 'static>(
+pub fn start<P: EndpointConnector + 'static>(
     settings: Settings,
     seed: u64,
     clock: Clock,
     peers: P,
-    known: Vec<Message>,
-) -> Result<Running, SettingsError> {
+    known: Vec<DispatcherMessage>,
+) -> Result<RunningDispatcher, SettingsError> {
     let router = Router::new(settings.clone(), seed)?;
-    let (mailbox, inbox) = mpsc::channel(MAILBOX);
+    let (mailbox, inbox) = mpsc::channel(MAILBOX_CAPACITY);
     let settings = Arc::new(settings);
     let (published, told) = watch::channel(settings.clone());
     let mut actor = Actor {
@@ -159,15 +159,15 @@
         settings,
         clock,
         peers,
-        reports: Reports(mailbox.clone()),
+        reports: DispatcherSender(mailbox.clone()),
         servers: HashMap::new(),
         names: HashMap::new(),
         live: HashMap::new(),
         ids: HashSet::new(),
         attempts: HashMap::new(),
         probes: HashMap::new(),
-        let_go: Ledger::default(),
-        drains: Drains::default(),
+        let_go: CancellationLog::default(),
+        drains: DrainOverrides::default(),
         not_before: None,
         kept: Kept::default(),
         next_probe: 0,
@@ -179,11 +179,14 @@
         actor.take(message);
     }
     let task = tokio::task::spawn_local(actor.run(inbox));
-    Ok(Running { core: Core { mailbox, next: Arc::new(AtomicU64::new(1)), seed, settings: told }, task })
+    Ok(RunningDispatcher {
+        dispatcher: Dispatcher { mailbox, next: Arc::new(AtomicU64::new(1)), seed, settings: told },
+        task,
+    })
 }
 
-impl<P: Peers> Actor<P> {
-    async fn run(mut self, mut inbox: mpsc::Receiver<Message>) {
+impl<P: EndpointConnector> Actor<P> {
+    async fn run(mut self, mut inbox: mpsc::Receiver<DispatcherMessage>) {
         loop {
             let next = self.alarms.peek().map(|Reverse((at, ..))| self.clock.instant(*at));
             tokio::select! {
@@ -196,35 +199,35 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn take(&mut self, message: DispatcherMessage) {
         match message {
-            Message::Ask(number, ask, reply, over) => self.ask(number, *ask, reply, over),
-            Message::Left(number) => self.left(number),
-            Message::Ended(ticket, end) => self.ended(ticket, end),
-            Message::Probed(number, result) => self.probed(number, result),
-            Message::Members { full, members } => self.members(full, members),
-            Message::Written(ticket) => {
+            DispatcherMessage::Request(number, ask, reply, over) => self.ask(number, *ask, reply, over),
+            DispatcherMessage::ClientCancelled(number) => self.left(number),
+            DispatcherMessage::AttemptEnded(ticket, end) => self.ended(ticket, end),
+            DispatcherMessage::HealthChecked(number, result) => self.probed(number, result),
+            DispatcherMessage::Members { full, members } => self.members(full, members),
+            DispatcherMessage::AttemptWritten(ticket) => {
                 self.written += 1;
                 let now = self.clock.now();
                 self.attempts.entry(ticket).and_modify(|out| out.written = Some(now));
             }
-            Message::Forgotten(ticket, how) => self.told(ticket.request, how.never_ran()),
-            Message::Drain(name, on, reply) => {
+            DispatcherMessage::AttemptCancelled(ticket, how) => self.told(ticket.request, how.never_ran()),
+            DispatcherMessage::Drain(name, on, reply) => {
                 let _ = reply.send(self.drain(&name, on)); // who has gone wants none
             }
-            Message::Settings(settings) => self.renew(*settings),
-            Message::Figures(reply) => {
+            DispatcherMessage::Settings(settings) => self.renew(*settings),
+            DispatcherMessage::Metrics(reply) => {
                 let _ = reply.send(self.figures()); // who has gone wants none
             }
-            Message::NotBefore(at) => self.not_before = at,
-            Message::Purged { object, group, at, keep } => {
+            DispatcherMessage::NotBefore(at) => self.not_before = at,
+            DispatcherMessage::Purged { object, group, at, retention: keep } => {
                 let age = self.clock.unix().saturating_sub(at);
                 let object = object.map(|o| ObjectId(object_number(&o)));
                 if keep > 0 {
                     let (until, now) = (at.saturating_add(keep), self.clock.unix());
                     self.kept.hold(object.map(|o| o.0), group, at, until, now);
                 }
-                if age > self.settings.purge_done.saturating_mul(2).saturating_add(PURGE_OVER) {
+                if age > self.settings.purge_complete_within.saturating_mul(2).saturating_add(PURGE_OVER) {
                     return; // servers have long heeded it; who catches up hears of thousands
                 }
                 self.events.push_back(Event::Purged { object, group, age });
@@ -257,34 +260,40 @@
     }
 
     /// Gives an answer and counts it.
-    fn reply(&mut self, class: usize, reply: oneshot::Sender<Answer>, answer: Answer) {
+    fn reply(&mut self, class: usize, reply: oneshot::Sender<ClientResponse>, answer: ClientResponse) {
         let counts = self.counts.entry(self.classes[class].clone()).or_default();
         match answer {
-            Answer::Served(_) | Answer::Unchanged(_) => counts.served += 1,
-            Answer::Refused { .. } => counts.refused += 1,
-            Answer::Failed(_) => counts.failed += 1,
+            ClientResponse::Served(_) | ClientResponse::NotModified(_) => counts.served += 1,
+            ClientResponse::Rejected { .. } => counts.rejected += 1,
+            ClientResponse::Failed(_) => counts.failed += 1,
         }
         let _ = reply.send(answer); // a client that has left wants none
     }
 
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> DispatcherMetrics {
         let configured = self.settings.classes.iter().zip(&self.classes).filter(|(c, _)| !c.retired);
         let mut requests = self.counts.clone();
         for (_, name) in configured {
             requests.entry(name.clone()).or_default();
         }
         let known = self.servers.values().filter(|s| !s.gone()).count();
-        let tables = Tables {
-            live: self.live.len().max(self.ids.len()),
-            attempts: self.attempts.len(),
-            alarms: self.alarms.len(),
-            probes: self.probes.len(),
-            let_go: self.let_go.waiting(),
+        let tables = TableSizes {
+            pending_requests: self.live.len().max(self.ids.len()),
+            attempts_in_flight: self.attempts.len(),
+            timers: self.alarms.len(),
+            health_checks: self.probes.len(),
+            cancelled_requests: self.let_go.waiting(),
             servers: self.servers.len().max(self.names.len()),
             mailbox: self.reports.0.max_capacity() - self.reports.0.capacity(),
             classes: self.classes.len(),
         };
-        Figures { requests, attempts: self.written, known, excluded: self.router.excluded(), tables }
+        DispatcherMetrics {
+            requests,
+            attempts: self.written,
+            endpoints_known: known,
+            endpoints_excluded: self.router.excluded(),
+            tables,
+        }
     }
 
     /// Rings all alarms that are due.
@@ -301,7 +310,7 @@
                 // The Unix clock decides; it may have been set back since the alarm was.
                 Alarm::Expiry(number) if !self.expired(number) => self.watch_expiry(number),
                 Alarm::Expiry(number) => self.expire(number),
-                Alarm::Probe(number) => self.probed(number, Err(Broken::Written)),
+                Alarm::Probe(number) => self.probed(number, Err(AttemptError::Unanswered)),
                 Alarm::LetGo(number) => {
                     let settled = self.let_go.overdue(number);
                     self.count_left(settled);
@@ -333,32 +342,38 @@
                 self.attempt(request.0, server, timeout, fill)
             }
             Action::Cancel { request, attempt } => {
-                let ticket = Ticket { request: request.0, attempt };
+                let ticket = AttemptId { request: request.0, attempt };
                 self.forget(ticket);
-                self.finish(ticket, Outcome::Canceled, None);
+                self.finish(ticket, Outcome::Cancelled, None);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 let wait = (retry_after > 0).then(|| Duration::from_micros(retry_after));
                 let cause = self.cause(request.0);
-                self.answer(request.0, Answer::Refused { wait, cause });
+                self.answer(request.0, ClientResponse::Rejected { retry_after: wait, reason: cause });
             }
             Action::Fail(request) => {
                 let cause = self.cause(request.0);
-                self.answer(request.0, Answer::Failed(cause));
+                self.answer(request.0, ClientResponse::Failed(cause));
             }
-            Action::Wake { at, token } => self.alarm(at, Alarm::Router(token)),
-            Action::Probe(server) => self.probe(server),
+            Action::SetTimer { at, token } => self.alarm(at, Alarm::Router(token)),
+            Action::HealthCheck(server) => self.probe(server),
             Action::Log(line) => tracing::info!("module: {line}"),
             // The list comes by itself, and there is no wire between routers.
-            Action::Subscribe | Action::FetchList | Action::Tell { .. } => {}
+            Action::Subscribe | Action::FetchMembers | Action::SendMessage { .. } => {}
         }
     }
 
     // ---- requests ----
 
-    fn ask(&mut self, number: u64, ask: Ask, reply: oneshot::Sender<Answer>, over: Over) {
+    fn ask(
+        &mut self,
+        number: u64,
+        ask: ClientRequest,
+        reply: oneshot::Sender<ClientResponse>,
+        over: CancellationToken,
+    ) {
         let now = self.clock.now();
-        let allow = ask.allow.min(LONGEST_ALLOW).as_micros() as Micros;
+        let allow = ask.timeout.min(LONGEST_ALLOW).as_micros() as Micros;
         let deadline = now + allow.saturating_sub((allow / WAY_BACK_SHARE).clamp(WAY_BACK.0, WAY_BACK.1));
         let object = object_number(&ask.object);
         let request = Request {
@@ -369,21 +384,25 @@
             group: ask.group,
             deadline,
             size_kb: ask.size_kb,
-            repeat: ask.repeat,
+            is_retry: ask.is_retry,
         };
         if self.live.len() >= MOST_LIVE {
             // Full: turned away at once, which is harmless as nothing ran.
-            let (wait, cause) = (Some(WHEN_FULL), Cause::Busy);
-            return self.reply(ask.class, reply, Answer::Refused { wait, cause });
-        }
-        if reply.is_closed() || over.is() {
+            let (wait, cause) = (Some(OVERLOAD_RETRY_AFTER), FailureReason::Overloaded);
+            return self.reply(
+                ask.class,
+                reply,
+                ClientResponse::Rejected { retry_after: wait, reason: cause },
+            );
+        }
+        if reply.is_closed() || over.is_cancelled() {
             // Its client left while it waited in the mailbox: nothing is sent for nobody.
-            return self.count_left(Some((self.classes[ask.class].clone(), Proof::NeverRan)));
+            return self.count_left(Some((self.classes[ask.class].clone(), ExecutionProof::NeverRan)));
         }
         // Guards the first of two with one id: servers would take the second for it, or give either the
         // other's answer.
         if !self.ids.insert(ask.id.clone()) {
-            return self.reply(ask.class, reply, Answer::Failed(Cause::Duplicate));
+            return self.reply(ask.class, reply, ClientResponse::Failed(FailureReason::DuplicateRequest));
         }
         let span = tracing::debug_span!("request", id = &*ask.id, class = &*self.classes[ask.class]);
         let live = Live {
@@ -411,22 +430,22 @@
     /// Sets the alarm for the end of a request's credential, where it has one and is not yet answered.
     fn watch_expiry(&mut self, number: u64) {
         let waiting = self.live.get(&number).filter(|l| l.reply.is_some());
-        if let Some(until) = waiting.and_then(|l| l.ask.valid_until) {
+        if let Some(until) = waiting.and_then(|l| l.ask.credential_expires_at) {
             let at = self.clock.steady(until).max(self.clock.now() + 1);
             self.alarm(at, Alarm::Expiry(number));
         }
     }
 
-    fn cause(&self, number: u64) -> Cause {
+    fn cause(&self, number: u64) -> FailureReason {
         match self.live.get(&number) {
-            Some(live) if self.clock.now() >= live.deadline => Cause::Deadline,
-            Some(live) if live.failed => Cause::Upstream,
-            _ => Cause::Busy,
+            Some(live) if self.clock.now() >= live.deadline => FailureReason::DeadlineExceeded,
+            Some(live) if live.failed => FailureReason::UpstreamFailed,
+            _ => FailureReason::Overloaded,
         }
     }
 
     fn expired(&self, number: u64) -> bool {
-        let until = self.live.get(&number).and_then(|l| l.ask.valid_until);
+        let until = self.live.get(&number).and_then(|l| l.ask.credential_expires_at);
         until.is_some_and(|until| self.clock.unix() >= until)
     }
 
@@ -434,10 +453,15 @@
     /// must not run twice is not called harmless to repeat.
     fn expire(&mut self, number: u64) {
         let Some(live) = self.live.get(&number).filter(|l| l.reply.is_some()) else { return };
-        let effect = self.settings.classes.get(live.ask.class).map_or(Effect::Unsafe, |c| c.effect);
-        let harmless = effect == Effect::Safe || live.may_have_run == 0;
-        let cause = Cause::Expired;
-        let answer = if harmless { Answer::Refused { wait: None, cause } } else { Answer::Failed(cause) };
+        let effect =
+            self.settings.classes.get(live.ask.class).map_or(Idempotency::AtMostOnce, |c| c.idempotency);
+        let harmless = effect == Idempotency::Idempotent || live.may_have_run == 0;
+        let cause = FailureReason::CredentialExpired;
+        let answer = if harmless {
+            ClientResponse::Rejected { retry_after: None, reason: cause }
+        } else {
+            ClientResponse::Failed(cause)
+        };
         self.drop_request(number, Some(answer));
     }
 
@@ -445,7 +469,7 @@
     fn left(&mut self, number: u64) {
         let Some(live) = self.live.get_mut(&number).filter(|l| l.reply.is_some()) else { return };
         live.reply = None;
-        live.over.end();
+        live.over.cancel();
         let (class, out) = (self.classes[live.ask.class].clone(), live.out as usize);
         let ran_before = live.may_have_run > live.out;
         match self.let_go.left(number, &class, ran_before, out) {
@@ -460,31 +484,31 @@
         self.count_left(settled);
     }
 
-    fn count_left(&mut self, settled: Option<(Arc<str>, Proof)>) {
+    fn count_left(&mut self, settled: Option<(Arc<str>, ExecutionProof)>) {
         let Some((class, proof)) = settled else { return };
         let counts = self.counts.entry(class).or_default();
         match proof {
-            Proof::NeverRan => counts.left_unrun += 1,
-            Proof::MayHaveRun => counts.left_may_have_run += 1,
+            ExecutionProof::NeverRan => counts.cancelled_not_run += 1,
+            ExecutionProof::MayHaveRun => counts.cancelled_may_have_run += 1,
         }
     }
 
     /// Answers a request that the module has not ended, or lets it go with its client, and tells the module.
-    fn drop_request(&mut self, number: u64, answer: Option<Answer>) {
+    fn drop_request(&mut self, number: u64, answer: Option<ClientResponse>) {
         let Some(live) = self.live.get_mut(&number) else { return };
         let class = live.ask.class;
-        live.over.end();
+        live.over.cancel();
         if let (Some(reply), Some(answer)) = (live.reply.take(), answer) {
             self.reply(class, reply, answer);
         }
-        self.events.push_back(Event::Left(RequestId(number)));
+        self.events.push_back(Event::ClientCancelled(RequestId(number)));
         self.tidy(number);
     }
 
     /// Gives the one final answer; any later one finds the reply gone.
-    fn answer(&mut self, number: u64, answer: Answer) {
+    fn answer(&mut self, number: u64, answer: ClientResponse) {
         let held =
-            self.live.get_mut(&number).and_then(|l| Some((l.ask.class, l.reply.take()?, l.over.end())));
+            self.live.get_mut(&number).and_then(|l| Some((l.ask.class, l.reply.take()?, l.over.cancel())));
         if let Some((class, reply, ())) = held {
             self.reply(class, reply, answer);
         }
@@ -512,11 +536,11 @@
         }
         let now = self.clock.now();
         let Some(live) = self.live.get_mut(&number) else { return };
-        let ticket = Ticket { request: number, attempt: live.attempts };
+        let ticket = AttemptId { request: number, attempt: live.attempts };
         live.attempts += 1;
         live.out += 1;
         let source = fill.map(|f| f.source).filter(|s| *s != server);
-        let keep = fill.map_or(0, |f| f.keep);
+        let keep = fill.map_or(0, |f| f.cache_rank);
         let out = Out { server, sent: now, written: None, handed_over: false, source, keep };
         self.attempts.insert(ticket, out);
         if live.reply.is_none() {
@@ -526,44 +550,48 @@
         let kept = self.kept.latest(live.object, live.ask.group, unix);
         if let (Some(fill), Some(at)) = (fill.as_mut(), kept.max(self.not_before)) {
             // A join may give a copy that was fetched before.
-            let (age, fresh) = (unix.saturating_sub(at).max(1), self.settings.classes[live.ask.class].fresh);
+            let (age, fresh) =
+                (unix.saturating_sub(at).max(1), self.settings.classes[live.ask.class].freshness_lifetime);
             let limit = if fill.max_age > 0 { fill.max_age } else { fresh };
             fill.max_age = if limit > 0 { age.min(limit) } else { age };
-            fill.join &= age > limit && limit > 0;
+            fill.collapse &= age > limit && limit > 0;
         }
         let until = if timeout > 0 { now + timeout } else { live.deadline + AFTER_DEADLINE };
         let settings = &self.settings;
         let heed = [settings.drain_grace, settings.purge_grace].into_iter().filter(|grace| *grace > 0);
         let mut send_within = heed.map(|grace| grace / 2).min().unwrap_or(SEND_WITHIN).min(SEND_WITHIN);
-        if let (Effect::Keyed { window, .. }, true) =
-            (&settings.classes[live.ask.class].effect, live.may_have_run > 0)
+        if let (Idempotency::IdempotencyKey { window, .. }, true) =
+            (&settings.classes[live.ask.class].idempotency, live.may_have_run > 0)
         {
             // Servers throw a repeat away within this; the module looked at the clock before it was queued.
             send_within = send_within.min((live.first_sent + window).saturating_sub(now));
         }
-        let want = Want {
-            ticket,
+        let want = UpstreamRequest {
+            attempt_id: ticket,
             id: live.ask.id.clone(),
             class: self.classes[live.ask.class].clone(),
             object: live.ask.object.clone(),
             part: live.ask.part,
-            until: self.clock.instant(until),
-            send_by: self.clock.instant(until.min(now + send_within)),
-            over: live.over.clone(),
-            via: source.and_then(|s| self.servers.get(&s)).map(|s| s.listing.name.clone()),
-            keep,
+            deadline: self.clock.instant(until),
+            send_deadline: self.clock.instant(until.min(now + send_within)),
+            cancellation: live.over.clone(),
+            fill_source: source.and_then(|s| self.servers.get(&s)).map(|s| s.listing.name.clone()),
+            cache_rank: keep,
             // 0 has a meaning of its own, and rounding up would let an older copy pass.
             max_age_ms: fill.map_or(0, |f| if f.max_age > 0 { (f.max_age / 1000).max(1) } else { 0 }),
-            join: fill.is_some_and(|f| f.join),
-            held_only: fill.is_some_and(|f| f.held_only),
-            renew: fill.is_some_and(|f| f.renew),
-            known: live.ask.known.clone(),
-            token: live.ask.token.clone(),
+            collapse: fill.is_some_and(|f| f.collapse),
+            only_if_cached: fill.is_some_and(|f| f.only_if_cached),
+            revalidate: fill.is_some_and(|f| f.revalidate),
+            if_none_match: live.ask.if_none_match.clone(),
+            idempotency_key: live.ask.idempotency_key.clone(),
             body: live.ask.body.clone(),
         };
         self.revive(server);
         // Full: the peer has far more than it can carry, so the attempt ends unsent.
-        let taken = self.servers.get(&server).is_some_and(|s| s.mailbox.try_send(Order::Want(want)).is_ok());
+        let taken = self
+            .servers
+            .get(&server)
+            .is_some_and(|s| s.mailbox.try_send(EndpointCommand::Send(want)).is_ok());
         if taken {
             if let (Some(live), Some(out)) = (self.live.get_mut(&number), self.attempts.get_mut(&ticket)) {
                 if live.may_have_run == 0 {
@@ -586,26 +614,28 @@
         }
     }
 
-    fn forget(&self, ticket: Ticket) {
+    fn forget(&self, ticket: AttemptId) {
         let server = self.attempts.get(&ticket).and_then(|out| self.servers.get(&out.server));
         if let Some(server) = server {
             // Full: the server goes on with it in vain, and its answer finds nobody.
-            let _ = server.mailbox.try_send(Order::Forget(ticket));
+            let _ = server.mailbox.try_send(EndpointCommand::Cancel(ticket));
         }
     }
 
-    fn ended(&mut self, ticket: Ticket, end: End) {
+    fn ended(&mut self, ticket: AttemptId, end: AttemptResult) {
         let outcome = match &end {
-            Ok(reply) => match &reply.verdict {
+            Ok(reply) => match &reply.status {
                 // Unchanged is what the client has: an answer that names another copy, or none, is spoilt.
-                Verdict::Unchanged(tag) if !self.knows(ticket.request, tag.as_ref()) => Outcome::Failed,
-                Verdict::Copy(_) | Verdict::Unchanged(_) => Outcome::Ok,
-                Verdict::Miss => Outcome::Miss,
-                Verdict::Full => Outcome::Full,
-                Verdict::Error => Outcome::Failed,
-                Verdict::Stale => Outcome::NotSent,
+                ResponseStatus::NotModified(tag) if !self.knows(ticket.request, tag.as_ref()) => {
+                    Outcome::Failed
+                }
+                ResponseStatus::Ok(_) | ResponseStatus::NotModified(_) => Outcome::Ok,
+                ResponseStatus::Miss => Outcome::Miss,
+                ResponseStatus::Rejected => Outcome::Rejected,
+                ResponseStatus::Error => Outcome::Failed,
+                ResponseStatus::Expired => Outcome::NotSent,
             },
-            Err(Broken::CalledOff | Broken::NoDescriptor) => Outcome::NotSent,
+            Err(AttemptError::Cancelled | AttemptError::NoDescriptor) => Outcome::NotSent,
             Err(broken) if broken.never_ran() => Outcome::ConnectError,
             Err(_) => Outcome::Reset,
         };
@@ -622,33 +652,35 @@
 
     /// Whether the client has the copy of this tag.
     fn knows(&self, number: u64, tag: Option<&Arc<str>>) -> bool {
-        tag.is_some() && self.live.get(&number).is_some_and(|l| l.ask.known.as_ref() == tag)
+        tag.is_some() && self.live.get(&number).is_some_and(|l| l.ask.if_none_match.as_ref() == tag)
     }
 
     /// Ends an attempt; the first end counts and any later one finds it gone. Guards against a peer that
     /// reports after a time-out or a cancellation, or not at all.
-    fn finish(&mut self, ticket: Ticket, outcome: Outcome, reply: Option<Reply>) {
+    fn finish(&mut self, ticket: AttemptId, outcome: Outcome, reply: Option<UpstreamResponse>) {
         let Some(out) = self.attempts.remove(&ticket) else { return };
         if outcome == Outcome::TimedOut {
             if let Some(server) = self.servers.get(&out.server) {
-                let _ = server.mailbox.try_send(Order::Forget(ticket));
+                let _ = server.mailbox.try_send(EndpointCommand::Cancel(ticket));
             }
         }
         let Some(live) = self.live.get_mut(&ticket.request) else { return };
         live.out -= 1;
-        live.failed |= !matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::NotSent | Outcome::Canceled);
+        live.failed |=
+            !matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::NotSent | Outcome::Cancelled);
         if outcome.never_ran() && out.handed_over {
             live.may_have_run -= 1;
         }
         // From when the server had it: what it waited for a connection says nothing of server or link.
         let had = out.written.or(reply.is_some().then_some(out.sent));
         let took = had.map_or(0, |at| self.clock.now().saturating_sub(at));
-        let (note, waited, gauges) =
-            reply.as_ref().map_or((Note::None, 0, &[][..]), |r| (r.note, r.waited, &r.gauges));
+        let (note, waited, gauges) = reply
+            .as_ref()
+            .map_or((CacheStatus::Unknown, 0, &[][..]), |r| (r.cache_status, r.source_wait, &r.load_report));
         let report = report(&self.settings, gauges);
-        let answer = match reply.map(|r| r.verdict) {
-            Some(Verdict::Copy(copy)) => Some(Answer::Served(copy)),
-            Some(Verdict::Unchanged(tag)) => Some(Answer::Unchanged(tag)),
+        let answer = match reply.map(|r| r.status) {
+            Some(ResponseStatus::Ok(copy)) => Some(ClientResponse::Served(copy)),
+            Some(ResponseStatus::NotModified(tag)) => Some(ClientResponse::NotModified(tag)),
             _ => None,
         };
         let name = |id: ServerId| self.servers.get(&id).map_or("?", |s| &*s.listing.name);
@@ -667,21 +699,21 @@
         let given = answer.zip(live.reply.take_if(|_| outcome == Outcome::Ok));
         let over = live.reply.is_none();
         if over {
-            live.over.end();
+            live.over.cancel();
         }
         if let Some((answer, reply)) = given {
             self.reply(class, reply, answer);
         }
-        self.events.push_back(Event::Ended(AttemptEnd {
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
             request: RequestId(ticket.request),
             attempt: ticket.attempt,
             server: out.server,
             outcome,
-            took,
-            over,
-            note,
-            waited,
-            report,
+            elapsed: took,
+            request_finished: over,
+            cache_status: note,
+            source_wait: waited,
+            load_report: report,
         }));
         self.tidy(ticket.request);
     }
@@ -697,22 +729,22 @@
         self.revive(server);
         // Full: the alarm ends it.
         if let Some(server) = self.servers.get(&server) {
-            let _ = server.mailbox.try_send(Order::Probe(number));
+            let _ = server.mailbox.try_send(EndpointCommand::HealthCheck(number));
         }
     }
 
-    fn probed(&mut self, number: u64, result: Result<Health, Broken>) {
+    fn probed(&mut self, number: u64, result: Result<HealthReport, AttemptError>) {
         let Some((server, sent)) = self.probes.remove(&number) else { return };
         let took = self.clock.now().saturating_sub(sent);
         let outcome = match result {
-            Ok(Health { well: true, .. }) => Outcome::Ok,
-            Ok(Health { well: false, .. }) => Outcome::Failed,
-            Err(Broken::Written) if took >= PROBE_TIMEOUT => Outcome::TimedOut,
-            Err(Broken::Written | Broken::Answering) => Outcome::Reset,
+            Ok(HealthReport { healthy: true, .. }) => Outcome::Ok,
+            Ok(HealthReport { healthy: false, .. }) => Outcome::Failed,
+            Err(AttemptError::Unanswered) if took >= PROBE_TIMEOUT => Outcome::TimedOut,
+            Err(AttemptError::Unanswered | AttemptError::ResponseInterrupted) => Outcome::Reset,
             Err(_) => Outcome::ConnectError,
         };
-        let report = report(&self.settings, &result.map_or_else(|_| Vec::new(), |health| health.gauges));
-        self.events.push_back(Event::Probed { server, outcome, took, report });
+        let report = report(&self.settings, &result.map_or_else(|_| Vec::new(), |health| health.load_report));
+        self.events.push_back(Event::HealthChecked { server, outcome, elapsed: took, load_report: report });
     }
 
     // ---- the list ----
@@ -731,7 +763,7 @@
         true
     }
 
-    fn members(&mut self, full: bool, mut members: Vec<Listing>) {
+    fn members(&mut self, full: bool, mut members: Vec<Endpoint>) {
         members.iter_mut().for_each(|listing| self.drains.apply(listing));
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         let (mut told, mut dead) = (Vec::new(), Vec::new());
@@ -754,12 +786,12 @@
             let old = self.servers.get(&server);
             // Read once: a second reading could differ by a little and pass for another start.
             let since = match old {
-                Some(old) if old.listing.since == listing.since => old.since,
-                _ => self.clock.steady(listing.since),
+                Some(old) if old.listing.started_at == listing.started_at => old.since,
+                _ => self.clock.steady(listing.started_at),
             };
-            let place = |l: &Listing| (l.address.clone(), l.since);
+            let place = |l: &Endpoint| (l.address.clone(), l.started_at);
             let same = old.is_some_and(|old| place(&old.listing) == place(listing));
-            if old.is_some() && !same && listing.since > 0 {
+            if old.is_some() && !same && listing.started_at > 0 {
                 dead.push((server, since));
             }
             match self.servers.get_mut(&server) {
@@ -773,15 +805,15 @@
                 }
             }
             let (cell, state, size) = (listing.cell, listing.state, listing.size);
-            told.push(Member { server, zone, kind, cell, state, size, since });
+            told.push(Member { server, zone, kind, cell, state, size, started_at: since });
         }
-        let kind = if full { ListKind::Full } else { ListKind::Changes };
+        let kind = if full { MemberUpdate::Full } else { MemberUpdate::Incremental };
         self.events.push_back(Event::Members { kind, members: told });
         // What was sent to a process before its successor started will not be answered any more.
-        let lost = |(ticket, out): (&Ticket, &Out)| {
+        let lost = |(ticket, out): (&AttemptId, &Out)| {
             dead.iter().any(|(server, since)| out.server == *server && out.sent < *since).then_some(*ticket)
         };
-        let lost: Vec<Ticket> = self.attempts.iter().filter_map(lost).collect();
+        let lost: Vec<AttemptId> = self.attempts.iter().filter_map(lost).collect();
         for ticket in lost {
             self.finish(ticket, Outcome::Reset, None);
         }
@@ -790,7 +822,7 @@
         let servers = &self.servers;
         self.names.retain(|_, id| servers.contains_key(id));
         let names = &self.names;
-        self.drains.keep(|name| names.contains_key(name));
+        self.drains.retain(|name| names.contains_key(name));
     }
 
     /// The number by which the module knows a server. It goes by the name alone, so that all directors agree;
@@ -810,18 +842,18 @@
 
 /// Opens a peer. Guards the actor against a transport of the host's that panics: its server then has a
 /// mailbox that nobody reads, attempts there end unsent, and each tries to open it anew.
-fn open<P: Peers>(
+fn open<P: EndpointConnector>(
     peers: &mut P,
     server: ServerId,
-    listing: &Listing,
-    reports: &Reports,
-) -> mpsc::Sender<Order> {
-    let opened = catch_unwind(AssertUnwindSafe(|| peers.open(server, listing, reports.clone())));
+    listing: &Endpoint,
+    reports: &DispatcherSender,
+) -> mpsc::Sender<EndpointCommand> {
+    let opened = catch_unwind(AssertUnwindSafe(|| peers.connect(server, listing, reports.clone())));
     opened.unwrap_or_else(|_| mpsc::channel(1).0)
 }
 
 /// A load report in the settings' order; empty unless all of it is there.
 fn report(settings: &Settings, gauges: &[(String, f64)]) -> Vec<f64> {
     let value = |name: &String| gauges.iter().find(|g| g.0 == *name).map(|g| g.1);
-    settings.report.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
+    settings.load_report.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
 }
--- a/src/dispatch/membership.rs
+++ b/src/dispatch/membership.rs
@@ -10,7 +10,7 @@
 
 /// What is told of a member of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct Endpoint {
     /// Its name, the same at every director.
     pub name: Arc<str>,
     /// Where it listens.
@@ -26,18 +26,18 @@
     /// Its size; 0: not told.
     pub size: f64,
     /// Unix time of a late start in microseconds, or 0.
-    pub since: Micros,
+    pub started_at: Micros,
 }
 
 /// Drains that were told beside the sources, at most; the list itself bounds it, for a name that no source
 /// lists is not kept.
 #[derive(Debug, Default)]
-pub struct Drains(HashMap<Arc<str>, Micros>);
+pub struct DrainOverrides(HashMap<Arc<str>, Micros>);
 
-impl Drains {
+impl DrainOverrides {
     /// Puts a member, as its source last listed it, into drain.
-    pub fn begin(&mut self, listing: &Listing) {
-        self.0.insert(listing.name.clone(), listing.since);
+    pub fn begin(&mut self, listing: &Endpoint) {
+        self.0.insert(listing.name.clone(), listing.started_at);
     }
 
     /// Takes the word back; whether there was one.
@@ -46,9 +46,9 @@
     }
 
     /// What a source's word about a member comes to.
-    pub fn apply(&mut self, listing: &mut Listing) {
+    pub fn apply(&mut self, listing: &mut Endpoint) {
         let Some(since) = self.0.get(&listing.name) else { return };
-        if listing.state == MemberState::Gone || listing.since > *since {
+        if listing.state == MemberState::Gone || listing.started_at > *since {
             // The process that was to drain has gone, and another may run under its name.
             self.0.remove(&listing.name);
         } else if listing.state == MemberState::Running {
@@ -57,7 +57,7 @@
     }
 
     /// Forgets all that is not listed any more.
-    pub fn keep(&mut self, listed: impl Fn(&Arc<str>) -> bool) {
+    pub fn retain(&mut self, listed: impl Fn(&Arc<str>) -> bool) {
         self.0.retain(|name, _| listed(name));
     }
 
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,8 +1,8 @@
 //! The core: the actor that owns the decision module, and the typed messages spoken with it.
 //!
-//! It knows no wire. A front turns what its clients say into an [`Ask`] and gets exactly one [`Answer`];
-//! [`Peers`] opens an actor for each server, which is given [`Order`]s and reports how they ended. The actor
-//! never waits for any of them.
+//! It knows no wire. A front turns what its clients say into an [`ClientRequest`] and gets exactly one
+//! [`ClientResponse`]; [`EndpointConnector`] opens an actor for each server, which is given
+//! [`EndpointCommand`]s and reports how they ended. The actor never waits for any of them.
 
 mod actor;
 pub mod cancellation_log;
@@ -11,12 +11,12 @@
 mod purge_records;
 pub mod request;
 
-pub use actor::{start, Running};
+pub use actor::{start, RunningDispatcher};
 pub use clock::Clock;
 
-pub use crate::dispatch::membership::Listing;
-pub use crate::dispatch::request::{is_name, Answer, Ask, Cause, Copy};
-use crate::policy::types::{Micros, Note, ServerId, Settings};
+pub use crate::dispatch::membership::Endpoint;
+pub use crate::dispatch::request::{is_name, ClientRequest, ClientResponse, FailureReason, Representation};
+use crate::policy::types::{CacheStatus, Micros, ServerId, Settings};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -29,17 +29,17 @@
 use tokio::time::Instant;
 
 /// Messages that wait for the actor; who finds the mailbox full is told at the place of sending.
-const MAILBOX: usize = 4096;
+const MAILBOX_CAPACITY: usize = 4096;
 
 /// The largest body of a write, in bytes.
-pub const LARGEST_WRITE: usize = 48_000;
+pub const MAX_WRITE_BYTES: usize = 48_000;
 
 /// When a client that found the mailbox full should come back.
-const WHEN_FULL: Duration = Duration::from_millis(500);
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Names one attempt: the request's number in the core and the attempt's in the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket {
+pub struct AttemptId {
     /// The request.
     pub request: u64,
     /// The attempt.
@@ -48,50 +48,50 @@
 
 /// How far an attempt had come when it broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum AttemptError {
     /// No connection came up.
     NotConnected,
     /// No connection was tried, for this process has no descriptor left for one: no fault of the server.
     NoDescriptor,
     /// Nothing of it was written.
-    Unwritten,
+    NotWritten,
     /// A part of it was written; a server runs only what came whole.
-    PartlyWritten,
+    PartiallyWritten,
     /// It was written whole and nothing came back.
-    Written,
+    Unanswered,
     /// Its answer had begun.
-    Answering,
+    ResponseInterrupted,
     /// Its request was over before anything of it was written.
-    CalledOff,
+    Cancelled,
 }
 
-impl Broken {
+impl AttemptError {
     /// Whether the attempt surely had no effect.
     pub fn never_ran(self) -> bool {
-        !matches!(self, Broken::Written | Broken::Answering)
+        !matches!(self, AttemptError::Unanswered | AttemptError::ResponseInterrupted)
     }
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for AttemptError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Broken::NotConnected => "not connected",
-            Broken::NoDescriptor => "no descriptor left",
-            Broken::Unwritten => "nothing written",
-            Broken::PartlyWritten => "partly written",
-            Broken::Written => "written, not answered",
-            Broken::Answering => "broke off in the answer",
-            Broken::CalledOff => "called off, nothing written",
+            AttemptError::NotConnected => "not connected",
+            AttemptError::NoDescriptor => "no descriptor left",
+            AttemptError::NotWritten => "nothing written",
+            AttemptError::PartiallyWritten => "partly written",
+            AttemptError::Unanswered => "written, not answered",
+            AttemptError::ResponseInterrupted => "broke off in the answer",
+            AttemptError::Cancelled => "called off, nothing written",
         })
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for AttemptError {}
 
 /// A client as its front reaches it.
 pub trait Client: std::fmt::Debug + Send + Sync {
     /// Looks whether it has left, be it that the runtime has told nobody of it yet. It must not block.
-    fn has_left(&self) -> bool;
+    fn has_disconnected(&self) -> bool;
 }
 
 /// A client among what a host's server leaves with a request, for the middleware.
@@ -106,8 +106,8 @@
 }
 
 impl Client for ClientHandle {
-    fn has_left(&self) -> bool {
-        self.0.has_left()
+    fn has_disconnected(&self) -> bool {
+        self.0.has_disconnected()
     }
 }
 
@@ -116,86 +116,89 @@
 /// the attempt on its way from a connection that has ended to another; and while the runtime is held up, a
 /// client's end waits unseen.
 #[derive(Clone, Debug, Default)]
-pub struct Over(Arc<OverState>);
+pub struct CancellationToken(Arc<CancellationState>);
 
 #[derive(Debug, Default)]
-struct OverState {
+struct CancellationState {
     ended: AtomicBool,
     client: Option<Box<dyn Client>>,
 }
 
-impl Over {
+impl CancellationToken {
     /// The same for a request whose client can be looked at.
-    pub fn of(client: impl Client + 'static) -> Self {
-        Over(Arc::new(OverState { ended: AtomicBool::new(false), client: Some(Box::new(client)) }))
+    pub fn for_client(client: impl Client + 'static) -> Self {
+        CancellationToken(Arc::new(CancellationState {
+            ended: AtomicBool::new(false),
+            client: Some(Box::new(client)),
+        }))
     }
 
     /// Whether nothing more is to be sent for it, as far as was told.
-    pub fn is(&self) -> bool {
+    pub fn is_cancelled(&self) -> bool {
         self.0.ended.load(Ordering::Relaxed)
     }
 
     /// The same, and the client itself is looked at, where its front reaches it: right before the first byte.
-    pub fn look(&self) -> bool {
-        if !self.is() && self.0.client.as_ref().is_some_and(|client| client.has_left()) {
-            self.end();
+    pub fn check_client(&self) -> bool {
+        if !self.is_cancelled() && self.0.client.as_ref().is_some_and(|client| client.has_disconnected()) {
+            self.cancel();
         }
-        self.is()
+        self.is_cancelled()
     }
 
     /// It is over from now on.
-    pub fn end(&self) {
+    pub fn cancel(&self) {
         self.0.ended.store(true, Ordering::Relaxed);
     }
 }
 
 /// A server's verdict on an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseStatus {
     /// Here it is.
-    Copy(Copy),
+    Ok(Representation),
     /// The client's copy is the one.
-    Unchanged(Option<Arc<str>>),
+    NotModified(Option<Arc<str>>),
     /// Not held; it never ran.
     Miss,
     /// No room; it never ran.
-    Full,
+    Rejected,
     /// An error; it may have run.
     Error,
     /// The request was over already; it never ran.
-    Stale,
+    Expired,
 }
 
 /// A server's answer to an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
+pub struct UpstreamResponse {
     /// The verdict.
-    pub verdict: Verdict,
+    pub status: ResponseStatus,
     /// What it tells of the copy or the fill.
-    pub note: Note,
+    pub cache_status: CacheStatus,
     /// Time spent on waiting for the source.
-    pub waited: Micros,
+    pub source_wait: Micros,
     /// Load report by name, where one came along.
-    pub gauges: Vec<(String, f64)>,
+    pub load_report: Vec<(String, f64)>,
 }
 
 /// How an attempt ended at its peer.
-pub type End = Result<Reply, Broken>;
+pub type AttemptResult = Result<UpstreamResponse, AttemptError>;
 
 /// A server's answer to a probe.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Health {
+pub struct HealthReport {
     /// Whether it calls itself well.
-    pub well: bool,
+    pub healthy: bool,
     /// Load report by name.
-    pub gauges: Vec<(String, f64)>,
+    pub load_report: Vec<(String, f64)>,
 }
 
 /// An attempt as it is put to a peer.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct UpstreamRequest {
     /// Names it in reports.
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     /// The request's id.
     pub id: Arc<str>,
     /// The class's name.
@@ -205,71 +208,72 @@
     /// The part.
     pub part: Option<u32>,
     /// When the director stops waiting.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Not to be sent after this: by then it may no longer be right to.
-    pub send_by: Instant,
-    /// Not to be sent once this says so; looked at right before the first byte ([`Over::look`]).
-    pub over: Over,
+    pub send_deadline: Instant,
+    /// Not to be sent once this says so; looked at right before the first byte
+    /// ([`CancellationToken::check_client`]).
+    pub cancellation: CancellationToken,
     /// The server a miss is filled from; none: no fill.
-    pub via: Option<Arc<str>>,
+    pub fill_source: Option<Arc<str>>,
     /// Rank at which the copy is kept.
-    pub keep: u8,
+    pub cache_rank: u8,
     /// The oldest copy that will do, in milliseconds; 0: the class's fresh time.
     pub max_age_ms: u64,
     /// Join a fill that is under way.
-    pub join: bool,
+    pub collapse: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     /// Renew an ageing copy behind.
-    pub renew: bool,
+    pub revalidate: bool,
     /// The tag of the client's copy.
-    pub known: Option<Arc<str>>,
+    pub if_none_match: Option<Arc<str>>,
     /// What the server knows a repeat by.
-    pub token: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// What is to be written.
     pub body: Bytes,
 }
 
 /// What a peer is told to do.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum EndpointCommand {
     /// Send an attempt.
-    Want(Want),
+    Send(UpstreamRequest),
     /// Give one up; its end is not waited for.
-    Forget(Ticket),
+    Cancel(AttemptId),
     /// Probe the server and report under this number.
-    Probe(u64),
+    HealthCheck(u64),
 }
 
 /// News for the actor.
 #[derive(Debug)]
-pub enum Message {
+pub enum DispatcherMessage {
     /// A request and where its answer goes.
-    Ask(u64, Box<Ask>, oneshot::Sender<Answer>, Over),
+    Request(u64, Box<ClientRequest>, oneshot::Sender<ClientResponse>, CancellationToken),
     /// The client of this request has gone.
-    Left(u64),
+    ClientCancelled(u64),
     /// The end of an attempt.
-    Ended(Ticket, End),
+    AttemptEnded(AttemptId, AttemptResult),
     /// The end of a probe, with its load report.
-    Probed(u64, Result<Health, Broken>),
+    HealthChecked(u64, Result<HealthReport, AttemptError>),
     /// News of the list.
     Members {
         /// Whether this is the whole list.
         full: bool,
         /// The entries.
-        members: Vec<Listing>,
+        members: Vec<Endpoint>,
     },
     /// An attempt was written whole.
-    Written(Ticket),
+    AttemptWritten(AttemptId),
     /// How far an attempt had come when its peer gave it up, as it was told to.
-    Forgotten(Ticket, Broken),
+    AttemptCancelled(AttemptId, AttemptError),
     /// A server drains, whatever its source says of it; or that no longer holds. The reply tells whether it
     /// is listed.
     Drain(Arc<str>, bool, oneshot::Sender<bool>),
     /// Other settings, for requests to come.
     Settings(Box<Settings>),
     /// Asks for the figures.
-    Figures(oneshot::Sender<Figures>),
+    Metrics(oneshot::Sender<DispatcherMetrics>),
     /// Until told otherwise no copy from before this Unix time (microseconds) is served, of whatever object.
     NotBefore(Option<Micros>),
     /// Copies older than this are not to be served.
@@ -282,7 +286,7 @@
         at: Micros,
         /// It holds for so long after that, in microseconds, where directors may hear of it late; 0: for as
         /// long as the settings say that servers need to heed it.
-        keep: Micros,
+        retention: Micros,
     },
 }
 
@@ -292,43 +296,43 @@
     /// Requests served, the client's own copy included.
     pub served: u64,
     /// Requests turned away.
-    pub refused: u64,
+    pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
     /// Requests let go by their clients of which nothing ran.
-    pub left_unrun: u64,
+    pub cancelled_not_run: u64,
     /// Requests let go by their clients that may have run.
-    pub left_may_have_run: u64,
+    pub cancelled_may_have_run: u64,
 }
 
 /// What the core tells of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct DispatcherMetrics {
     /// By the name of the class.
     pub requests: BTreeMap<Arc<str>, ClassCounts>,
     /// Attempts written whole to servers since the start.
     pub attempts: u64,
     /// Servers in the list.
-    pub known: usize,
+    pub endpoints_known: usize,
     /// Those of them to which nothing goes now.
-    pub excluded: usize,
+    pub endpoints_excluded: usize,
     /// What the core holds at this moment.
-    pub tables: Tables,
+    pub tables: TableSizes,
 }
 
 /// How many entries the core's tables have. Each is bounded by what is under way, not by what has been.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tables {
+pub struct TableSizes {
     /// Requests that are held or whose attempts have not all ended.
-    pub live: usize,
+    pub pending_requests: usize,
     /// Attempts that are out.
-    pub attempts: usize,
+    pub attempts_in_flight: usize,
     /// Timers that have not rung, those of ended requests among them.
-    pub alarms: usize,
+    pub timers: usize,
     /// Probes that are out.
-    pub probes: usize,
+    pub health_checks: usize,
     /// Requests let go by their clients whose peers have not told how far they came; each for 1 s at most.
-    pub let_go: usize,
+    pub cancelled_requests: usize,
     /// Servers known, and those gone that still have attempts out.
     pub servers: usize,
     /// Messages that wait in the mailbox, of 4,096 at most.
@@ -337,105 +341,126 @@
     pub classes: usize,
 }
 
-impl Tables {
+impl TableSizes {
     /// Whether none has more entries than in `most`.
-    pub fn within(&self, most: &Tables) -> bool {
-        let list =
-            |t: &Tables| [t.live, t.attempts, t.alarms, t.probes, t.let_go, t.servers, t.mailbox, t.classes];
+    pub fn within(&self, most: &TableSizes) -> bool {
+        let list = |t: &TableSizes| {
+            [
+                t.pending_requests,
+                t.attempts_in_flight,
+                t.timers,
+                t.health_checks,
+                t.cancelled_requests,
+                t.servers,
+                t.mailbox,
+                t.classes,
+            ]
+        };
         list(self).iter().zip(list(most)).all(|(have, most)| *have <= most)
     }
 }
 
 /// Opens actors for servers.
-pub trait Peers {
+pub trait EndpointConnector {
     /// Starts the actor for one server and returns its mailbox; it ends once that is dropped.
-    fn open(&mut self, server: ServerId, listing: &Listing, reports: Reports) -> mpsc::Sender<Order>;
-}
-
-impl Peers for Box<dyn Peers + Send> {
-    fn open(&mut self, server: ServerId, listing: &Listing, reports: Reports) -> mpsc::Sender<Order> {
-        (**self).open(server, listing, reports)
+    fn connect(
+        &mut self,
+        server: ServerId,
+        listing: &Endpoint,
+        reports: DispatcherSender,
+    ) -> mpsc::Sender<EndpointCommand>;
+}
+
+impl EndpointConnector for Box<dyn EndpointConnector + Send> {
+    fn connect(
+        &mut self,
+        server: ServerId,
+        listing: &Endpoint,
+        reports: DispatcherSender,
+    ) -> mpsc::Sender<EndpointCommand> {
+        (**self).connect(server, listing, reports)
     }
 }
 
 /// Where peers and the list report. A full mailbox makes them wait: the actor waits for nobody, so it
 /// empties.
 #[derive(Clone, Debug)]
-pub struct Reports(mpsc::Sender<Message>);
+pub struct DispatcherSender(mpsc::Sender<DispatcherMessage>);
 
-impl Reports {
+impl DispatcherSender {
     /// Wraps a mailbox, for peers that are tested without the actor.
-    pub fn new(mailbox: mpsc::Sender<Message>) -> Self {
-        Reports(mailbox)
+    pub fn new(mailbox: mpsc::Sender<DispatcherMessage>) -> Self {
+        DispatcherSender(mailbox)
     }
 
     /// Hands a message over if there is room for it; whether there was.
-    pub fn try_send(&self, message: Message) -> bool {
+    pub fn try_send(&self, message: DispatcherMessage) -> bool {
         self.0.try_send(message).is_ok()
     }
 
     /// Waits for room for one message, so that nothing can come between a last look and its sending; none:
     /// the actor has ended.
-    pub async fn reserve(&self) -> Option<mpsc::Permit<'_, Message>> {
+    pub async fn reserve(&self) -> Option<mpsc::Permit<'_, DispatcherMessage>> {
         self.0.reserve().await.ok()
     }
 
     /// Hands a message over; an actor that has ended wants none.
-    pub async fn send(&self, message: Message) {
+    pub async fn send(&self, message: DispatcherMessage) {
         let _ = self.0.send(message).await;
     }
 }
 
 /// The handle that fronts and middleware hold.
 #[derive(Clone, Debug)]
-pub struct Core {
-    mailbox: mpsc::Sender<Message>,
+pub struct Dispatcher {
+    mailbox: mpsc::Sender<DispatcherMessage>,
     next: Arc<AtomicU64>,
     seed: u64,
     settings: watch::Receiver<Arc<Settings>>,
 }
 
-impl Core {
+impl Dispatcher {
     /// The facts that the director goes by at present.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.borrow().clone()
     }
 
     /// The figures; none where the actor has ended.
-    pub async fn figures(&self) -> Option<Figures> {
+    pub async fn metrics(&self) -> Option<DispatcherMetrics> {
         let (reply, figures) = oneshot::channel();
-        self.mailbox.send(Message::Figures(reply)).await.ok()?;
+        self.mailbox.send(DispatcherMessage::Metrics(reply)).await.ok()?;
         figures.await.ok()
     }
 
     /// An id for a request that came without one: 16 hex digits, each time others.
-    pub fn fresh_id(&self) -> Arc<str> {
+    pub fn generate_request_id(&self) -> Arc<str> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         format!("{:016x}", finish(self.seed.wrapping_add(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)))).into()
     }
 
-    /// Hands a request over. Dropping the [`Pending`] tells the core that the client has gone.
-    pub fn ask(&self, ask: Ask) -> Pending {
-        self.hand_over(ask, Over::default())
+    /// Hands a request over. Dropping the [`PendingResponse`] tells the core that the client has gone.
+    pub fn submit(&self, ask: ClientRequest) -> PendingResponse {
+        self.hand_over(ask, CancellationToken::default())
     }
 
     /// The same for a client that can be looked at: it counts as gone as soon as it has left, be it before
-    /// the [`Pending`] is dropped.
-    pub fn ask_of(&self, ask: Ask, client: impl Client + 'static) -> Pending {
-        self.hand_over(ask, Over::of(client))
+    /// the [`PendingResponse`] is dropped.
+    pub fn submit_for_client(&self, ask: ClientRequest, client: impl Client + 'static) -> PendingResponse {
+        self.hand_over(ask, CancellationToken::for_client(client))
     }
 
-    fn hand_over(&self, ask: Ask, over: Over) -> Pending {
+    fn hand_over(&self, ask: ClientRequest, over: CancellationToken) -> PendingResponse {
         let request = self.next.fetch_add(1, Ordering::Relaxed);
         let (reply, answer) = oneshot::channel();
         // Full: the request is turned away at once, which is harmless as nothing ran.
-        let taken = self.mailbox.try_send(Message::Ask(request, Box::new(ask), reply, over.clone()));
+        let taken =
+            self.mailbox.try_send(DispatcherMessage::Request(request, Box::new(ask), reply, over.clone()));
         let cause = match &taken {
-            Err(mpsc::error::TrySendError::Closed(_)) => Cause::Ended,
-            _ => Cause::Busy,
+            Err(mpsc::error::TrySendError::Closed(_)) => FailureReason::ShuttingDown,
+            _ => FailureReason::Overloaded,
         };
         let answer = taken.is_ok().then_some(answer);
-        Pending { request, answer, over, cause, mailbox: self.mailbox.clone() }
+        PendingResponse { request, answer, over, cause, mailbox: self.mailbox.clone() }
     }
 
     /// Whether the actor has ended.
@@ -447,48 +472,48 @@
     /// has ended.
     pub async fn drain(&self, name: &str, on: bool) -> Option<bool> {
         let (reply, listed) = oneshot::channel();
-        self.mailbox.send(Message::Drain(name.into(), on, reply)).await.ok()?;
+        self.mailbox.send(DispatcherMessage::Drain(name.into(), on, reply)).await.ok()?;
         listed.await.ok()
     }
 
     /// Where reports go.
-    pub fn reports(&self) -> Reports {
-        Reports(self.mailbox.clone())
+    pub fn sender(&self) -> DispatcherSender {
+        DispatcherSender(self.mailbox.clone())
     }
 }
 
 /// A request whose answer is awaited.
 #[derive(Debug)]
-pub struct Pending {
+pub struct PendingResponse {
     request: u64,
-    answer: Option<oneshot::Receiver<Answer>>,
-    over: Over,
+    answer: Option<oneshot::Receiver<ClientResponse>>,
+    over: CancellationToken,
     /// Why it was not taken, where it was not.
-    cause: Cause,
-    mailbox: mpsc::Sender<Message>,
+    cause: FailureReason,
+    mailbox: mpsc::Sender<DispatcherMessage>,
 }
 
-impl Future for Pending {
-    type Output = Answer;
+impl Future for PendingResponse {
+    type Output = ClientResponse;
 
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Answer> {
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<ClientResponse> {
         let Some(answer) = self.answer.as_mut() else {
-            let wait = (self.cause == Cause::Busy).then_some(WHEN_FULL);
-            return Poll::Ready(Answer::Refused { wait, cause: self.cause });
+            let wait = (self.cause == FailureReason::Overloaded).then_some(OVERLOAD_RETRY_AFTER);
+            return Poll::Ready(ClientResponse::Rejected { retry_after: wait, reason: self.cause });
         };
         let answer = std::task::ready!(Pin::new(answer).poll(cx));
         self.answer = None;
         // An actor that has ended can't tell what ran.
-        Poll::Ready(answer.unwrap_or(Answer::Failed(Cause::Ended)))
+        Poll::Ready(answer.unwrap_or(ClientResponse::Failed(FailureReason::ShuttingDown)))
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         if self.answer.is_some() {
-            self.over.end();
+            self.over.cancel();
             // Full: the actor learns of it when it would send again, has an answer, or the deadline passes.
-            let _ = self.mailbox.try_send(Message::Left(self.request));
+            let _ = self.mailbox.try_send(DispatcherMessage::ClientCancelled(self.request));
         }
     }
 }
--- a/src/dispatch/request.rs
+++ b/src/dispatch/request.rs
@@ -11,7 +11,7 @@
 
 /// A client's request, as any front words it.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The id that servers are given.
     pub id: Arc<str>,
     /// Place among the settings' classes.
@@ -25,62 +25,62 @@
     /// Size in KB; 0: not told.
     pub size_kb: f64,
     /// Marked as a client's repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// How long the client waits from now on.
-    pub allow: Duration,
+    pub timeout: Duration,
     /// The tag of the client's copy.
-    pub known: Option<Arc<str>>,
+    pub if_none_match: Option<Arc<str>>,
     /// What servers know a repeat by, where they throw repeats away: the client's word, the same each time.
-    pub token: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// What is to be written.
     pub body: Bytes,
     /// The Unix time in microseconds from which no answer may begin; none: the client's credential, if it
     /// has one, does not expire.
-    pub valid_until: Option<Micros>,
+    pub credential_expires_at: Option<Micros>,
 }
 
 /// What a server gave.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Copy {
+pub struct Representation {
     /// The copy's tag.
-    pub tag: Option<Arc<str>>,
+    pub etag: Option<Arc<str>>,
     /// The bytes, unchanged.
     pub body: Bytes,
 }
 
 /// Why there is no answer from a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailureReason {
     /// There was no room for it.
-    Busy,
+    Overloaded,
     /// The time to answer was over.
-    Deadline,
+    DeadlineExceeded,
     /// Servers failed it, or none could be asked.
-    Upstream,
+    UpstreamFailed,
     /// The client's credential expired while the request waited.
-    Expired,
+    CredentialExpired,
     /// A request with the same id is held already.
-    Duplicate,
+    DuplicateRequest,
     /// The core has ended, or is about to.
-    Ended,
+    ShuttingDown,
 }
 
-/// The one final answer to an [`Ask`].
+/// The one final answer to an [`ClientRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ClientResponse {
     /// The bytes asked for.
-    Served(Copy),
+    Served(Representation),
     /// The client's own copy is the one that would be served.
-    Unchanged(Option<Arc<str>>),
+    NotModified(Option<Arc<str>>),
     /// Turned away: nothing ran that may not run again.
-    Refused {
+    Rejected {
         /// When to come back, where that is advised.
-        wait: Option<Duration>,
+        retry_after: Option<Duration>,
         /// Why.
-        cause: Cause,
+        reason: FailureReason,
     },
     /// Failed: nothing is promised of what ran.
-    Failed(Cause),
+    Failed(FailureReason),
 }
 
 /// Whether a name can be passed on to servers unchanged, as a word among fields.
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' door: one line a connection, answered with a line that begins with `YES` or `NO`, or with
 //! lines of which the last is `END`.
 
-use super::serve::Closing;
-use crate::dispatch::{ClassCounts, Core, Figures};
+use super::serve::ShutdownPhase;
+use crate::dispatch::{ClassCounts, Dispatcher, DispatcherMetrics};
 use miniserde::{json, Serialize};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,7 +17,7 @@
 /// Callers at a time; a further one takes the place of the one that came first.
 const MOST_CALLERS: usize = 8;
 /// The descriptors that callers hold at most: one is accepted before another makes room.
-pub const MOST_DESCRIPTORS: usize = MOST_CALLERS + 1;
+pub const MAX_DESCRIPTORS: usize = MOST_CALLERS + 1;
 /// The longest call, and the longest where calls may name an object.
 const LONGEST_CALL: usize = 256;
 #[cfg(feature = "peers")]
@@ -31,25 +31,25 @@
 #[derive(Debug, Default)]
 pub struct Reloads {
     /// Taken over.
-    pub taken: Cell<u64>,
+    pub succeeded: Cell<u64>,
     /// Turned down.
     pub failed: Cell<u64>,
 }
 
 /// What the door shows.
 #[derive(Clone)]
-pub struct Door {
+pub struct AdminEndpoint {
     /// The core, whose figures are shown.
-    pub core: Core,
+    pub dispatcher: Dispatcher,
     /// Requests that are taken and not ended.
-    pub open: Rc<Cell<usize>>,
+    pub requests_in_flight: Rc<Cell<usize>>,
     /// Whether the program is to end.
-    pub closing: watch::Receiver<Closing>,
+    pub shutdown: watch::Receiver<ShutdownPhase>,
     /// Configurations read anew.
     pub reloads: Rc<Reloads>,
     /// Talk among directors, where that is on.
     #[cfg(feature = "peers")]
-    pub peers: Option<crate::cluster::Peers>,
+    pub peers: Option<crate::cluster::ClusterHandle>,
 }
 
 #[derive(Serialize)]
@@ -71,14 +71,14 @@
 }
 
 /// Listens at an address for as long as the program runs.
-pub async fn listen(address: &str, door: Door) -> Result<(), String> {
+pub async fn listen(address: &str, door: AdminEndpoint) -> Result<(), String> {
     let listener = TcpListener::bind(address).await.map_err(|e| format!("operators at {address}: {e}"))?;
     tokio::task::spawn_local(accept(listener, door));
     Ok(())
 }
 
 /// Gives each caller a task of its own, so that one that says nothing holds up no other.
-pub async fn accept(listener: TcpListener, door: Door) {
+pub async fn accept(listener: TcpListener, door: AdminEndpoint) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
@@ -105,7 +105,7 @@
     }
 }
 
-impl Door {
+impl AdminEndpoint {
     async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let (mut call, mut byte) = (Vec::new(), [0; 64]);
         let end = loop {
@@ -144,11 +144,11 @@
         if !matches!(call, b"check" | b"vars") {
             return "NO such call; there are 'check' and 'vars'\n".into();
         }
-        let Ok(Some(figures)) = timeout(CORE, self.core.figures()).await else {
+        let Ok(Some(figures)) = timeout(CORE, self.dispatcher.metrics()).await else {
             return "NO the core does not answer\n".into();
         };
         match call {
-            b"check" if *self.closing.borrow() != Closing::No => "NO it is about to end\n".into(),
+            b"check" if *self.shutdown.borrow() != ShutdownPhase::Running => "NO it is about to end\n".into(),
             #[cfg(feature = "peers")]
             b"check" if self.peers.is_some() => match &self.peers {
                 Some(peers) => format!("YES {}\n", crate::cluster::door::stage(peers).await),
@@ -159,18 +159,18 @@
         }
     }
 
-    fn show(&self, figures: Figures) -> String {
+    fn show(&self, figures: DispatcherMetrics) -> String {
         let class = |c: ClassCounts| {
-            let ClassCounts { served, refused, failed, .. } = c;
+            let ClassCounts { served, rejected: refused, failed, .. } = c;
             ShownClass { served, refused, failed }
         };
         json::to_string(&Shown {
             requests: figures.requests.iter().map(|(name, c)| (name.to_string(), class(*c))).collect(),
             attempts: figures.attempts,
-            in_flight: self.open.get(),
-            caches_known: figures.known,
-            caches_excluded: figures.excluded,
-            reloads_ok: self.reloads.taken.get(),
+            in_flight: self.requests_in_flight.get(),
+            caches_known: figures.endpoints_known,
+            caches_excluded: figures.endpoints_excluded,
+            reloads_ok: self.reloads.succeeded.get(),
             reloads_failed: self.reloads.failed.get(),
         })
     }
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's front: clients that speak the platform's HTTP.
 
 use super::http::{Head, Response};
-use super::serve::Front;
-use crate::dispatch::{bare_tag, is_name, Answer, Ask, Cause, Core};
+use super::serve::Frontend;
+use crate::dispatch::{bare_tag, is_name, ClientRequest, ClientResponse, Dispatcher, FailureReason};
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 /// The platform's own protocol.
 pub struct Platform(
     /// Where requests go.
-    pub Core,
+    pub Dispatcher,
 );
 
-impl Front for Platform {
+impl Frontend for Platform {
     const NAME: &'static str = "clients";
 
-    fn read(&self, head: &Head, body: Bytes) -> Result<Ask, Response> {
+    fn read(&self, head: &Head, body: Bytes) -> Result<ClientRequest, Response> {
         if head.target == "/alive" {
             return Err(Response::empty(self.alive(&head.method)));
         }
@@ -63,41 +63,43 @@
             Some(_) => Some(head.only("x-unique").filter(|token| is_name(token)).ok_or_else(bad)?),
         };
         let known = head.header("if-none-match").map(bare_tag).filter(|tag| is_name(tag));
-        Ok(Ask {
+        Ok(ClientRequest {
             id: id.into(),
             class,
             object: object.into(),
             part,
             group: family.map(|n| n as u32),
             size_kb: number("x-ram-kb", 0.0, LARGEST_KB)?.unwrap_or(0.0),
-            repeat: head.header("x-again").is_some_and(|v| v != "0"),
-            allow: Duration::from_secs_f64(allow / 1e3),
-            known: known.map(Into::into),
-            token: token.map(Into::into),
+            is_retry: head.header("x-again").is_some_and(|v| v != "0"),
+            timeout: Duration::from_secs_f64(allow / 1e3),
+            if_none_match: known.map(Into::into),
+            idempotency_key: token.map(Into::into),
             body,
-            valid_until: None,
+            credential_expires_at: None,
         })
     }
 
-    fn word(&self, answer: Answer) -> Response {
+    fn word(&self, answer: ClientResponse) -> Response {
         let tagged = |response: Response, tag: Option<Arc<str>>| match tag {
             Some(tag) => response.with("ETag", format!("\"{tag}\"")),
             None => response,
         };
         match answer {
-            Answer::Served(copy) => tagged(
+            ClientResponse::Served(copy) => tagged(
                 Response { body: copy.body, ..Response::empty(200) }
                     .with("Content-Type", "application/octet-stream".into()),
-                copy.tag,
+                copy.etag,
             ),
-            Answer::Unchanged(tag) => tagged(Response::empty(304), tag),
-            Answer::Refused { wait, .. } => match wait.and_then(|wait| self.advice(wait)) {
-                Some(wait) => Response::empty(503).with("X-Wait-Ms", wait.as_millis().max(1).to_string()),
-                None => Response::empty(503),
-            },
-            Answer::Failed(Cause::Deadline) => Response::empty(504),
-            Answer::Failed(Cause::Duplicate) => Response::empty(409),
-            Answer::Failed(_) => Response::empty(502),
+            ClientResponse::NotModified(tag) => tagged(Response::empty(304), tag),
+            ClientResponse::Rejected { retry_after: wait, .. } => {
+                match wait.and_then(|wait| self.advice(wait)) {
+                    Some(wait) => Response::empty(503).with("X-Wait-Ms", wait.as_millis().max(1).to_string()),
+                    None => Response::empty(503),
+                }
+            }
+            ClientResponse::Failed(FailureReason::DeadlineExceeded) => Response::empty(504),
+            ClientResponse::Failed(FailureReason::DuplicateRequest) => Response::empty(409),
+            ClientResponse::Failed(_) => Response::empty(502),
         }
     }
 }
@@ -115,8 +117,8 @@
     /// What a client is told of when to come back: no longer than clients heed, and only where they do.
     fn advice(&self, wait: Duration) -> Option<Duration> {
         let settings = self.0.settings();
-        let most = Duration::from_micros(settings.max_advice);
-        settings.retry_advice.then_some(wait.min(most)).filter(|wait| !wait.is_zero())
+        let most = Duration::from_micros(settings.max_retry_after);
+        settings.retry_after.then_some(wait.min(most)).filter(|wait| !wait.is_zero())
     }
 }
 
