--- a/src/frontend/serve.rs
+++ b/src/frontend/serve.rs
@@ -2,8 +2,8 @@
 
 use super::http::{self, BadRequest, Head, Response};
 use super::stream::ClientStream;
-use crate::dispatch::{Answer, Ask, Cause, Core};
-use crate::upstream::ahead;
+use crate::dispatch::{ClientRequest, ClientResponse, Dispatcher, FailureReason};
+use crate::upstream::peek_available;
 use bytes::{Buf, Bytes, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -42,45 +42,49 @@
 const WHOLE_ANSWER: Duration = Duration::from_secs(10);
 
 /// What a front makes of a request.
-pub trait Front: 'static {
+pub trait Frontend: 'static {
     /// How the log names it.
     const NAME: &'static str;
     /// The answer, or what to ask the core.
-    fn read(&self, head: &Head, body: Bytes) -> Result<Ask, Response>;
+    fn read(&self, head: &Head, body: Bytes) -> Result<ClientRequest, Response>;
     /// The largest body of a request.
     fn largest_body(&self) -> usize {
-        crate::dispatch::LARGEST_WRITE
+        crate::dispatch::MAX_WRITE_BYTES
     }
     /// The one place where outcomes become statuses.
-    fn word(&self, answer: Answer) -> Response;
+    fn word(&self, answer: ClientResponse) -> Response;
 }
 
 /// How far the end of the program has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Closing {
+pub enum ShutdownPhase {
     /// Not begun.
     #[default]
-    No,
+    Running,
     /// Each connection ends with its next answer.
-    AfterAnswer,
+    CloseAfterResponse,
     /// Those without a request in hand end now.
-    Idle,
+    CloseIdle,
 }
 
 /// What all connections of a front share, and all fronts of a program.
-pub struct Shared {
+pub struct ListenerContext {
     /// Where requests go.
-    pub core: Core,
+    pub dispatcher: Dispatcher,
     /// The client connections that may be open at a time, of all fronts together.
-    pub places: Rc<Places>,
+    pub slots: Rc<ConnectionSlots>,
     /// Told when the program is to end.
-    pub closing: watch::Receiver<Closing>,
+    pub shutdown: watch::Receiver<ShutdownPhase>,
     /// Requests that are taken and not answered.
-    pub open: Rc<Cell<usize>>,
+    pub requests_in_flight: Rc<Cell<usize>>,
 }
 
 /// Listens at an address, and serves connections for as long as the task lives.
-pub async fn listen<F: Front>(address: &str, shared: Shared, front: F) -> Result<JoinHandle<()>, String> {
+pub async fn listen<F: Frontend>(
+    address: &str,
+    shared: ListenerContext,
+    front: F,
+) -> Result<JoinHandle<()>, String> {
     let listener = TcpListener::bind(address).await.map_err(|e| format!("listen on {address}: {e}"))?;
     let address = listener.local_addr().map_err(|e| format!("listen on {address}: {e}"))?;
     tracing::info!("{} on {address}", F::NAME);
@@ -88,9 +92,9 @@
 }
 
 /// The same on a socket that was opened by whoever started the program.
-pub fn adopt<F: Front>(
+pub fn adopt<F: Frontend>(
     listener: std::net::TcpListener,
-    shared: Shared,
+    shared: ListenerContext,
     front: F,
 ) -> Result<JoinHandle<()>, String> {
     let error = |e| format!("inherited socket: {e}");
@@ -104,15 +108,15 @@
 /// Accepts connections from a listener. It waits for no place: where connections come and say nothing, others
 /// would wait behind them.
 /// At the end it takes what had come by then, for clients may have written whole requests there already.
-pub async fn accept<F: Front>(listener: TcpListener, shared: Shared, front: F) {
-    let (places, mut closing) = (shared.places.clone(), shared.closing.clone());
+pub async fn accept<F: Frontend>(listener: TcpListener, shared: ListenerContext, front: F) {
+    let (places, mut closing) = (shared.slots.clone(), shared.shutdown.clone());
     let shared = Rc::new((shared, front));
     let mut said: Option<Instant> = None;
     loop {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            _ = closing.wait_for(|c| *c == Closing::Idle) => break,
+            _ = closing.wait_for(|c| *c == ShutdownPhase::CloseIdle) => break,
         };
         match accepted {
             Ok((stream, _)) => begin(stream, &places, &shared),
@@ -138,14 +142,14 @@
 }
 
 /// Serves a connection in a task of its own, or refuses it where there is no place.
-fn begin<F: Front>(stream: TcpStream, places: &Rc<Places>, shared: &Rc<(Shared, F)>) {
+fn begin<F: Frontend>(stream: TcpStream, places: &Rc<ConnectionSlots>, shared: &Rc<(ListenerContext, F)>) {
     let shared = shared.clone();
     let Some(place) = places.enter() else {
-        let (wait, cause) = (Some(Duration::from_millis(500)), Cause::Busy);
-        let refusal = shared.1.word(Answer::Refused { wait, cause });
+        let (wait, cause) = (Some(Duration::from_millis(500)), FailureReason::Overloaded);
+        let refusal = shared.1.word(ClientResponse::Rejected { retry_after: wait, reason: cause });
         match places.linger() {
             Some(place) => {
-                tokio::task::spawn_local(refuse(stream, place, refusal, shared.0.open.clone()));
+                tokio::task::spawn_local(refuse(stream, place, refusal, shared.0.requests_in_flight.clone()));
             }
             None => turn_away(stream, &refusal),
         }
@@ -183,7 +187,7 @@
 /// waits for a request: first one that has been silent since it came, then the one that has been idle for
 /// longest. One with a request in hand never makes room, and there is a most that is never passed.
 #[derive(Debug)]
-pub struct Places {
+pub struct ConnectionSlots {
     usual: usize,
     most: usize,
     open: Cell<usize>,
@@ -201,23 +205,23 @@
 
 /// A connection's place, given back when it is dropped.
 #[derive(Debug)]
-pub struct Place(Rc<Places>);
+pub struct ConnectionSlot(Rc<ConnectionSlots>);
 
 /// A stay among those that wait.
 struct Stay<'a> {
-    place: &'a Place,
+    place: &'a ConnectionSlot,
     asked: bool,
     number: u64,
 }
 
-impl Places {
+impl ConnectionSlots {
     /// Keeps to about so many connections, and never passes the most.
     pub fn new(usual: usize, most: usize) -> Rc<Self> {
         let (open, lingering, next) = (Cell::new(0), Cell::new(0), Cell::new(0));
-        Rc::new(Places { usual, most, open, lingering, waiting: RefCell::default(), next })
+        Rc::new(ConnectionSlots { usual, most, open, lingering, waiting: RefCell::default(), next })
     }
 
-    fn enter(self: &Rc<Self>) -> Option<Place> {
+    fn enter(self: &Rc<Self>) -> Option<ConnectionSlot> {
         if self.open.get() >= self.usual {
             self.make_room();
         }
@@ -225,7 +229,7 @@
             return None;
         }
         self.open.set(self.open.get() + 1);
-        Some(Place(self.clone()))
+        Some(ConnectionSlot(self.clone()))
     }
 
     /// A stay of a connection that is refused, beside the places: they are few, for each is a descriptor.
@@ -253,7 +257,7 @@
     }
 }
 
-struct Lingering(Rc<Places>);
+struct Lingering(Rc<ConnectionSlots>);
 
 impl Drop for Lingering {
     fn drop(&mut self) {
@@ -261,13 +265,13 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
 }
 
-impl Place {
+impl ConnectionSlot {
     /// Lists the connection among those that wait for a request, until the stay is dropped; the receiver is
     /// told when it is to make room.
     fn wait(&self, asked: bool) -> (Stay<'_>, oneshot::Receiver<()>) {
@@ -313,9 +317,9 @@
 }
 
 /// Serves one connection to its end.
-async fn serve<F: Front>(stream: TcpStream, place: &Place, shared: &Shared, front: &F) {
+async fn serve<F: Frontend>(stream: TcpStream, place: &ConnectionSlot, shared: &ListenerContext, front: &F) {
     let _ = stream.set_nodelay(true);
-    let (mut connection, mut closing) = (Connection::new(stream), shared.closing.clone());
+    let (mut connection, mut closing) = (Connection::new(stream), shared.shutdown.clone());
     // Counted while a request is in hand, and at the end of the program from its first byte on.
     let (mut asked, mut counted) = (false, None);
     loop {
@@ -324,14 +328,14 @@
             request = connection.next_request(front.largest_body()) => request,
             // One that has begun to come is taken, and answered before the program ends. So is the first of a
             // new connection, which is on the way.
-            _ = closing.wait_for(|c| *c == Closing::Idle), if counted.is_none() => {
+            _ = closing.wait_for(|c| *c == ShutdownPhase::CloseIdle), if counted.is_none() => {
                 if !connection.has_come() {
                     if asked {
                         return;
                     }
                     connection.due = Some(Instant::now() + NEW);
                 }
-                counted = Some(Counted::new(&shared.open));
+                counted = Some(Counted::new(&shared.requests_in_flight));
                 continue;
             }
             // Where a request crosses this, it is taken all the same; of a new connection if it is whole.
@@ -356,17 +360,19 @@
                 return;
             }
         };
-        let _counted = counted.take().unwrap_or_else(|| Counted::new(&shared.open));
+        let _counted = counted.take().unwrap_or_else(|| Counted::new(&shared.requests_in_flight));
         let response = match front.read(&head, body) {
             Err(response) => response,
             Ok(ask) => tokio::select! {
-                answer = shared.core.ask_of(ask, connection.stream.client()) => front.word(answer),
+                answer = shared.dispatcher.submit_for_client(ask, connection.stream.client()) => {
+                    front.word(answer)
+                }
                 // Dropping the pending answer tells the core that the client has gone.
                 () = connection.gone() => return,
             },
         };
         let overrun = connection.thrown_away > 0;
-        let close = head.close || overrun || *shared.closing.borrow() != Closing::No;
+        let close = head.close || overrun || *shared.shutdown.borrow() != ShutdownPhase::Running;
         if connection.write(&response, close).await.is_err() {
             return;
         }
@@ -393,7 +399,7 @@
 
     /// Whether anything of a next request has come, be it unread and untold of yet.
     fn has_come(&self) -> bool {
-        !self.idle() || matches!(ahead(self.stream.socket()), Ok(n) if n > 0)
+        !self.idle() || matches!(peek_available(self.stream.socket()), Ok(n) if n > 0)
     }
 
     /// Reads the next request; none: the client closed the connection, left it idle or took too long. What
--- a/src/frontend/signed.rs
+++ b/src/frontend/signed.rs
@@ -1,10 +1,10 @@
 //! The second front: signed URLs and tokens. It listens where a file says, and is off without one.
 
 use super::http::{Head, Response};
-use super::serve::Front;
-use crate::discovery::watched_file::Watched;
-use crate::dispatch::{bare_tag, Answer, Ask, Clock, Core};
-use crate::signed::{self, Counts, Denied, KeyFile, Keys, Worded};
+use super::serve::Frontend;
+use crate::discovery::watched_file::WatchedFile;
+use crate::dispatch::{bare_tag, ClientRequest, ClientResponse, Clock, Dispatcher};
+use crate::signed::{self, Counts, Denied, HttpOutcome, KeyFile, Keys};
 use bytes::Bytes;
 use miniserde::json;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 }
 
 /// Watches the keys' file, so that keys can be added and removed while the program runs.
-pub async fn follow_keys(mut file: Watched, keys: watch::Sender<Arc<Keys>>) {
+pub async fn follow_keys(mut file: WatchedFile, keys: watch::Sender<Arc<Keys>>) {
     loop {
         let _ = keys.send_replace(Arc::new(file.next(parse_keys).await));
     }
@@ -25,7 +25,7 @@
 /// The front: checks each request, and words each answer.
 pub struct Signed {
     /// Where checked requests go.
-    pub core: Core,
+    pub core: Dispatcher,
     /// How they are checked, at present.
     pub keys: watch::Receiver<Arc<Keys>>,
     /// What time it is.
@@ -35,7 +35,7 @@
 }
 
 impl Signed {
-    fn say(&self, worded: Worded) -> Response {
+    fn say(&self, worded: HttpOutcome) -> Response {
         self.counts.add(worded.outcome);
         let mut response = Response { body: worded.body, ..Response::empty(worded.status) };
         match worded.status {
@@ -44,7 +44,7 @@
             // So that nothing between here and the client keeps a refusal for others.
             _ => response = response.with("Cache-Control", "no-store".into()),
         }
-        if let Some(tag) = worded.tag {
+        if let Some(tag) = worded.etag {
             response = response.with("ETag", format!("\"{tag}\""));
         }
         if let Some(seconds) = worded.retry_after {
@@ -59,17 +59,17 @@
     }
 }
 
-impl Front for Signed {
+impl Frontend for Signed {
     const NAME: &'static str = "signed links";
 
-    fn read(&self, head: &Head, body: Bytes) -> Result<Ask, Response> {
+    fn read(&self, head: &Head, body: Bytes) -> Result<ClientRequest, Response> {
         if head.target == "/alive" {
             return Err(Response::empty(if self.core.has_ended() { 503 } else { 200 }));
         }
-        let grant = self.check(head).map_err(|denied| self.say(signed::word(Err(denied))))?;
+        let grant = self.check(head).map_err(|denied| self.say(signed::to_http_outcome(Err(denied))))?;
         let known = head.only("if-none-match").map(bare_tag);
-        let id = self.core.fresh_id();
-        signed::ask(&self.core.settings(), &head.method, &grant, id, known, body).map_err(|unfit| {
+        let id = self.core.generate_request_id();
+        signed::parse_request(&self.core.settings(), &head.method, &grant, id, known, body).map_err(|unfit| {
             self.counts.add("bad_request");
             let response = Response::empty(unfit.status);
             match unfit.allow {
@@ -79,8 +79,8 @@
         })
     }
 
-    fn word(&self, answer: Answer) -> Response {
-        self.say(signed::word(Ok(answer)))
+    fn word(&self, answer: ClientResponse) -> Response {
+        self.say(signed::to_http_outcome(Ok(answer)))
     }
 }
 
@@ -90,10 +90,10 @@
     pub Arc<Counts>,
 );
 
-impl Front for Metrics {
+impl Frontend for Metrics {
     const NAME: &'static str = "metrics";
 
-    fn read(&self, head: &Head, _: Bytes) -> Result<Ask, Response> {
+    fn read(&self, head: &Head, _: Bytes) -> Result<ClientRequest, Response> {
         if head.target != "/metrics" {
             return Err(Response::empty(404));
         }
@@ -102,7 +102,7 @@
         Err(Response { body, ..Response::empty(200) }.with("Content-Type", kind))
     }
 
-    fn word(&self, _: Answer) -> Response {
+    fn word(&self, _: ClientResponse) -> Response {
         Response::empty(404) // nothing is asked here
     }
 }
--- a/src/frontend/stream.rs
+++ b/src/frontend/stream.rs
@@ -36,7 +36,7 @@
 struct Peer(Weak<TcpStream>);
 
 impl Client for Peer {
-    fn has_left(&self) -> bool {
+    fn has_disconnected(&self) -> bool {
         self.0.upgrade().is_none_or(|stream| has_closed(&stream))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,11 +20,11 @@
 //! gateway tells it what happened ([`Event`]) and when, and carries out what it answers ([`Action`]).
 //!
 //! ```
-//! use foxhold::{Action, Class, Event, Member, MemberState, ObjectId, ListKind, Request, RequestId};
+//! use foxhold::{Action, Class, Event, Member, MemberState, ObjectId, MemberUpdate, Request, RequestId};
 //! use foxhold::{Router, ServerId, Settings};
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { name: "pages".into(), aim: 400_000, ..Class::default() }],
+//!     classes: vec![Class { name: "pages".into(), latency_objective: 400_000, ..Class::default() }],
 //!     kinds: vec!["cache".into(), "parent".into(), "origin".into()],
 //!     parent_kind: Some(1),
 //!     origin_kind: 2,
@@ -34,11 +34,11 @@
 //! };
 //! let mut router = Router::new(settings, 7)?;
 //! let member = |id, zone, kind| Member {
-//!     server: ServerId(id), zone, kind, cell: 0, state: MemberState::Running, size: 8.0, since: 0,
+//!     server: ServerId(id), zone, kind, cell: 0, state: MemberState::Running, size: 8.0, started_at: 0,
 //! };
 //! let list = vec![member(1, 1, 0), member(2, 0, 1), member(3, 0, 2)];
 //! let mut actions = Vec::new();
-//! router.handle(0, Event::Members { kind: ListKind::Full, members: list }, &mut actions);
+//! router.handle(0, Event::Members { kind: MemberUpdate::Full, members: list }, &mut actions);
 //! let request = Request { id: RequestId(9), class: 0, object: ObjectId(0xfeed), deadline: 2_000_000,
 //!     ..Request::default() };
 //! router.handle(10, Event::Request(request), &mut actions);
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Parser, Subcommand};
 use foxhold::config::operator::Operator;
-use foxhold::config::platform::Config;
+use foxhold::config::platform::PlatformConfig;
 use foxhold::discovery::xds;
 use foxhold::frontend::signed::parse_keys;
 use foxhold::{daemon, log};
@@ -143,7 +143,7 @@
         use std::io::{Read, Write};
         let door = match (&self.door, std::env::var_os("ROUTER_CONFIG")) {
             (Some(door), _) => door.clone(),
-            (None, Some(path)) => Config::read(&PathBuf::from(path))?.ops,
+            (None, Some(path)) => PlatformConfig::read(&PathBuf::from(path))?.admin_address,
             (None, None) => return Err("neither --door nor ROUTER_CONFIG says where the door is".into()),
         };
         let failed = |e: std::io::Error| format!("the door at {door}: {e}");
@@ -202,8 +202,8 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let platform = text.trim_start().starts_with('{') && text.contains("\"settings\"");
     if platform {
-        let config = Config::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?;
-        let (classes, events) = (config.settings.classes.len(), config.known.len());
+        let config = PlatformConfig::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?;
+        let (classes, events) = (config.settings.classes.len(), config.initial_events.len());
         return Ok(format!("a platform configuration, {classes} classes, {events} events known"));
     }
     let operator = Operator::read(file).map_err(|e| e.to_string())?;
@@ -271,7 +271,7 @@
 }
 
 /// Reads the configuration at each SIGHUP. Those signals that come while one is under way count as one more.
-async fn reload(path: PathBuf, mut hangup: Signal, configs: mpsc::Sender<Result<Config, String>>) {
+async fn reload(path: PathBuf, mut hangup: Signal, configs: mpsc::Sender<Result<PlatformConfig, String>>) {
     while hangup.recv().await.is_some() {
         let _ = configs.send(read_config(&path)).await;
     }
@@ -279,9 +279,9 @@
 
 /// Reads the configuration. Where the system lets this process hold fewer descriptors than it says, that
 /// counts.
-fn read_config(path: &Path) -> Result<Config, String> {
-    let mut config = Config::read(path)?;
+fn read_config(path: &Path) -> Result<PlatformConfig, String> {
+    let mut config = PlatformConfig::read(path)?;
     let limit = getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok());
-    config.sockets = config.sockets.min(limit.unwrap_or(usize::MAX));
+    config.max_descriptors = config.max_descriptors.min(limit.unwrap_or(usize::MAX));
     Ok(config)
 }
--- a/src/middleware/director.rs
+++ b/src/middleware/director.rs
@@ -3,8 +3,11 @@
 use super::{only, say, Boxed, Budget, Routes};
 use crate::config::operator::LibrarySection;
 use crate::director::Director;
-use crate::dispatch::{bare_tag, Answer, Ask, Cause, ClientHandle, Core, Pending, LARGEST_WRITE};
-use crate::signed::{self, Counts, Grant, Unfit};
+use crate::dispatch::{
+    bare_tag, ClientHandle, ClientRequest, ClientResponse, Dispatcher, FailureReason, PendingResponse,
+    MAX_WRITE_BYTES,
+};
+use crate::signed::{self, Counts, Grant, InvalidRequest};
 use bytes::Bytes;
 use http::header::{ALLOW, IF_NONE_MATCH};
 use http::{HeaderValue, Request, Response, Uri};
@@ -22,19 +25,19 @@
 /// Who is asked. Of a [`Director`] it keeps a handle, so that it lives as long as the middleware does.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    core: Core,
+    core: Dispatcher,
     _director: Option<Director>,
 }
 
-impl From<Core> for Handle {
-    fn from(core: Core) -> Self {
+impl From<Dispatcher> for Handle {
+    fn from(core: Dispatcher) -> Self {
         Handle { core, _director: None }
     }
 }
 
 impl From<Director> for Handle {
     fn from(director: Director) -> Self {
-        Handle { core: director.core(), _director: Some(director) }
+        Handle { core: director.dispatcher(), _director: Some(director) }
     }
 }
 
@@ -195,8 +198,11 @@
         R: From<Bytes>,
     {
         let full = || {
-            let (wait, cause) = (Some(WHEN_FULL), Cause::Busy);
-            say(&self.counts, signed::word(Ok(Answer::Refused { wait, cause })))
+            let (wait, cause) = (Some(WHEN_FULL), FailureReason::Overloaded);
+            say(
+                &self.counts,
+                signed::to_http_outcome(Ok(ClientResponse::Rejected { retry_after: wait, reason: cause })),
+            )
         };
         if place.is_none() {
             return full();
@@ -207,30 +213,44 @@
             Err(unfit) => return self.bad(unfit.status, unfit.allow),
         };
         // What is not told may be as large as any.
-        let hint = body.size_hint().upper().map_or(LARGEST_WRITE, |n| n.min(LARGEST_WRITE as u64) as usize);
+        let hint =
+            body.size_hint().upper().map_or(MAX_WRITE_BYTES, |n| n.min(MAX_WRITE_BYTES as u64) as usize);
         let Ok(mut reserved) = self.budget.reserve(hint) else { return full() };
-        let Ok(body) = Limited::new(body, LARGEST_WRITE).collect().await else { return self.bad(413, None) };
+        let Ok(body) = Limited::new(body, MAX_WRITE_BYTES).collect().await else {
+            return self.bad(413, None);
+        };
         let body = body.to_bytes();
         reserved.shrink(body.len());
         let client = parts.extensions.get::<ClientHandle>();
-        let answer = self.hand_over(Ask { body, ..ask }, client).await;
-        say(&self.counts, signed::word(Ok(answer)))
+        let answer = self.hand_over(ClientRequest { body, ..ask }, client).await;
+        say(&self.counts, signed::to_http_outcome(Ok(answer)))
     }
 
-    fn ask(&self, parts: &http::request::Parts, target: Option<String>) -> Result<Ask, Unfit> {
-        let target = target.ok_or(Unfit { status: 404, allow: None })?;
+    fn ask(
+        &self,
+        parts: &http::request::Parts,
+        target: Option<String>,
+    ) -> Result<ClientRequest, InvalidRequest> {
+        let target = target.ok_or(InvalidRequest { status: 404, allow: None })?;
         // Without the layer that checks credentials nothing expires.
-        let valid_until = parts.extensions.get::<Grant>().and_then(|grant| grant.valid_until);
-        let grant = Grant { target, valid_until };
+        let valid_until = parts.extensions.get::<Grant>().and_then(|grant| grant.expires_at);
+        let grant = Grant { target, expires_at: valid_until };
         let known = only(&parts.headers, &IF_NONE_MATCH).map(bare_tag);
         let (core, method) = (&self.handle.core, parts.method.as_str());
-        signed::ask(&core.settings(), method, &grant, core.fresh_id(), known, Bytes::new())
+        signed::parse_request(
+            &core.settings(),
+            method,
+            &grant,
+            core.generate_request_id(),
+            known,
+            Bytes::new(),
+        )
     }
 
-    fn hand_over(&self, ask: Ask, client: Option<&ClientHandle>) -> Pending {
+    fn hand_over(&self, ask: ClientRequest, client: Option<&ClientHandle>) -> PendingResponse {
         match client {
-            Some(client) => self.handle.core.ask_of(ask, client.clone()),
-            None => self.handle.core.ask(ask),
+            Some(client) => self.handle.core.submit_for_client(ask, client.clone()),
+            None => self.handle.core.submit(ask),
         }
     }
 
--- a/src/middleware/mod.rs
+++ b/src/middleware/mod.rs
@@ -13,8 +13,9 @@
 //! look while bytes of a next request are unread, leaves a [`ClientHandle`](crate::dispatch::ClientHandle)
 //! among the request's extensions: the client is looked at before anything is sent for it.
 //!
-//! A body is taken whole before it is passed on, up to [`LARGEST_WRITE`](crate::dispatch::LARGEST_WRITE),
-//! within a [`Budget`] in bytes for all requests together. What finds no room is a 503 with `Retry-After`, at once.
+//! A body is taken whole before it is passed on, up to [`MAX_WRITE_BYTES`](crate::dispatch::MAX_WRITE_BYTES),
+//! within a [`Budget`] in bytes for all requests together. What finds no room is a 503 with `Retry-After`, at
+//! once.
 
 mod budget;
 mod director;
@@ -26,7 +27,7 @@
 pub use routes::{Route, Routes, RoutesError};
 pub use signed::{SignedLayer, SignedService};
 
-use crate::signed::{Counts, Worded};
+use crate::signed::{Counts, HttpOutcome};
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE, ETAG, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
@@ -48,7 +49,7 @@
     response
 }
 
-fn say<R: From<Bytes>>(counts: &Counts, worded: Worded) -> Response<R> {
+fn say<R: From<Bytes>>(counts: &Counts, worded: HttpOutcome) -> Response<R> {
     counts.add(worded.outcome);
     let mut response = empty(worded.status);
     let headers = response.headers_mut();
@@ -58,7 +59,7 @@
         304 => {}
         _ => headers.extend(text("no-store").map(|v| (CACHE_CONTROL, v))),
     }
-    headers.extend(worded.tag.and_then(|tag| text(&format!("\"{tag}\""))).map(|v| (ETAG, v)));
+    headers.extend(worded.etag.and_then(|tag| text(&format!("\"{tag}\""))).map(|v| (ETAG, v)));
     headers.extend(worded.retry_after.map(|s| (RETRY_AFTER, s.into())));
     *response.body_mut() = R::from(worded.body);
     response
--- a/src/middleware/signed.rs
+++ b/src/middleware/signed.rs
@@ -71,7 +71,7 @@
                 request.extensions_mut().insert(grant);
                 Box::pin(self.inner.call(request))
             }
-            Err(denied) => Box::pin(ready(Ok(say(&self.layer.counts, signed::word(Err(denied)))))),
+            Err(denied) => Box::pin(ready(Ok(say(&self.layer.counts, signed::to_http_outcome(Err(denied)))))),
         }
     }
 }
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -118,9 +118,9 @@
 const TOO_LATE: Micros = 2_000; // a request this near its end is not worth a send
 
 /// Kinds of timers, in the bits of a token above the request id.
-const TIMER_DEADLINE: Token = 1 << 64;
-const TIMER_LATE: Token = 2 << 64;
-const TIMER_RELIST: Token = 3 << 64;
+const TIMER_DEADLINE: TimerToken = 1 << 64;
+const TIMER_LATE: TimerToken = 2 << 64;
+const TIMER_RELIST: TimerToken = 3 << 64;
 
 /// The first few servers of a role in an object's hash order (rendezvous; a larger server wins in proportion
 /// to its size). As -ln u >= 1 - u, one compared number tells of nearly all that they can't be among these.
@@ -300,19 +300,22 @@
         match event {
             Event::Members { kind, members } => self.members(now, kind, members, out),
             Event::Request(request) => self.request(now, request, out),
-            Event::Started { request, attempt } => self.started(request, attempt, out),
-            Event::Ended(end) => self.ended(now, end, out),
-            Event::Left(id) => {
+            Event::ResponseStarted { request, attempt } => self.started(request, attempt, out),
+            Event::AttemptEnded(end) => self.ended(now, end, out),
+            Event::ClientCancelled(id) => {
                 self.held.entry(id).and_modify(|held| held.over = true);
                 self.settle(id, None, out);
             }
             Event::Timer(token) => self.timer(now, token, out),
             Event::Purged { object, group, age } => {
                 let at = now.saturating_sub(age);
-                let until = at.saturating_add(self.settings.purge_done).saturating_add(PURGE_EXTRA);
+                let until =
+                    at.saturating_add(self.settings.purge_complete_within).saturating_add(PURGE_EXTRA);
                 self.purges.add(Purge { object: object.map(|o| o.0), group, at, until }, now);
             }
-            Event::Probed { server, outcome, report, .. } => self.probed(now, server, outcome, &report, out),
+            Event::HealthChecked { server, outcome, load_report: report, .. } => {
+                self.probed(now, server, outcome, &report, out)
+            }
             Event::Settings(settings) => {
                 self.settings = *settings;
                 self.paces.resize_with(self.settings.classes.len(), || FRESH);
@@ -335,26 +338,26 @@
 
     // ---- the member list ----
 
-    fn members(&mut self, now: Micros, kind: ListKind, members: Vec<Member>, out: &mut Vec<Action>) {
+    fn members(&mut self, now: Micros, kind: MemberUpdate, members: Vec<Member>, out: &mut Vec<Action>) {
         let routers = f64::from(self.settings.routers.max(1));
         match kind {
-            ListKind::Failed => {
+            MemberUpdate::Failed => {
                 let at = now + self.relist_wait + self.draw() % self.relist_wait;
                 self.relist_wait = (self.relist_wait * 2).min(RELIST * 16);
-                out.push(Action::Wake { at, token: TIMER_RELIST });
+                out.push(Action::SetTimer { at, token: TIMER_RELIST });
                 return;
             }
-            ListKind::Stale if self.settings.must_ask => out.push(Action::Subscribe),
+            MemberUpdate::Stale if self.settings.poll_members => out.push(Action::Subscribe),
             _ => self.relist_wait = RELIST,
         }
-        if kind != ListKind::Changes {
+        if kind != MemberUpdate::Incremental {
             self.servers.values_mut().for_each(|s| s.member.state = MemberState::Gone);
         }
         for member in members {
             let start = -self.lump() * unit(self.draw());
             match self.servers.get_mut(&member.server) {
                 Some(known) => {
-                    if member.since > known.member.since {
+                    if member.started_at > known.member.started_at {
                         // A new process: what the old one did says nothing of it.
                         (known.strikes, known.trial_at, known.failed_fills) = (0.0, None, 0);
                         (known.cold_level, known.cold_at) = (start, now);
@@ -392,7 +395,7 @@
     }
 
     fn size(&self, server: &Server) -> f64 {
-        let told = Some(server.member.size).filter(|size| self.settings.sizes_told && *size > 0.0);
+        let told = Some(server.member.size).filter(|size| self.settings.sizes_known && *size > 0.0);
         told.unwrap_or(UNTOLD_SIZE)
     }
 
@@ -430,8 +433,8 @@
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.strikes += strikes;
         if s.strikes < STRIKES {
-            if self.settings.probes && s.running() && !std::mem::replace(&mut s.probing, true) {
-                out.push(Action::Probe(id));
+            if self.settings.health_checks && s.running() && !std::mem::replace(&mut s.probing, true) {
+                out.push(Action::HealthCheck(id));
             }
             return;
         }
@@ -458,7 +461,7 @@
         let Some(s) = self.servers.get_mut(&id) else { return };
         s.probing = false;
         match outcome {
-            Outcome::Ok | Outcome::Full => s.last_ok = now,
+            Outcome::Ok | Outcome::Rejected => s.last_ok = now,
             Outcome::ConnectError | Outcome::Reset => self.blame(id, STRIKES, now, out),
             _ => self.blame(id, STRIKES / 2.0, now, out),
         }
@@ -476,22 +479,24 @@
     fn cold_take(&mut self, id: ServerId, work: f64, now: Micros, spend: bool) -> bool {
         let Some(s) = self.servers.get(&id) else { return false };
         let (rule, sharers) = if self.is_parent(s) {
-            (self.settings.cold_parent, self.settings.routers)
+            (self.settings.parent_slow_start, self.settings.routers)
         } else {
             let here = self.settings.routers_by_zone.get(s.member.zone).copied().unwrap_or(0);
-            (self.settings.cold_cache, if here > 0 { here } else { self.settings.routers })
+            (self.settings.cache_slow_start, if here > 0 { here } else { self.settings.routers })
         };
-        let age = now.saturating_sub(s.member.since);
-        if s.member.since == 0 || age >= rule.warm_within || s.member.kind == self.settings.origin_kind {
+        let age = now.saturating_sub(s.member.started_at);
+        if s.member.started_at == 0 || age >= rule.warm_up_time || s.member.kind == self.settings.origin_kind
+        {
             return true;
         }
-        let warm = rule.floor + (1.0 - rule.floor) * age as f64 / rule.warm_within as f64;
+        let warm = rule.initial_capacity_share
+            + (1.0 - rule.initial_capacity_share) * age as f64 / rule.warm_up_time as f64;
         let lump = self.lump();
-        let limit = self.size(s) * warm * rule.multiple * rule.window as f64;
+        let limit = self.size(s) * warm * rule.overload_multiple * rule.overload_window as f64;
         let lumps = limit / lump;
         let safe = ((lumps + COLD_SPREAD * COLD_SPREAD / 4.0).sqrt() - COLD_SPREAD / 2.0).powi(2) / lumps;
         let share = limit / f64::from(sharers.max(1));
-        let rate = share * safe.min(COLD_USE) / rule.window as f64;
+        let rate = share * safe.min(COLD_USE) / rule.overload_window as f64;
         let room = share * (1.0 - COLD_USE) * COLD_BURST;
         let Some(s) = self.servers.get_mut(&id) else { return false };
         s.cold_level = (s.cold_level + rate * now.saturating_sub(s.cold_at) as f64).min(room);
@@ -503,17 +508,17 @@
 
     /// Whether a further attempt at this server can do no harm.
     fn may_send(&self, held: &Held, id: ServerId, now: Micros) -> bool {
-        if !self.settings.second_copies && held.attempts.iter().any(|a| a.out) {
+        if !self.settings.hedging && held.attempts.iter().any(|a| a.out) {
             return false;
         }
         if held.most > 0 && held.attempts.len() >= held.most as usize {
             return false;
         }
         let mut ran = held.attempts.iter().filter(|a| a.may_have_run);
-        match self.settings.classes[held.request.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            Effect::Keyed { scope, window } => ran.all(|a| {
+        match self.settings.classes[held.request.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::AtMostOnce => ran.next().is_none(),
+            Idempotency::IdempotencyKey { scope, window } => ran.all(|a| {
                 let place = |id| self.servers.get(&id).map(|s| (s.member.zone, s.member.cell));
                 let near = place(a.server)
                     .zip(place(id))
@@ -525,8 +530,8 @@
 
     /// Whether a refusal, which promises that a new try does no harm, would be true.
     fn may_refuse(&self, held: &Held) -> bool {
-        match self.settings.classes[held.request.class].effect {
-            Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
+        match self.settings.classes[held.request.class].idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
             _ => held.attempts.iter().all(|a| !a.may_have_run),
         }
     }
@@ -536,9 +541,9 @@
         let advice = ADVICE + self.draw() % ADVICE;
         let Some(held) = self.held.get(&id) else { return };
         let settings = &self.settings;
-        let retry_after = if settings.retry_advice { advice.min(settings.max_advice) } else { 0 };
+        let retry_after = if settings.retry_after { advice.min(settings.max_retry_after) } else { 0 };
         out.push(if self.may_refuse(held) {
-            Action::Refuse { request: id, retry_after }
+            Action::Reject { request: id, retry_after }
         } else {
             Action::Fail(id)
         });
@@ -550,7 +555,7 @@
     fn settle(&mut self, id: RequestId, keep: Option<u32>, out: &mut Vec<Action>) {
         let Some(held) = self.held.get(&id) else { return };
         for (n, attempt) in held.attempts.iter().enumerate() {
-            if attempt.out && self.settings.cancel && keep != Some(n as u32) {
+            if attempt.out && self.settings.can_cancel && keep != Some(n as u32) {
                 out.push(Action::Cancel { request: id, attempt: n as u32 });
             }
         }
@@ -566,16 +571,16 @@
             out.push(Action::Fail(request.id));
             return;
         };
-        let (aim, stretch) = (class.aim, class.aim_stretch);
+        let (aim, stretch) = (class.latency_objective, class.objective_stretch);
         let object = self.objects.entry(request.object.0, now);
         // Without this one: it comes because it is asked for, and says nothing of how often others are.
         let seen = (object.count.value(now, FADE), self.all.value(now, FADE));
         let _counted = (object.count.add(now, 1.0, FADE), self.all.add(now, 1.0, FADE));
         object.parts = object.parts.max(request.part.saturating_add(1));
-        object.asked += u32::from(request.part == 0 && !request.repeat && object.asked < u32::MAX);
+        object.asked += u32::from(request.part == 0 && !request.is_retry && object.asked < u32::MAX);
         let (asked, parts) = (object.asked, f64::from(object.parts));
         let pace = &mut self.paces[request.class];
-        let told = request.size_kb / self.settings.flow * 1e6;
+        let told = request.size_kb / self.settings.transfer_kb_per_s * 1e6;
         let work = if told > 0.0 && told.is_finite() { pace.tell(told, BLEND) } else { pace.work };
         let aim = now.saturating_add(aim).saturating_add((stretch * work) as Micros).min(request.deadline);
         self.extra = (self.extra + EXTRA_EARN + self.lost).min(EXTRA_SAVED);
@@ -585,7 +590,7 @@
         if deadline.saturating_sub(now) <= TOO_LATE || !self.send(now, id, out) {
             self.give_up(id, out);
         } else {
-            out.push(Action::Wake { at: deadline, token: TIMER_DEADLINE | Token::from(id.0) });
+            out.push(Action::SetTimer { at: deadline, token: TIMER_DEADLINE | TimerToken::from(id.0) });
         }
     }
 
@@ -670,7 +675,7 @@
         }
         let mut order = self.hashed(object, PARENTS, now);
         if let [first, second, ..] = order[..] {
-            let since = self.servers[&second].member.since;
+            let since = self.servers[&second].member.started_at;
             let open = self.wants(held, first, self.weights[1]) >= 1.0
                 || self.objects.entry(object.0, now).believed(second, since, now);
             let tally = |id: &ServerId| f64::from(self.servers[id].fills + self.servers[id].failed_fills);
@@ -718,17 +723,19 @@
     /// What a fill's end tells of the zone's link: its bytes came slowly or not at all, or found no place;
     /// and of the origin, which all parents fetch from: it was waited for too long, or turned the fetch away.
     fn admit_by(&mut self, end: &AttemptEnd, class: usize, work: f64, late: bool, at_origin: bool) {
-        let slow = end.took.saturating_sub(end.waited) as f64 > ADMIT_SLOW * (work + HIT_EXTRA);
+        let slow = end.elapsed.saturating_sub(end.source_wait) as f64 > ADMIT_SLOW * (work + HIT_EXTRA);
         let swamped = !self.fetch.is_full();
-        let (link, origin) = match (end.outcome, end.note) {
+        let (link, origin) = match (end.outcome, end.cache_status) {
             _ if self.settings.classes[class].write => return,
-            (Outcome::Ok, Note::Filled) => (Some(slow), None),
-            (Outcome::Ok, Note::FilledByOrigin) => (Some(slow), Some(late && end.waited > end.took / 2)),
-            (Outcome::Full, Note::NoPlace) => (Some(true), None),
-            (Outcome::Full, Note::OriginFailed) => (None, Some(true)),
-            (Outcome::Full, Note::SourceRefused) if at_origin => (None, Some(true)),
+            (Outcome::Ok, CacheStatus::Filled) => (Some(slow), None),
+            (Outcome::Ok, CacheStatus::FilledFromOrigin) => {
+                (Some(slow), Some(late && end.source_wait > end.elapsed / 2))
+            }
+            (Outcome::Rejected, CacheStatus::FillLimitReached) => (Some(true), None),
+            (Outcome::Rejected, CacheStatus::OriginFailed) => (None, Some(true)),
+            (Outcome::Rejected, CacheStatus::SourceRejected) if at_origin => (None, Some(true)),
             // Which of the two held it up is not told: it counts against an origin known to be swamped.
-            (Outcome::Canceled | Outcome::TimedOut, _) if late => (Some(true), swamped.then_some(true)),
+            (Outcome::Cancelled | Outcome::TimedOut, _) if late => (Some(true), swamped.then_some(true)),
             _ => return,
         };
         link.into_iter().for_each(|crowded| self.admit.observe(crowded, ADMISSION));
@@ -738,7 +745,7 @@
     /// A cache's report of the zone's link, over which its fills and all others' come: it tells at once what
     /// their ends tell late.
     fn link_told(&mut self, cache: ServerId, report: &[f64]) {
-        let place = self.settings.report.iter().position(|name| name == "x1");
+        let place = self.settings.load_report.iter().position(|name| name == "x1");
         let ours = self.caches.binary_search_by_key(&cache, |c| c.0).is_ok();
         if let Some(times) = place.and_then(|n| report.get(n)).filter(|_| ours) {
             let pull = (LINK_FULL / times.max(LINK_FULL / 2.0)).powf(LINK_PULL);
@@ -771,7 +778,7 @@
             let ran = Attempt { out: true, may_have_run: true, ..Attempt::default() };
             held.attempts.push(Attempt { server, source, sent: now, booked, ..ran });
             let late = now + (LATE * held.aim.saturating_sub(now) as f64) as Micros;
-            out.push(Action::Wake { at: late, token: TIMER_LATE | Token::from(id.0) });
+            out.push(Action::SetTimer { at: late, token: TIMER_LATE | TimerToken::from(id.0) });
             out.push(Action::Attempt { request: id, server, timeout: 0, fill });
         }
         self.held.insert(id, held);
@@ -786,22 +793,27 @@
         }
         let passing = class.write || source == Some(server);
         // Stale if error: without a source, or after one failed, a copy within its grace beats no answer.
-        let bereft = class.fresh > 0 && (source.is_none() || held.attempts.iter().any(|a| a.source_bad));
-        let limit = if bereft { class.fresh.saturating_add(class.grace) } else { class.fresh };
+        let bereft =
+            class.freshness_lifetime > 0 && (source.is_none() || held.attempts.iter().any(|a| a.source_bad));
+        let limit = if bereft {
+            class.freshness_lifetime.saturating_add(class.stale_grace)
+        } else {
+            class.freshness_lifetime
+        };
         let purged = self.purges.oldest(held.request.object.0, held.request.group, now);
         Some(Fill {
             source: source.unwrap_or(server),
-            keep: if passing { 0 } else { 1 + u8::from(held.asked > 1) },
+            cache_rank: if passing { 0 } else { 1 + u8::from(held.asked > 1) },
             max_age: purged.map_or(limit, |age| if limit > 0 { age.min(limit) } else { age }),
-            join: self.settings.joins && purged.is_none() && !passing,
-            held_only: held_only && source.is_some(),
-            renew: class.fresh > 0 && held.asked > 1 && !passing,
+            collapse: self.settings.request_collapsing && purged.is_none() && !passing,
+            only_if_cached: held_only && source.is_some(),
+            revalidate: class.freshness_lifetime > 0 && held.asked > 1 && !passing,
         })
     }
 
     fn choose(&mut self, now: Micros, held: &Held) -> Option<Choice> {
         let write = self.settings.classes[held.request.class].write;
-        if write && self.settings.direct {
+        if write && self.settings.direct_requests {
             let new =
                 |o: &ServerId| held.attempts.iter().all(|a| a.server != *o) && self.may_send(held, *o, now);
             if let Some(origin) = self.origin.filter(new) {
@@ -826,7 +838,7 @@
             return (!held_only || missed < 2).then_some((cache, parent, held_only));
         }
         // No cache of the zone can be used: go straight to the source.
-        if !self.settings.direct {
+        if !self.settings.direct_requests {
             return None;
         }
         let source = self.pick_source(now, held).filter(|s| self.may_send(held, *s, now))?;
@@ -869,12 +881,14 @@
         attempt.may_have_run = !end.outcome.never_ran();
         // Guards against requests that no server can use: were their errors put down to the sources, a few
         // bad clients would close the windows of them all.
-        let unasked = self.settings.notes == Notes::All && end.note == Note::None && end.took < QUICK_ERROR;
+        let unasked = self.settings.cache_status_level == CacheStatusLevel::All
+            && end.cache_status == CacheStatus::Unknown
+            && end.elapsed < QUICK_ERROR;
         attempt.error = end.outcome == Outcome::Failed && unasked;
         let error = attempt.error;
         attempt.missed = end.outcome == Outcome::Miss;
         attempt.source_bad =
-            !error && matches!(end.outcome, Outcome::Full | Outcome::Failed | Outcome::TimedOut);
+            !error && matches!(end.outcome, Outcome::Rejected | Outcome::Failed | Outcome::TimedOut);
         // A connection that broke on a server that goes on answering, or a fill that its source failed, is no
         // reason to leave the cache: another would fill the same bytes again over the zone's link.
         let alive = self.servers.get(&attempt.server).is_some_and(|s| s.last_ok >= attempt.sent);
@@ -885,9 +899,9 @@
         };
         let (server, source, sent, booked) = (attempt.server, attempt.source, attempt.sent, attempt.booked);
         let (work, class, object) = (held.work, held.request.class, held.request.object);
-        held.over |= end.over;
+        held.over |= end.request_finished;
         let over = held.over;
-        let slow = end.took as f64 > SLOW_FILL * held.aim.saturating_sub(sent) as f64;
+        let slow = end.elapsed as f64 > SLOW_FILL * held.aim.saturating_sub(sent) as f64;
         let idle = held.attempts.iter().all(|a| !a.out);
         let hopeless = held.attempts.iter().filter(|a| a.error).count() >= ERRORS;
         let direct = source == Some(server);
@@ -902,9 +916,9 @@
         if mislaid || end.outcome == Outcome::Ok {
             self.lost += BLEND * (f64::from(u8::from(mislaid)) - self.lost);
         }
-        let filled = match end.note {
-            Note::Filled | Note::FilledByOrigin => true,
-            Note::None => self.settings.notes == Notes::None,
+        let filled = match end.cache_status {
+            CacheStatus::Filled | CacheStatus::FilledFromOrigin => true,
+            CacheStatus::Unknown => self.settings.cache_status_level == CacheStatusLevel::None,
             _ => direct,
         };
         self.admit_by(&end, class, work, slow && source.is_some(), source == self.origin);
@@ -918,14 +932,18 @@
                 } else if let Some(s) = source.and_then(|s| self.servers.get_mut(&s)) {
                     s.cold_level += booked; // a hit: the source was not asked
                 }
-                self.paces[class].took(end.took as f64, work, BLEND);
-                if end.note == Note::Hit && self.caches.binary_search_by_key(&server, |c| c.0).is_ok() {
-                    self.crowds.told(server.0, end.took as f64, work + HIT_EXTRA, HIT_BLEND);
+                self.paces[class].took(end.elapsed as f64, work, BLEND);
+                if end.cache_status == CacheStatus::Hit
+                    && self.caches.binary_search_by_key(&server, |c| c.0).is_ok()
+                {
+                    self.crowds.told(server.0, end.elapsed as f64, work + HIT_EXTRA, HIT_BLEND);
                 }
             }
-            Outcome::Full if end.note != Note::SourceLost => {
-                let told = matches!(end.note, Note::SourceRefused | Note::OriginFailed);
-                let untold = self.settings.notes != Notes::All && self.load(server) < ROOMY;
+            Outcome::Rejected if end.cache_status != CacheStatus::SourceUnreachable => {
+                let told =
+                    matches!(end.cache_status, CacheStatus::SourceRejected | CacheStatus::OriginFailed);
+                let untold =
+                    self.settings.cache_status_level != CacheStatusLevel::All && self.load(server) < ROOMY;
                 let at_source = source.is_some() && !direct && (told || untold);
                 let whose = source.filter(|_| at_source).unwrap_or(server);
                 self.servers.entry(whose).and_modify(|s| s.busy_until = now + BUSY);
@@ -935,10 +953,10 @@
             Outcome::ConnectError | Outcome::Reset if alive || one_break => {}
             Outcome::Failed if error => self.blame(server, ERROR_STRIKE, now, out),
             Outcome::ConnectError | Outcome::Reset => self.blame(server, HARD_STRIKE, now, out),
-            Outcome::Failed | Outcome::TimedOut | Outcome::Full => {
-                let guilty = match end.note {
-                    Note::SourceRefused | Note::SourceLost => source,
-                    Note::NoPlace | Note::OriginFailed => None,
+            Outcome::Failed | Outcome::TimedOut | Outcome::Rejected => {
+                let guilty = match end.cache_status {
+                    CacheStatus::SourceRejected | CacheStatus::SourceUnreachable => source,
+                    CacheStatus::FillLimitReached | CacheStatus::OriginFailed => None,
                     _ if mislaid && self.lost > LOSSY => None,
                     _ if end.outcome == Outcome::Failed || alive => source.or(Some(server)),
                     _ => Some(server),
@@ -948,7 +966,7 @@
                     self.blame(guilty, 1.0, now, out);
                 }
             }
-            Outcome::Canceled | Outcome::NotSent | Outcome::Miss => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::Miss => {}
         }
         if over {
             self.settle(end.request, None, out);
@@ -957,16 +975,16 @@
         }
     }
 
-    fn timer(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
+    fn timer(&mut self, now: Micros, token: TimerToken, out: &mut Vec<Action>) {
         let id = RequestId(token as u64);
-        match token - Token::from(id.0) {
+        match token - TimerToken::from(id.0) {
             TIMER_DEADLINE => {
                 let open = self.held.get(&id).is_some_and(|h| !h.over && !h.started);
                 open.then(|| self.give_up(id, out));
             }
             TIMER_LATE => self.late(now, id, out),
-            TIMER_RELIST if self.settings.must_ask => out.push(Action::Subscribe),
-            TIMER_RELIST => out.push(Action::FetchList),
+            TIMER_RELIST if self.settings.poll_members => out.push(Action::Subscribe),
+            TIMER_RELIST => out.push(Action::FetchMembers),
             _ => {}
         }
     }
@@ -984,11 +1002,11 @@
         let silent = |s: &ServerId| self.servers.get(s).is_some_and(|s| s.last_ok < sent);
         let guilty = if silent(&server) { Some(server) } else { source.filter(silent) };
         last.source_bad = guilty.is_some() && source == guilty;
-        last.lost = guilty.is_none() && alone && self.settings.joins && self.lost > LOSSY;
+        last.lost = guilty.is_none() && alone && self.settings.request_collapsing && self.lost > LOSSY;
         let lost = last.lost;
         if let Some(guilty) = guilty {
             // Where a gateway sends little, every late answer finds a server silent: a probe tells more.
-            self.blame(guilty, if self.settings.probes { 0.0 } else { 1.0 }, now, out);
+            self.blame(guilty, if self.settings.health_checks { 0.0 } else { 1.0 }, now, out);
         } else if lost {
             self.again(now, id, out);
         }
--- a/src/policy/types.rs
+++ b/src/policy/types.rs
@@ -6,7 +6,7 @@
 pub type Micros = u64;
 
 /// What a wake-up asked for brings back; only the router reads it.
-pub type Token = u128;
+pub type TimerToken = u128;
 
 /// A cache, a parent or the origin. The number says nothing of place, kind or age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,19 +22,19 @@
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated freely.
     #[default]
-    Safe,
+    Idempotent,
     /// Repeats are dropped within a scope and for a time.
-    Keyed {
+    IdempotencyKey {
         /// Who drops repeats.
         scope: KeyScope,
         /// For how long, counted from the send of the first attempt that may have run.
         window: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    AtMostOnce,
 }
 
 /// The servers that drop repeats of a keyed request.
@@ -54,23 +54,23 @@
     /// Its name, for log lines only.
     pub name: String,
     /// An answer within this time has its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's own sending time.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// The time in which a client gives up for good.
     pub deadline: Micros,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth for a late answer.
-    pub late_share: f64,
+    pub late_weight_share: f64,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long a copy is fresh; 0: until it is purged.
-    pub fresh: Micros,
+    pub freshness_lifetime: Micros,
     /// How long past that it may still be served.
-    pub grace: Micros,
+    pub stale_grace: Micros,
     /// Share of the worth of an answer from a copy past its fresh time.
-    pub stale_share: f64,
+    pub stale_weight_share: f64,
     /// Runs at the origin and is never kept.
     pub write: bool,
     /// No longer configured: only requests that came before have it.
@@ -91,7 +91,7 @@
 
 /// What outcomes tell of hits and fills.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Notes {
+pub enum CacheStatusLevel {
     /// Nothing.
     #[default]
     None,
@@ -103,15 +103,15 @@
 
 /// Limits on servers that started lately.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ColdRule {
+pub struct SlowStartRule {
     /// Share of its capacity a server has at its start, at least.
-    pub floor: f64,
+    pub initial_capacity_share: f64,
     /// It has all of it after this time, at the latest.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// It falls over at this multiple of its present capacity.
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// Asked for that much during this time.
-    pub window: Micros,
+    pub overload_window: Micros,
 }
 
 /// The facts a router is told once, at its start.
@@ -134,47 +134,47 @@
     /// Routers in all.
     pub routers: u32,
     /// Capacity of the link into each zone, KB a second; 0 or absent: not told.
-    pub zone_link: Vec<f64>,
+    pub zone_link_kb_per_s: Vec<f64>,
     /// KB a second of one transfer to a client at full pace; 0: not told.
-    pub flow: f64,
+    pub transfer_kb_per_s: f64,
     /// Whether a member's size counts such transfers.
-    pub sizes_told: bool,
+    pub sizes_known: bool,
     /// Whether the member list must be asked for.
-    pub must_ask: bool,
+    pub poll_members: bool,
     /// Whether an attempt may be called off.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// Whether two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Whether clients hear when to return.
-    pub retry_advice: bool,
+    pub retry_after: bool,
     /// The longest advice that a client follows.
-    pub max_advice: Micros,
+    pub max_retry_after: Micros,
     /// Most attempts for a request; 0: no limit told.
     pub max_attempts: u32,
     /// Whether servers may be probed.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Whether routers may send each other messages.
-    pub peers: bool,
+    pub peer_messages: bool,
     /// Names of the values in a load report.
-    pub report: Vec<String>,
+    pub load_report: Vec<String>,
     /// Whether parents and the origin take requests straight.
-    pub direct: bool,
+    pub direct_requests: bool,
     /// Whether a request can join a fill under way.
-    pub joins: bool,
+    pub request_collapsing: bool,
     /// Which caches may fill others.
     pub siblings: Siblings,
     /// What outcomes tell.
-    pub notes: Notes,
+    pub cache_status_level: CacheStatusLevel,
     /// Nothing new to a draining server later than this after its drain was told.
     pub drain_grace: Micros,
     /// What a cache that started lately can take.
-    pub cold_cache: ColdRule,
+    pub cache_slow_start: SlowStartRule,
     /// What a parent that started lately can take.
-    pub cold_parent: ColdRule,
+    pub parent_slow_start: SlowStartRule,
     /// Time to heed a purge.
     pub purge_grace: Micros,
     /// By then servers have dropped purged copies by themselves.
-    pub purge_done: Micros,
+    pub purge_complete_within: Micros,
 }
 
 impl Settings {
@@ -252,14 +252,14 @@
     /// Its registered size.
     pub size: f64,
     /// When it last started; 0: long ago.
-    pub since: Micros,
+    pub started_at: Micros,
 }
 
 /// What a member event holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum MemberUpdate {
     /// Only what changed.
-    Changes,
+    Incremental,
     /// The whole list.
     Full,
     /// The whole list as last held, perhaps out of date.
@@ -286,7 +286,7 @@
     /// Size in KB; 0: not told.
     pub size_kb: f64,
     /// A client's repeat, where clients mark it.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt or a probe ended.
@@ -297,7 +297,7 @@
     /// An error; it may have run.
     Failed,
     /// Turned away for want of room, here or at the source; it never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -305,7 +305,7 @@
     /// The connection broke; it may have run.
     Reset,
     /// Called off; it may have run.
-    Canceled,
+    Cancelled,
     /// Not sent at all.
     NotSent,
     /// Nothing suitable held there; it never ran.
@@ -315,34 +315,34 @@
 impl Outcome {
     /// Whether it proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectError | Outcome::NotSent | Outcome::Miss)
+        matches!(self, Outcome::Rejected | Outcome::ConnectError | Outcome::NotSent | Outcome::Miss)
     }
 }
 
 /// What an outcome tells of its copy or fill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheStatus {
     /// Nothing told.
     #[default]
-    None,
+    Unknown,
     /// Served from a copy.
     Hit,
     /// Filled.
     Filled,
     /// Filled by way of the origin.
-    FilledByOrigin,
+    FilledFromOrigin,
     /// Joined a fill; with a miss: one is under way.
-    Joined,
+    Collapsed,
     /// From a copy past its fresh time.
     Stale,
     /// The source turned the fill away.
-    SourceRefused,
+    SourceRejected,
     /// The source was not reached, broke off or ran out of time.
-    SourceLost,
+    SourceUnreachable,
     /// The source lacks the object.
-    SourceLacks,
+    SourceMiss,
     /// No place for a fill at the cache.
-    NoPlace,
+    FillLimitReached,
     /// The origin failed behind the parent.
     OriginFailed,
 }
@@ -359,15 +359,15 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since its send.
-    pub took: Micros,
+    pub elapsed: Micros,
     /// The request is over, by this or before.
-    pub over: bool,
+    pub request_finished: bool,
     /// What is told of the copy.
-    pub note: Note,
+    pub cache_status: CacheStatus,
     /// Time to the source's first byte or failure; 0: not told.
-    pub waited: Micros,
+    pub source_wait: Micros,
     /// Load report, in the order of `Settings::report`; empty: none.
-    pub report: Vec<f64>,
+    pub load_report: Vec<f64>,
 }
 
 /// What happened.
@@ -376,35 +376,35 @@
     /// News of the member list.
     Members {
         /// What `members` holds.
-        kind: ListKind,
+        kind: MemberUpdate,
         /// The entries.
         members: Vec<Member>,
     },
     /// A client's request came in.
     Request(Request),
     /// A streamed answer began: the attempt belongs to the client now.
-    Started {
+    ResponseStarted {
         /// Its request.
         request: RequestId,
         /// The attempt.
         attempt: u32,
     },
     /// An attempt ended.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// The client left, or the final answer is overdue.
-    Left(RequestId),
+    ClientCancelled(RequestId),
     /// A wake-up asked for earlier.
-    Timer(Token),
+    Timer(TimerToken),
     /// A probe ended.
-    Probed {
+    HealthChecked {
         /// Which server.
         server: ServerId,
         /// How.
         outcome: Outcome,
         /// Time since its send.
-        took: Micros,
+        elapsed: Micros,
         /// Load report; empty: none.
-        report: Vec<f64>,
+        load_report: Vec<f64>,
     },
     /// Another router's message.
     Message {
@@ -433,15 +433,15 @@
     /// A parent, the origin, another cache, or the server itself for no fill.
     pub source: ServerId,
     /// 0: keep no copy; 1 to 3: rank at which it is kept, low ranks leave first.
-    pub keep: u8,
+    pub cache_rank: u8,
     /// Oldest copy that will do; 0: the class's fresh time.
     pub max_age: Micros,
     /// Wait for a fill that runs already.
-    pub join: bool,
+    pub collapse: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     /// Serve an ageing copy and fetch it anew behind.
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
 /// What the gateway is to do.
@@ -466,7 +466,7 @@
         attempt: u32,
     },
     /// Final answer: turned away, a new try does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When to come back; 0: no advice.
@@ -475,20 +475,20 @@
     /// Final answer: failed, nothing promised.
     Fail(RequestId),
     /// Wake the router at or after this time.
-    Wake {
+    SetTimer {
         /// When.
         at: Micros,
         /// Comes back with the event.
-        token: Token,
+        token: TimerToken,
     },
     /// Probe a server.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Ask for changes of the member list from now on.
     Subscribe,
     /// Ask for the whole member list once.
-    FetchList,
+    FetchMembers,
     /// Send a message to one router, or to all.
-    Tell {
+    SendMessage {
         /// Its number; none: all.
         to: Option<u32>,
         /// At most 256 bytes.
--- a/src/replication/entry.rs
+++ b/src/replication/entry.rs
@@ -3,7 +3,7 @@
 //! Every merge is commutative, associative and idempotent, so that the order in which copies come, and how
 //! often, decides nothing; where two copies leave a doubt, the safer one wins (a drain, a later purge).
 
-use crate::dispatch::membership::Listing;
+use crate::dispatch::membership::Endpoint;
 use crate::policy::types::{MemberState, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 /// One run of one director: drawn anew at each start, so that what a director said before it lost its memory
 /// is never taken for what it says afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Run(pub u64);
+pub struct Incarnation(pub u64);
 
 /// What an entry is about.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     /// Operators' words on whether a server drains, by its name.
     Drain(String),
     /// A server as the source of the list tells of it, by its name.
-    Listed(String),
+    Endpoint(String),
 }
 
 /// The kinds, as operators name them.
@@ -57,7 +57,7 @@
         match self {
             Key::Object(_) | Key::Group(_) => Kind::Purges,
             Key::Drain(_) => Kind::Drains,
-            Key::Listed(_) => Kind::Members,
+            Key::Endpoint(_) => Kind::Members,
         }
     }
 }
@@ -67,7 +67,7 @@
         match self {
             Key::Object(name) => write!(f, "object {name}"),
             Key::Group(group) => write!(f, "group {group}"),
-            Key::Drain(name) | Key::Listed(name) => f.write_str(name),
+            Key::Drain(name) | Key::Endpoint(name) => f.write_str(name),
         }
     }
 }
@@ -75,51 +75,59 @@
 /// Operators' words on one server. Each drain is a dot: a run and its number. An undrain takes back the dots
 /// that it has heard of, no others: a drain told elsewhere in the same moment stays in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Words {
+pub struct DrainRecord {
     /// The process that they are about, by its start (Unix microseconds; 0: not told). A later one stands
     /// above.
-    pub since: Micros,
+    pub started_at: Micros,
     /// The last drain that each run told.
-    pub told: BTreeMap<Run, u32>,
+    pub drains_by_incarnation: BTreeMap<Incarnation, u32>,
     /// The last of these that was taken back.
-    pub undone: BTreeMap<Run, u32>,
+    pub undrains_by_incarnation: BTreeMap<Incarnation, u32>,
 }
 
-impl Words {
+impl DrainRecord {
     /// Whether the server is to drain.
     pub fn drains(&self) -> bool {
-        self.told.iter().any(|(run, n)| self.undone.get(run) < Some(n))
+        self.drains_by_incarnation.iter().any(|(run, n)| self.undrains_by_incarnation.get(run) < Some(n))
     }
 
     /// A drain told to this run, for the process that runs there now.
-    pub fn drain(&self, run: Run, since: Micros) -> Words {
+    pub fn drain(&self, run: Incarnation, since: Micros) -> DrainRecord {
         let mut words = self.of(since);
-        let last = words.told.get(&run).max(words.undone.get(&run)).copied().unwrap_or(0);
-        words.told.insert(run, last.saturating_add(1));
+        let last = words
+            .drains_by_incarnation
+            .get(&run)
+            .max(words.undrains_by_incarnation.get(&run))
+            .copied()
+            .unwrap_or(0);
+        words.drains_by_incarnation.insert(run, last.saturating_add(1));
         words
     }
 
     /// All drains that are known here taken back.
-    pub fn undrain(&self, since: Micros) -> Words {
+    pub fn undrain(&self, since: Micros) -> DrainRecord {
         let mut words = self.of(since);
-        words.undone.extend(words.told.iter().map(|(run, n)| (*run, *n)));
+        words.undrains_by_incarnation.extend(words.drains_by_incarnation.iter().map(|(run, n)| (*run, *n)));
         words
     }
 
     /// These words if they are about that process or a later one, else none yet.
-    fn of(&self, since: Micros) -> Words {
-        if since > self.since {
-            return Words { since, ..Words::default() };
+    fn of(&self, since: Micros) -> DrainRecord {
+        if since > self.started_at {
+            return DrainRecord { started_at: since, ..DrainRecord::default() };
         }
         self.clone()
     }
 
-    fn merge(&mut self, other: &Words) {
-        match self.since.cmp(&other.since) {
+    fn merge(&mut self, other: &DrainRecord) {
+        match self.started_at.cmp(&other.started_at) {
             std::cmp::Ordering::Less => *self = other.clone(),
             std::cmp::Ordering::Greater => {}
             std::cmp::Ordering::Equal => {
-                for (mine, theirs) in [(&mut self.told, &other.told), (&mut self.undone, &other.undone)] {
+                for (mine, theirs) in [
+                    (&mut self.drains_by_incarnation, &other.drains_by_incarnation),
+                    (&mut self.undrains_by_incarnation, &other.undrains_by_incarnation),
+                ] {
                     for (run, n) in theirs {
                         let known = mine.entry(*run).or_default();
                         *known = (*known).max(*n);
@@ -132,7 +140,7 @@
 
 /// A server as the list has it, without its name.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+pub struct EndpointRecord {
     /// Where it listens.
     pub address: String,
     /// Its zone.
@@ -146,21 +154,21 @@
     /// Its size; 0: not told.
     pub size: f64,
     /// Unix time of a late start in microseconds, or 0.
-    pub since: Micros,
+    pub started_at: Micros,
 }
 
-impl Place {
+impl EndpointRecord {
     /// One that is gone: nothing else of it matters, and all directors write the same.
-    pub fn gone() -> Place {
-        Place { state: 2, ..Place::default() }
+    pub fn gone() -> EndpointRecord {
+        EndpointRecord { state: 2, ..EndpointRecord::default() }
     }
 
     /// Of a listing.
-    pub fn of(listing: &Listing) -> Place {
+    pub fn of(listing: &Endpoint) -> EndpointRecord {
         if listing.state == MemberState::Gone {
-            return Place::gone();
+            return EndpointRecord::gone();
         }
-        Place {
+        EndpointRecord {
             address: listing.address.to_string(),
             zone: listing.zone.clone(),
             kind: listing.kind.clone(),
@@ -171,13 +179,13 @@
                 MemberState::Gone => 2,
             },
             size: listing.size,
-            since: listing.since,
+            started_at: listing.started_at,
         }
     }
 
     /// As the core takes it.
-    pub fn listing(&self, name: &str) -> Listing {
-        Listing {
+    pub fn endpoint(&self, name: &str) -> Endpoint {
+        Endpoint {
             name: name.into(),
             address: self.address.as_str().into(),
             zone: self.zone.clone(),
@@ -189,51 +197,52 @@
                 _ => MemberState::Gone,
             },
             size: self.size,
-            since: self.since,
+            started_at: self.started_at,
         }
     }
 }
 
 /// What is held of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Value {
     /// Copies older than this Unix time (microseconds) are not to be served; the later wins.
     Purged(Micros),
     /// Operators' words on a server.
-    Drain(Words),
+    Drain(DrainRecord),
     /// What the source says, by the number of its event; the later number wins.
-    Listed(u64, Place),
+    Endpoint(u64, EndpointRecord),
 }
 
 /// What came of a copy that was merged in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// Nothing new.
-    Same,
+    Unchanged,
     /// What is held is another now.
     Changed,
     /// Two copies of one version differ, which no director makes: the greater by its bytes is kept, so that
     /// all keep the same, and it is to be told.
-    Differs {
+    Conflict {
         /// Whether the copy that came is the one kept.
         changed: bool,
     },
 }
 
-impl Word {
-    /// Merges a copy of the same key in. A copy of another kind than the key's is refused before ([`fits`]).
-    pub fn merge(&mut self, other: &Word) -> Merged {
+impl Value {
+    /// Merges a copy of the same key in. A copy of another kind than the key's is refused before
+    /// ([`matches_kind`]).
+    pub fn merge(&mut self, other: &Value) -> MergeOutcome {
         let before = self.clone();
         match (&mut *self, other) {
-            (Word::Purged(at), Word::Purged(other)) => *at = (*at).max(*other),
-            (Word::Drain(words), Word::Drain(other)) => words.merge(other),
-            (Word::Listed(rev, place), Word::Listed(other_rev, other_place)) => {
+            (Value::Purged(at), Value::Purged(other)) => *at = (*at).max(*other),
+            (Value::Drain(words), Value::Drain(other)) => words.merge(other),
+            (Value::Endpoint(rev, place), Value::Endpoint(other_rev, other_place)) => {
                 if rev == other_rev && place != other_place {
-                    let changed = bytes(other) > bytes(&before);
+                    let changed = encode(other) > encode(&before);
                     if changed {
                         *place = other_place.clone();
                     }
-                    return Merged::Differs { changed };
+                    return MergeOutcome::Conflict { changed };
                 }
                 if other_rev > rev {
                     (*rev, *place) = (*other_rev, other_place.clone());
@@ -242,25 +251,25 @@
             _ => {}
         }
         if *self == before {
-            Merged::Same
+            MergeOutcome::Unchanged
         } else {
-            Merged::Changed
+            MergeOutcome::Changed
         }
     }
 }
 
 /// Whether a word is of its key's kind.
-pub fn fits(key: &Key, word: &Word) -> bool {
+pub fn matches_kind(key: &Key, word: &Value) -> bool {
     matches!(
         (key, word),
-        (Key::Object(_) | Key::Group(_), Word::Purged(_))
-            | (Key::Drain(_), Word::Drain(_))
-            | (Key::Listed(_), Word::Listed(..))
+        (Key::Object(_) | Key::Group(_), Value::Purged(_))
+            | (Key::Drain(_), Value::Drain(_))
+            | (Key::Endpoint(_), Value::Endpoint(..))
     )
 }
 
 /// The form in which it is sent and kept; also what digests go by.
-pub fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // Into memory, of types that have a form: there is nothing that could fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
--- a/src/replication/gossip.rs
+++ b/src/replication/gossip.rs
@@ -13,13 +13,13 @@
 //!   by side, each a range of places that is gone through in order. A lane whose source falls silent goes on
 //!   with another member from where it stands: it matters to nobody from whom an entry comes.
 //!
-//! All of it is bounded: a message by [`LARGEST`], rumours by [`MOST_RUMOURS`] (beyond that digests find the
-//! rest), a step of a walk by 16 nodes. A message answers one message with a few, so a peer that floods gets
-//! no more back than a fixed multiple.
+//! All of it is bounded: a message by [`MAX_MESSAGE_BYTES`], rumours by [`MAX_PENDING_UPDATES`] (beyond that
+//! digests find the rest), a step of a walk by 16 nodes. A message answers one message with a few, so a peer
+//! that floods gets no more back than a fixed multiple.
 
 use super::digest::Node;
-use super::entry::{bytes, Key, Merged, Word};
-use super::state::{leaf_places, Now, Refused, State};
+use super::entry::{encode, Key, MergeOutcome, Value};
+use super::state::{leaf_places, ClockReading, MergeError, ReplicatedState};
 use crate::policy::estimators::hash::{mix, unit};
 use crate::policy::types::Micros;
 use serde::{Deserialize, Serialize};
@@ -32,9 +32,9 @@
 /// See [`FANOUT`].
 pub const ROUNDS: u8 = 3;
 /// Rumours that are under way at a time.
-pub const MOST_RUMOURS: usize = 512;
+pub const MAX_PENDING_UPDATES: usize = 512;
 /// Bytes of entries in one message, as near as a whole entry allows.
-pub const LARGEST: usize = 1_050;
+pub const MAX_MESSAGE_BYTES: usize = 1_050;
 /// Nodes or leaves of a walk that one message leads to.
 const MOST_STEPS: usize = 16;
 /// Sums of entries in one message.
@@ -50,31 +50,31 @@
 
 /// What directors say to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Say {
+pub enum GossipMessage {
     /// Entries: rumours and repairs.
-    Words(Vec<(Key, Word)>),
+    Updates(Vec<(Key, Value)>),
     /// The root of the sender's digest.
-    Root(u64),
+    RootDigest(u64),
     /// Sums of the children of nodes.
-    Sums(Vec<(Node, Vec<u64>)>),
+    ChildDigests(Vec<(Node, Vec<u64>)>),
     /// All places and sums that the sender has in a range, both ends included.
-    Have(u64, u64, Vec<(u64, u64)>),
+    RangeSummary(u64, u64, Vec<(u64, u64)>),
     /// Asks for the entries at these places.
-    Send(Vec<u64>),
+    RequestEntries(Vec<u64>),
     /// Catching up: asks for entries from a place on, up to another.
-    Pull(u8, u64, u64),
+    TransferRequest(u8, u64, u64),
     /// Catching up: entries from a place on, and the place to go on with, none at the lane's end; and whether
     /// the sender is caught up itself.
-    Chunk(u8, u64, Vec<(Key, Word)>, Option<u64>, bool),
+    TransferChunk(u8, u64, Vec<(Key, Value)>, Option<u64>, bool),
 }
 
 /// Something that this director came to hold.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct Update {
     /// The key.
     pub key: Key,
     /// What is held of it now.
-    pub word: Word,
+    pub value: Value,
 }
 
 /// How far a director has come.
@@ -98,7 +98,7 @@
     /// Copies of one version that differed.
     pub differing: u64,
     /// Entries turned down, by cause.
-    pub refused: BTreeMap<Refused, u64>,
+    pub refused: BTreeMap<MergeError, u64>,
     /// Rumours that found no room.
     pub rumours_dropped: u64,
     /// Digests that differed.
@@ -108,7 +108,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Lane<P> {
+struct TransferLane<P> {
     /// The next place, none: done.
     next: Option<u64>,
     until: u64,
@@ -118,13 +118,13 @@
 
 /// One director's part in the conversation; `P` names a member.
 #[derive(Debug)]
-pub struct Talk<P> {
+pub struct GossipProtocol<P> {
     /// All entries.
-    pub state: State,
+    pub state: ReplicatedState,
     peers: Vec<P>,
     /// Rounds left of each rumour.
     rumours: BTreeMap<Key, u8>,
-    lanes: Vec<Lane<P>>,
+    lanes: Vec<TransferLane<P>>,
     stage: Stage,
     since: Micros,
     /// Heard that a lane's source was not caught up itself.
@@ -137,26 +137,26 @@
     heard: Micros,
     random: u64,
     counts: Counts,
-    news: Vec<News>,
+    news: Vec<Update>,
     /// When a digest of this member was last the same as ours.
     alike: HashMap<P, Micros>,
 }
 
-impl<P: Clone + Debug + Eq + Hash> Talk<P> {
+impl<P: Clone + Debug + Eq + Hash> GossipProtocol<P> {
     /// Begins at this time, with what a disk held, and catches up once there are members.
-    pub fn new(state: State, seed: u64, now: Now) -> Talk<P> {
-        let mut talk = Talk {
+    pub fn new(state: ReplicatedState, seed: u64, now: ClockReading) -> GossipProtocol<P> {
+        let mut talk = GossipProtocol {
             state,
             peers: Vec::new(),
             rumours: BTreeMap::new(),
             lanes: Vec::new(),
             stage: Stage::CatchingUp,
-            since: now.steady,
+            since: now.monotonic,
             from_unsure: false,
             answers: None,
-            next_digest: now.steady,
-            next_expiry: now.steady,
-            heard: now.steady,
+            next_digest: now.monotonic,
+            next_expiry: now.monotonic,
+            heard: now.monotonic,
             random: mix(seed, 3),
             counts: Counts::default(),
             news: Vec::new(),
@@ -187,30 +187,30 @@
     }
 
     /// When a member's digest was last the same as ours, by the steady clock.
-    pub fn alike(&self, peer: &P) -> Option<Micros> {
+    pub fn last_in_sync(&self, peer: &P) -> Option<Micros> {
         self.alike.get(peer).copied()
     }
 
     /// The members are these now.
-    pub fn members(&mut self, peers: Vec<P>) {
+    pub fn set_members(&mut self, peers: Vec<P>) {
         self.alike.retain(|peer, _| peers.contains(peer));
         self.peers = peers;
     }
 
     /// What others' words changed here since the last time.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.news)
     }
 
     /// Something that was told here and is to be told on.
-    pub fn told(&mut self, change: Option<(Key, Word)>) {
+    pub fn publish(&mut self, change: Option<(Key, Value)>) {
         if let Some((key, _)) = change {
             self.rumour(key);
         }
     }
 
     fn rumour(&mut self, key: Key) {
-        if self.rumours.len() >= MOST_RUMOURS && !self.rumours.contains_key(&key) {
+        if self.rumours.len() >= MAX_PENDING_UPDATES && !self.rumours.contains_key(&key) {
             self.counts.rumours_dropped += 1;
             return;
         }
@@ -219,34 +219,38 @@
 
     // ---- by itself ----
 
-    fn catch_up(&mut self, now: Now) {
+    fn catch_up(&mut self, now: ClockReading) {
         let width = (u64::MAX / LANES as u64) + 1;
-        let lane = |n: u64| Lane { next: Some(n * width), until: n * width + (width - 1), asked: None };
+        let lane =
+            |n: u64| TransferLane { next: Some(n * width), until: n * width + (width - 1), asked: None };
         self.lanes = (0..LANES as u64).map(lane).collect();
-        (self.stage, self.since, self.from_unsure) = (Stage::CatchingUp, now.steady, false);
+        (self.stage, self.since, self.from_unsure) = (Stage::CatchingUp, now.monotonic, false);
     }
 
     /// What is due: called often, some tens of times a second.
-    pub fn tick(&mut self, now: Now, out: &mut Vec<(P, Say)>) {
-        if now.steady >= self.next_expiry {
-            self.next_expiry = now.steady + 1_000_000;
+    pub fn tick(&mut self, now: ClockReading, out: &mut Vec<(P, GossipMessage)>) {
+        if now.monotonic >= self.next_expiry {
+            self.next_expiry = now.monotonic + 1_000_000;
             self.state.expire(now);
         }
         self.spread(out);
         self.pull(now, out);
-        if now.steady >= self.next_digest {
+        if now.monotonic >= self.next_digest {
             // Drawn between half and one and a half of the mean, so that a fleet does not come in step.
             let gap = DIGESTS / 2 + self.draw(DIGESTS as usize) as Micros;
-            self.next_digest = now.steady + gap;
+            self.next_digest = now.monotonic + gap;
             if !self.peers.is_empty() {
                 let one = self.draw(self.peers.len());
-                out.push((self.peers[one].clone(), Say::Root(self.state.digest().sum(Node::ROOT))));
+                out.push((
+                    self.peers[one].clone(),
+                    GossipMessage::RootDigest(self.state.digest().sum(Node::ROOT)),
+                ));
             }
         }
     }
 
     /// One round of all rumours.
-    fn spread(&mut self, out: &mut Vec<(P, Say)>) {
+    fn spread(&mut self, out: &mut Vec<(P, GossipMessage)>) {
         if self.rumours.is_empty() || self.peers.is_empty() {
             return;
         }
@@ -260,7 +264,7 @@
         self.rumours.retain(|_, rounds| *rounds > 0);
         let messages = packed(words);
         for peer in self.some(FANOUT) {
-            out.extend(messages.iter().map(|words| (peer.clone(), Say::Words(words.clone()))));
+            out.extend(messages.iter().map(|words| (peer.clone(), GossipMessage::Updates(words.clone()))));
         }
     }
 
@@ -275,11 +279,11 @@
         places[..many].iter().map(|n| self.peers[*n].clone()).collect()
     }
 
-    fn pull(&mut self, now: Now, out: &mut Vec<(P, Say)>) {
+    fn pull(&mut self, now: ClockReading, out: &mut Vec<(P, GossipMessage)>) {
         if self.stage != Stage::CatchingUp {
             return;
         }
-        let waited = now.steady.saturating_sub(self.since);
+        let waited = now.monotonic.saturating_sub(self.since);
         if self.peers.is_empty() {
             if waited > ALONE {
                 self.stage = Stage::Alone;
@@ -290,7 +294,7 @@
             let Some(next) = self.lanes[n].next else { continue };
             let silent = match &self.lanes[n].asked {
                 Some((peer, at)) => {
-                    now.steady.saturating_sub(*at) > LANE_SILENT || !self.peers.contains(peer)
+                    now.monotonic.saturating_sub(*at) > LANE_SILENT || !self.peers.contains(peer)
                 }
                 None => true,
             };
@@ -307,60 +311,66 @@
         }
     }
 
-    fn ask(&mut self, lane: usize, next: u64, peer: P, now: Now, out: &mut Vec<(P, Say)>) {
-        self.lanes[lane].asked = Some((peer.clone(), now.steady));
-        out.push((peer, Say::Pull(lane as u8, next, self.lanes[lane].until)));
+    fn ask(&mut self, lane: usize, next: u64, peer: P, now: ClockReading, out: &mut Vec<(P, GossipMessage)>) {
+        self.lanes[lane].asked = Some((peer.clone(), now.monotonic));
+        out.push((peer, GossipMessage::TransferRequest(lane as u8, next, self.lanes[lane].until)));
     }
 
     // ---- what others say ----
 
     /// A member said something.
-    pub fn heard(&mut self, from: &P, say: Say, now: Now, out: &mut Vec<(P, Say)>) {
-        let silent = now.steady.saturating_sub(self.heard);
-        self.heard = now.steady;
-        if silent > self.state.bounds().horizon && self.stage != Stage::CatchingUp {
+    pub fn handle_message(
+        &mut self,
+        from: &P,
+        say: GossipMessage,
+        now: ClockReading,
+        out: &mut Vec<(P, GossipMessage)>,
+    ) {
+        let silent = now.monotonic.saturating_sub(self.heard);
+        self.heard = now.monotonic;
+        if silent > self.state.bounds().tombstone_retention && self.stage != Stage::CatchingUp {
             // Others may have let go of what this list still has.
             self.state.away();
             self.catch_up(now);
         }
         match say {
-            Say::Words(words) => {
+            GossipMessage::Updates(words) => {
                 for (key, word) in words {
                     self.take(key, word, now, true);
                 }
             }
-            Say::Root(root) => {
+            GossipMessage::RootDigest(root) => {
                 if root == self.state.digest().sum(Node::ROOT) {
-                    self.alike.insert(from.clone(), now.steady);
+                    self.alike.insert(from.clone(), now.monotonic);
                 } else if self.stage != Stage::CatchingUp {
                     self.counts.unlike += 1;
-                    out.push((from.clone(), Say::Sums(vec![self.children(Node::ROOT)])));
+                    out.push((from.clone(), GossipMessage::ChildDigests(vec![self.children(Node::ROOT)])));
                 }
             }
-            Say::Sums(nodes) => self.compare(from, &nodes, out),
-            Say::Have(first, last, sums) => self.repair(from, first, last, &sums, out),
-            Say::Send(places) => {
+            GossipMessage::ChildDigests(nodes) => self.compare(from, &nodes, out),
+            GossipMessage::RangeSummary(first, last, sums) => self.repair(from, first, last, &sums, out),
+            GossipMessage::RequestEntries(places) => {
                 let all = places.into_iter().take(MOST_SUMS);
                 let words = all.flat_map(|p| self.state.range(p..=p).map(|e| (e.1.clone(), e.2.clone())));
                 let words = packed(words.collect());
-                out.extend(words.into_iter().map(|words| (from.clone(), Say::Words(words))));
+                out.extend(words.into_iter().map(|words| (from.clone(), GossipMessage::Updates(words))));
             }
-            Say::Pull(lane, first, last) => {
+            GossipMessage::TransferRequest(lane, first, last) => {
                 let chunk = self.chunk(lane, first, last);
                 out.push((from.clone(), chunk));
             }
-            Say::Chunk(lane, first, words, next, whole) => {
+            GossipMessage::TransferChunk(lane, first, words, next, whole) => {
                 self.chunk_came(from, (lane, first, next, whole), words, now, out);
             }
         }
     }
 
-    fn take(&mut self, key: Key, word: Word, now: Now, tell: bool) {
+    fn take(&mut self, key: Key, word: Value, now: ClockReading, tell: bool) {
         match self.state.merge(&key, &word, now) {
-            Ok(Merged::Same) => self.counts.known += 1,
+            Ok(MergeOutcome::Unchanged) => self.counts.known += 1,
             Ok(merged) => {
-                self.counts.differing += u64::from(merged != Merged::Changed);
-                if merged == (Merged::Differs { changed: false }) {
+                self.counts.differing += u64::from(merged != MergeOutcome::Changed);
+                if merged == (MergeOutcome::Conflict { changed: false }) {
                     return;
                 }
                 self.counts.taken += 1;
@@ -368,7 +378,7 @@
                     if tell {
                         self.rumour(key.clone());
                     }
-                    self.news.push(News { key, word });
+                    self.news.push(Update { key, value: word });
                 }
             }
             Err(cause) => *self.counts.refused.entry(cause).or_default() += 1,
@@ -380,7 +390,7 @@
     }
 
     /// Another's sums of some nodes' children: on with those that differ.
-    fn compare(&mut self, from: &P, nodes: &[(Node, Vec<u64>)], out: &mut Vec<(P, Say)>) {
+    fn compare(&mut self, from: &P, nodes: &[(Node, Vec<u64>)], out: &mut Vec<(P, GossipMessage)>) {
         let digest = self.state.digest();
         let mut unlike: Vec<Node> = Vec::new();
         for (node, sums) in nodes.iter().take(MOST_STEPS) {
@@ -394,7 +404,7 @@
         let (leaves, above): (Vec<Node>, Vec<Node>) = unlike[..most].iter().partition(|node| node.is_leaf());
         for some in above.chunks(4) {
             let sums = some.iter().map(|node| self.children(*node)).collect();
-            out.push((from.clone(), Say::Sums(sums)));
+            out.push((from.clone(), GossipMessage::ChildDigests(sums)));
         }
         for node in leaves {
             let places = leaf_places(node.number);
@@ -408,7 +418,7 @@
                     (Some(_), Some(last)) => last.0,
                     _ => *places.end(),
                 };
-                out.push((from.clone(), Say::Have(first, last, piece.to_vec())));
+                out.push((from.clone(), GossipMessage::RangeSummary(first, last, piece.to_vec())));
                 if last == *places.end() {
                     break;
                 }
@@ -418,41 +428,50 @@
     }
 
     /// What another has in a range: it is sent what it lacks and asked for what is lacking here.
-    fn repair(&mut self, from: &P, first: u64, last: u64, theirs: &[(u64, u64)], out: &mut Vec<(P, Say)>) {
+    fn repair(
+        &mut self,
+        from: &P,
+        first: u64,
+        last: u64,
+        theirs: &[(u64, u64)],
+        out: &mut Vec<(P, GossipMessage)>,
+    ) {
         let mine: Vec<(u64, u64)> = self.state.sums(first..=last).take(4 * MOST_SUMS).collect();
         let lacks = |all: &[(u64, u64)], one: &(u64, u64)| !all.contains(one);
         let places = mine.iter().filter(|one| lacks(theirs, one)).map(|one| one.0);
         let words = places.flat_map(|p| self.state.range(p..=p).map(|e| (e.1.clone(), e.2.clone())));
-        out.extend(packed(words.collect()).into_iter().map(|words| (from.clone(), Say::Words(words))));
+        out.extend(
+            packed(words.collect()).into_iter().map(|words| (from.clone(), GossipMessage::Updates(words))),
+        );
         let wanted: Vec<u64> = theirs.iter().filter(|one| lacks(&mine, one)).map(|one| one.0).collect();
         for places in wanted.chunks(MOST_SUMS) {
-            out.push((from.clone(), Say::Send(places.to_vec())));
+            out.push((from.clone(), GossipMessage::RequestEntries(places.to_vec())));
         }
     }
 
-    fn chunk(&self, lane: u8, first: u64, last: u64) -> Say {
+    fn chunk(&self, lane: u8, first: u64, last: u64) -> GossipMessage {
         let (mut words, mut size, mut next) = (Vec::new(), 0, None);
         let mut at = first;
         for (place, key, word) in self.state.range(first..=last) {
             // Whole places only: a place is gone on with, not a key.
-            if size > LARGEST && place != at {
+            if size > MAX_MESSAGE_BYTES && place != at {
                 next = Some(place);
                 break;
             }
             at = place;
-            size += bytes(&(key, word)).len();
+            size += encode(&(key, word)).len();
             words.push((key.clone(), word.clone()));
         }
-        Say::Chunk(lane, first, words, next, self.stage != Stage::CatchingUp)
+        GossipMessage::TransferChunk(lane, first, words, next, self.stage != Stage::CatchingUp)
     }
 
     fn chunk_came(
         &mut self,
         from: &P,
         (lane, first, next, whole): (u8, u64, Option<u64>, bool),
-        words: Vec<(Key, Word)>,
-        now: Now,
-        out: &mut Vec<(P, Say)>,
+        words: Vec<(Key, Value)>,
+        now: ClockReading,
+        out: &mut Vec<(P, GossipMessage)>,
     ) {
         // Whatever they were asked for: entries are entries. They are not told on: others have them.
         for (key, word) in words {
@@ -472,7 +491,7 @@
         } else if self.lanes.iter().all(|l| l.next.is_none()) {
             if !self.from_unsure {
                 self.stage = Stage::CaughtUp;
-            } else if now.steady.saturating_sub(self.since) > ALONE {
+            } else if now.monotonic.saturating_sub(self.since) > ALONE {
                 // Nobody is caught up: all started at once, and have now told each other what they have.
                 self.stage = Stage::Alone;
             } else {
@@ -480,7 +499,7 @@
                 self.catch_up(now);
                 self.since = since;
                 // Not at once: by then others may be.
-                let later = now.steady + LANE_SILENT / 4;
+                let later = now.monotonic + LANE_SILENT / 4;
                 self.lanes.iter_mut().for_each(|l| l.asked = Some((from.clone(), later - LANE_SILENT)));
             }
         }
@@ -488,11 +507,11 @@
 }
 
 /// Words in messages of a bounded size.
-fn packed(words: Vec<(Key, Word)>) -> Vec<Vec<(Key, Word)>> {
+fn packed(words: Vec<(Key, Value)>) -> Vec<Vec<(Key, Value)>> {
     let (mut messages, mut size) = (Vec::new(), usize::MAX);
     for one in words {
-        let bytes = bytes(&one).len();
-        if size.saturating_add(bytes) > LARGEST {
+        let bytes = encode(&one).len();
+        if size.saturating_add(bytes) > MAX_MESSAGE_BYTES {
             messages.push(Vec::new());
             size = 0;
         }
--- a/src/replication/replay_window.rs
+++ b/src/replication/replay_window.rs
@@ -44,21 +44,21 @@
 
 /// The senders heard of lately, at most so many; the one heard of first is forgotten first.
 #[derive(Debug)]
-pub struct Fresh<S> {
+pub struct ReplayWindow<S> {
     most: usize,
     windows: HashMap<S, Window>,
     order: VecDeque<S>,
 }
 
-impl<S: Clone + Eq + std::hash::Hash> Fresh<S> {
+impl<S: Clone + Eq + std::hash::Hash> ReplayWindow<S> {
     /// With room for so many senders.
-    pub fn new(most: usize) -> Fresh<S> {
-        Fresh { most, windows: HashMap::new(), order: VecDeque::new() }
+    pub fn new(most: usize) -> ReplayWindow<S> {
+        ReplayWindow { most, windows: HashMap::new(), order: VecDeque::new() }
     }
 
     /// Whether this message is new: of the sender's present run, numbered from 1, and not seen before.
     /// Another run is taken for the present one, unless it is known to have ended.
-    pub fn take(&mut self, sender: &S, run: u64, number: u64) -> bool {
+    pub fn accept(&mut self, sender: &S, run: u64, number: u64) -> bool {
         if !self.windows.contains_key(sender) {
             if self.windows.len() >= self.most {
                 self.order.pop_front().and_then(|old| self.windows.remove(&old));
--- a/src/replication/state.rs
+++ b/src/replication/state.rs
@@ -14,16 +14,18 @@
 //! entries are turned down then, counted and logged.
 
 use super::digest::{hash, leaf, Digest};
-use super::entry::{bytes, fits, Key, Kind, Merged, Place, Run, Word, Words};
-use crate::dispatch::membership::Listing;
+use super::entry::{
+    encode, matches_kind, DrainRecord, EndpointRecord, Incarnation, Key, Kind, MergeOutcome, Value,
+};
+use crate::dispatch::membership::Endpoint;
 use crate::policy::types::{MemberState, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
 
 /// The longest name of an object or server, in bytes.
-pub const LONGEST_NAME: usize = 512;
+pub const MAX_NAME_BYTES: usize = 512;
 /// Clocks of directors may differ by so much: a purge from further ahead is turned down.
-pub const CLOCKS_DIFFER: Micros = 60_000_000;
+pub const MAX_CLOCK_SKEW: Micros = 60_000_000;
 /// Runs that have told of drains of one process of a server: with more an entry would not fit a message.
 const MOST_RUNS: usize = 256;
 /// What an entry costs beside its bytes: its place in the map, its time and sums.
@@ -38,35 +40,52 @@
     pub bytes: usize,
     /// A purge is kept for so long after its own time, in microseconds: no copy from before can be about
     /// then.
-    pub purges_kept: Micros,
+    pub purge_retention: Micros,
     /// Entries of what is gone are kept for so long (microseconds); who was away for longer forgets its list.
-    pub horizon: Micros,
+    pub tombstone_retention: Micros,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { entries: 200_000, bytes: 48 << 20, purges_kept: 600_000_000, horizon: 600_000_000 }
+        Bounds {
+            entries: 200_000,
+            bytes: 48 << 20,
+            purge_retention: 600_000_000,
+            tombstone_retention: 600_000_000,
+        }
     }
 }
 
 /// Why a copy was turned down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Refused {
+pub enum MergeError {
     /// The word is not of its key's kind, or a name is too long or empty.
-    Form,
+    Malformed,
     /// A purge or a server's listing from beyond what is kept.
-    Old,
+    Expired,
     /// A purge from further ahead than clocks may differ.
-    Ahead,
+    FromFuture,
     /// There is no room, and nothing that may be let go for it.
-    Full,
+    NoCapacity,
+}
+
+impl MergeError {
+    /// Its name in operators' figures.
+    pub fn name(self) -> &'static str {
+        match self {
+            MergeError::Malformed => "form",
+            MergeError::Expired => "old",
+            MergeError::FromFuture => "ahead",
+            MergeError::NoCapacity => "full",
+        }
+    }
 }
 
 /// What is held of a key.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// The word.
-    pub word: Word,
+    pub value: Value,
     /// Its part of the digest.
     sum: u64,
     /// When it last changed here, by the steady clock.
@@ -76,9 +95,9 @@
 
 /// The time, as the host reads it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Now {
+pub struct ClockReading {
     /// The steady clock, in microseconds.
-    pub steady: Micros,
+    pub monotonic: Micros,
     /// Unix microseconds, which may be wrong and may step.
     pub unix: Micros,
 }
@@ -88,8 +107,8 @@
 
 /// All entries of one director.
 #[derive(Debug)]
-pub struct State {
-    run: Run,
+pub struct ReplicatedState {
+    run: Incarnation,
     bounds: Bounds,
     entries: BTreeMap<At, Entry>,
     digest: Digest,
@@ -100,56 +119,73 @@
 }
 
 fn place(key: &Key) -> u64 {
-    hash(&bytes(key))
+    hash(&encode(key))
 }
 
 /// What digests compare of an entry; never 0.
-fn sum(key: &Key, word: &Word) -> u64 {
-    hash(&bytes(&(key, word))) | 1
+fn sum(key: &Key, word: &Value) -> u64 {
+    hash(&encode(&(key, word))) | 1
 }
 
-impl State {
+impl ReplicatedState {
     /// With nothing.
-    pub fn new(run: Run, bounds: Bounds) -> State {
+    pub fn new(run: Incarnation, bounds: Bounds) -> ReplicatedState {
         let (entries, digest) = (BTreeMap::new(), Digest::default());
-        State { run, bounds, entries, digest, bytes: 0, counts: [0; Kind::ALL.len()], let_go: 0 }
+        ReplicatedState { run, bounds, entries, digest, bytes: 0, counts: [0; Kind::ALL.len()], let_go: 0 }
     }
 
     // ---- what this director is told itself ----
 
     /// A purge told here. None: nothing new.
-    pub fn purge(&mut self, key: Key, at: Micros, now: Now) -> Result<Option<(Key, Word)>, Refused> {
-        self.put(key, Word::Purged(at), now)
+    pub fn purge(
+        &mut self,
+        key: Key,
+        at: Micros,
+        now: ClockReading,
+    ) -> Result<Option<(Key, Value)>, MergeError> {
+        self.put(key, Value::Purged(at), now)
     }
 
     /// An operator's word told here: a server, by the process of it that is listed, drains or no longer does.
-    pub fn drain(&mut self, name: &str, on: bool, now: Now) -> Result<Option<(Key, Word)>, Refused> {
-        let since = match self.get(&Key::Listed(name.into())) {
-            Some(Word::Listed(_, place)) => place.since,
+    pub fn drain(
+        &mut self,
+        name: &str,
+        on: bool,
+        now: ClockReading,
+    ) -> Result<Option<(Key, Value)>, MergeError> {
+        let since = match self.get(&Key::Endpoint(name.into())) {
+            Some(Value::Endpoint(_, place)) => place.started_at,
             _ => 0,
         };
         let key = Key::Drain(name.into());
-        let none = Words::default();
+        let none = DrainRecord::default();
         let words = match self.get(&key) {
-            Some(Word::Drain(words)) => words,
+            Some(Value::Drain(words)) => words,
             _ => &none,
         };
         let words = if on { words.drain(self.run, since) } else { words.undrain(since) };
-        self.put(key, Word::Drain(words), now)
+        self.put(key, Value::Drain(words), now)
     }
 
     /// An event of the list's source: what changed by it. A whole list ends all that stands in none as late.
-    pub fn listed(&mut self, rev: u64, full: bool, members: &[Listing], now: Now) -> Vec<(Key, Word)> {
-        let mut news: Vec<(Key, Word)> = Vec::new();
+    pub fn listed(
+        &mut self,
+        rev: u64,
+        full: bool,
+        members: &[Endpoint],
+        now: ClockReading,
+    ) -> Vec<(Key, Value)> {
+        let mut news: Vec<(Key, Value)> = Vec::new();
         let named: BTreeSet<&str> = members.iter().map(|m| &*m.name).collect();
-        let of = |m: &Listing| (Key::Listed(m.name.to_string()), Word::Listed(rev, Place::of(m)));
+        let of =
+            |m: &Endpoint| (Key::Endpoint(m.name.to_string()), Value::Endpoint(rev, EndpointRecord::of(m)));
         news.extend(members.iter().map(of));
         if full {
-            let missing = self.entries.iter().filter_map(|((_, key), entry)| match (key, &entry.word) {
-                (Key::Listed(name), Word::Listed(at, place))
+            let missing = self.entries.iter().filter_map(|((_, key), entry)| match (key, &entry.value) {
+                (Key::Endpoint(name), Value::Endpoint(at, place))
                     if *at < rev && place.state != 2 && !named.contains(&**name) =>
                 {
-                    Some((key.clone(), Word::Listed(rev, Place::gone())))
+                    Some((key.clone(), Value::Endpoint(rev, EndpointRecord::gone())))
                 }
                 _ => None,
             });
@@ -159,79 +195,83 @@
         news.into_iter().filter_map(|(key, word)| self.put(key, word, now).ok().flatten()).collect()
     }
 
-    fn put(&mut self, key: Key, word: Word, now: Now) -> Result<Option<(Key, Word)>, Refused> {
+    fn put(&mut self, key: Key, word: Value, now: ClockReading) -> Result<Option<(Key, Value)>, MergeError> {
         let merged = self.merge(&key, &word, now)?;
-        let news = matches!(merged, Merged::Changed | Merged::Differs { changed: true });
+        let news = matches!(merged, MergeOutcome::Changed | MergeOutcome::Conflict { changed: true });
         Ok(news.then_some((key, word)))
     }
 
     // ---- copies ----
 
     /// Merges a copy in.
-    pub fn merge(&mut self, key: &Key, word: &Word, now: Now) -> Result<Merged, Refused> {
+    pub fn merge(&mut self, key: &Key, word: &Value, now: ClockReading) -> Result<MergeOutcome, MergeError> {
         self.acceptable(key, word, now)?;
         let at = (place(key), key.clone());
         let Some(entry) = self.entries.get_mut(&at) else {
             self.room(key, word)?;
             self.insert(at, word.clone(), now);
-            return Ok(Merged::Changed);
+            return Ok(MergeOutcome::Changed);
         };
-        let mut merged = entry.word.clone();
+        let mut merged = entry.value.clone();
         let what = merged.merge(word);
-        if matches!(&merged, Word::Drain(words) if words.told.len().max(words.undone.len()) > MOST_RUNS) {
-            return Err(Refused::Full);
+        let runs =
+            |words: &DrainRecord| words.drains_by_incarnation.len().max(words.undrains_by_incarnation.len());
+        if matches!(&merged, Value::Drain(words) if runs(words) > MOST_RUNS) {
+            return Err(MergeError::NoCapacity);
         }
-        if matches!(what, Merged::Changed | Merged::Differs { changed: true }) {
+        if matches!(what, MergeOutcome::Changed | MergeOutcome::Conflict { changed: true }) {
             self.insert(at, merged, now);
         }
         Ok(what)
     }
 
-    fn acceptable(&self, key: &Key, word: &Word, now: Now) -> Result<(), Refused> {
+    fn acceptable(&self, key: &Key, word: &Value, now: ClockReading) -> Result<(), MergeError> {
         let name = match key {
-            Key::Object(name) | Key::Drain(name) | Key::Listed(name) => Some(name),
+            Key::Object(name) | Key::Drain(name) | Key::Endpoint(name) => Some(name),
             Key::Group(_) => None,
         };
-        if !fits(key, word) || name.is_some_and(|n| n.is_empty() || n.len() > LONGEST_NAME) {
-            return Err(Refused::Form);
+        if !matches_kind(key, word) || name.is_some_and(|n| n.is_empty() || n.len() > MAX_NAME_BYTES) {
+            return Err(MergeError::Malformed);
         }
         let old = match word {
-            Word::Purged(at) if *at > now.unix.saturating_add(CLOCKS_DIFFER) => return Err(Refused::Ahead),
-            Word::Purged(at) => at.saturating_add(self.bounds.purges_kept) < now.unix,
-            Word::Listed(rev, _) => *rev <= self.let_go && self.get(key).is_none(),
-            Word::Drain(_) => false,
+            Value::Purged(at) if *at > now.unix.saturating_add(MAX_CLOCK_SKEW) => {
+                return Err(MergeError::FromFuture)
+            }
+            Value::Purged(at) => at.saturating_add(self.bounds.purge_retention) < now.unix,
+            Value::Endpoint(rev, _) => *rev <= self.let_go && self.get(key).is_none(),
+            Value::Drain(_) => false,
         };
         if old {
-            return Err(Refused::Old);
+            return Err(MergeError::Expired);
         }
         Ok(())
     }
 
     /// Makes room for a new entry, where something may be let go for it.
-    fn room(&mut self, key: &Key, word: &Word) -> Result<(), Refused> {
-        let size = bytes(key).len() + bytes(word).len() + OVERHEAD;
+    fn room(&mut self, key: &Key, word: &Value) -> Result<(), MergeError> {
+        let size = encode(key).len() + encode(word).len() + OVERHEAD;
         while self.entries.len() + 1 > self.bounds.entries || self.bytes + size > self.bounds.bytes {
             // Looked for one by one: it happens only to a director whose bounds are too small.
-            let gone = self.entries.iter().filter_map(|(at, e)| match &e.word {
-                Word::Listed(rev, place) if place.state == 2 => Some((at.clone(), *rev)),
+            let gone = self.entries.iter().filter_map(|(at, e)| match &e.value {
+                Value::Endpoint(rev, place) if place.state == 2 => Some((at.clone(), *rev)),
                 _ => None,
             });
             let first = gone.min_by_key(|(_, rev)| *rev);
-            let Some((at, rev)) = first else { return Err(Refused::Full) };
+            let Some((at, rev)) = first else { return Err(MergeError::NoCapacity) };
             self.let_go = self.let_go.max(rev);
             self.remove(&at);
         }
         Ok(())
     }
 
-    fn insert(&mut self, at: At, word: Word, now: Now) {
+    fn insert(&mut self, at: At, word: Value, now: ClockReading) {
         self.remove(&at);
-        let size = bytes(&at.1).len() + bytes(&word).len() + OVERHEAD;
+        let size = encode(&at.1).len() + encode(&word).len() + OVERHEAD;
         let sum = sum(&at.1, &word);
         self.digest.change(at.0, 0, sum);
         self.bytes += size;
         self.counts[at.1.kind() as usize] += 1;
-        self.entries.insert(at, Entry { word, sum, changed: now.steady, size });
+        self.entries.insert(at, Entry { value: word, sum, changed: now.monotonic, size });
     }
 
     fn remove(&mut self, at: &At) {
@@ -245,13 +285,13 @@
     // ---- what ends ----
 
     /// Lets go what can't matter any more; what that was.
-    pub fn expire(&mut self, now: Now) -> Vec<Key> {
-        let since = |e: &Entry| now.steady.saturating_sub(e.changed);
+    pub fn expire(&mut self, now: ClockReading) -> Vec<Key> {
+        let since = |e: &Entry| now.monotonic.saturating_sub(e.changed);
         let ended = |(at, e): (&At, &Entry)| {
-            let over = match &e.word {
-                Word::Purged(when) => when.saturating_add(self.bounds.purges_kept) < now.unix,
-                Word::Listed(_, place) => place.state == 2 && since(e) > self.bounds.horizon,
-                Word::Drain(_) => since(e) > self.bounds.horizon && self.long_gone(&at.1, now),
+            let over = match &e.value {
+                Value::Purged(when) => when.saturating_add(self.bounds.purge_retention) < now.unix,
+                Value::Endpoint(_, place) => place.state == 2 && since(e) > self.bounds.tombstone_retention,
+                Value::Drain(_) => since(e) > self.bounds.tombstone_retention && self.long_gone(&at.1, now),
             };
             over.then(|| at.clone())
         };
@@ -262,12 +302,12 @@
 
     /// Whether the server that an operator's words are about has been gone for a horizon, or is on no list.
     /// Where there is no list here it may be on another, and the words stay.
-    fn long_gone(&self, key: &Key, now: Now) -> bool {
+    fn long_gone(&self, key: &Key, now: ClockReading) -> bool {
         let Key::Drain(name) = key else { return false };
-        let listed = Key::Listed(name.clone());
+        let listed = Key::Endpoint(name.clone());
         match self.entries.get(&(place(&listed), listed)) {
-            Some(Entry { word: Word::Listed(_, place), changed, .. }) => {
-                place.state == 2 && now.steady.saturating_sub(*changed) > self.bounds.horizon
+            Some(Entry { value: Value::Endpoint(_, place), changed, .. }) => {
+                place.state == 2 && now.monotonic.saturating_sub(*changed) > self.bounds.tombstone_retention
             }
             _ => self.count(Kind::Members) > 0,
         }
@@ -286,12 +326,12 @@
     // ---- what is held ----
 
     /// What is held of a key.
-    pub fn get(&self, key: &Key) -> Option<&Word> {
-        self.entries.get(&(place(key), key.clone())).map(|e| &e.word)
+    pub fn get(&self, key: &Key) -> Option<&Value> {
+        self.entries.get(&(place(key), key.clone())).map(|e| &e.value)
     }
 
     /// The run that this director is in.
-    pub fn run(&self) -> Run {
+    pub fn run(&self) -> Incarnation {
         self.run
     }
 
@@ -326,10 +366,10 @@
     }
 
     /// Entries by their places.
-    pub fn range(&self, places: RangeInclusive<u64>) -> impl Iterator<Item = (u64, &Key, &Word)> {
+    pub fn range(&self, places: RangeInclusive<u64>) -> impl Iterator<Item = (u64, &Key, &Value)> {
         let all = self.entries.range((*places.start(), Key::Object(String::new()))..);
         let within = all.take_while(move |(at, _)| places.contains(&at.0));
-        within.map(|((place, key), entry)| (*place, key, &entry.word))
+        within.map(|((place, key), entry)| (*place, key, &entry.value))
     }
 
     /// Places and sums of what digests compare within a range.
@@ -339,17 +379,17 @@
     }
 
     /// All entries of a kind, by key.
-    pub fn of(&self, kind: Kind) -> Vec<(&Key, &Word)> {
+    pub fn of(&self, kind: Kind) -> Vec<(&Key, &Value)> {
         let of_kind = self.entries.iter().filter(|(at, _)| at.1.kind() == kind);
-        let mut all: Vec<_> = of_kind.map(|(at, e)| (&at.1, &e.word)).collect();
+        let mut all: Vec<_> = of_kind.map(|(at, e)| (&at.1, &e.value)).collect();
         all.sort_by(|a, b| a.0.cmp(b.0));
         all
     }
 
     /// Whether the server of this name is listed and not gone.
     pub fn lists(&self, name: &str) -> Option<MemberState> {
-        match self.get(&Key::Listed(name.into())) {
-            Some(Word::Listed(_, place)) => Some(place.listing(name).state),
+        match self.get(&Key::Endpoint(name.into())) {
+            Some(Value::Endpoint(_, place)) => Some(place.endpoint(name).state),
             _ => None,
         }
     }
--- a/src/signed/mod.rs
+++ b/src/signed/mod.rs
@@ -11,7 +11,7 @@
 mod url;
 
 pub use keys::{KeyFile, Keys, MAX_SKEW};
-pub use request::{ask, word, Counts, Unfit, Worded};
+pub use request::{parse_request, to_http_outcome, Counts, HttpOutcome, InvalidRequest};
 
 use crate::policy::types::Micros;
 
@@ -54,7 +54,7 @@
     /// The target without the credential.
     pub target: String,
     /// The Unix time in microseconds from which no answer may begin, skew included; none: no end.
-    pub valid_until: Option<Micros>,
+    pub expires_at: Option<Micros>,
 }
 
 /// Checks the credential in `target`, the request's target octet for octet, as sent to `authority`, the value
--- a/src/signed/request.rs
+++ b/src/signed/request.rs
@@ -2,7 +2,7 @@
 //! listener and the middleware.
 
 use super::{Denied, Grant};
-use crate::dispatch::request::{is_name, Answer, Ask, Cause};
+use crate::dispatch::request::{is_name, ClientRequest, ClientResponse, FailureReason};
 use crate::policy::types::Settings;
 use bytes::Bytes;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,34 +11,34 @@
 
 /// Why a checked request is for nothing that is here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unfit {
+pub struct InvalidRequest {
     /// The status.
     pub status: u16,
     /// With 405: the method that would do.
     pub allow: Option<&'static str>,
 }
 
-const fn unfit(status: u16) -> Unfit {
-    Unfit { status, allow: None }
+const fn unfit(status: u16) -> InvalidRequest {
+    InvalidRequest { status, allow: None }
 }
 
 /// Reads `/CLASS/OBJECT`, the object's name with as many slashes as it has, and the parameters `block` (the
 /// part) and `family` (the group).
-pub fn ask(
+pub fn parse_request(
     settings: &Settings,
     method: &str,
     grant: &Grant,
     id: Arc<str>,
     known: Option<&str>,
     body: Bytes,
-) -> Result<Ask, Unfit> {
+) -> Result<ClientRequest, InvalidRequest> {
     let (path, query) = grant.target.split_once('?').unwrap_or((&grant.target, ""));
     let (class, object) = path.strip_prefix('/').and_then(|p| p.split_once('/')).ok_or(unfit(404))?;
     let class = settings.class(class).ok_or(unfit(404))?;
     let facts = &settings.classes[class];
     let needed = if facts.write { "PUT" } else { "GET" };
     if method != needed {
-        return Err(Unfit { status: 405, allow: Some(needed) });
+        return Err(InvalidRequest { status: 405, allow: Some(needed) });
     }
     // An object has one name: no other path leads to it.
     if object.split('/').any(|segment| matches!(segment, "" | "." | "..")) {
@@ -61,23 +61,23 @@
             return Err(unfit(400));
         }
     }
-    Ok(Ask {
+    Ok(ClientRequest {
         id,
         class,
         object: object.into(),
         part,
         group,
-        allow: Duration::from_micros(facts.deadline),
-        known: known.filter(|tag| is_name(tag)).map(Into::into),
+        timeout: Duration::from_micros(facts.deadline),
+        if_none_match: known.filter(|tag| is_name(tag)).map(Into::into),
         body,
-        valid_until: grant.valid_until,
-        ..Ask::default()
+        credential_expires_at: grant.expires_at,
+        ..ClientRequest::default()
     })
 }
 
 /// An answer as this front words it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Worded {
+pub struct HttpOutcome {
     /// The status.
     pub status: u16,
     /// Under what it is counted.
@@ -85,33 +85,40 @@
     /// Whole seconds to stay away, for `Retry-After`.
     pub retry_after: Option<u64>,
     /// The copy's tag, without quotes.
-    pub tag: Option<Arc<str>>,
+    pub etag: Option<Arc<str>>,
     /// The bytes.
     pub body: Bytes,
 }
 
 /// The one place where this front's outcomes become statuses.
-pub fn word(answer: Result<Answer, Denied>) -> Worded {
-    let plain = |status, outcome| Worded { status, outcome, ..Worded::default() };
+pub fn to_http_outcome(answer: Result<ClientResponse, Denied>) -> HttpOutcome {
+    let plain = |status, outcome| HttpOutcome { status, outcome, ..HttpOutcome::default() };
     let seconds = |wait: Option<Duration>| wait.map_or(1, |w| w.as_millis().div_ceil(1000).max(1) as u64);
     match answer {
-        Ok(Answer::Served(copy)) => Worded { tag: copy.tag, body: copy.body, ..plain(200, "served") },
-        Ok(Answer::Unchanged(tag)) => Worded { tag, ..plain(304, "unchanged") },
-        Ok(Answer::Refused { wait, cause }) => match cause {
-            Cause::Busy => Worded { retry_after: Some(seconds(wait)), ..plain(503, "refused") },
-            Cause::Upstream | Cause::Duplicate | Cause::Ended => {
-                Worded { retry_after: Some(seconds(wait)), ..plain(502, "upstream") }
+        Ok(ClientResponse::Served(copy)) => {
+            HttpOutcome { etag: copy.etag, body: copy.body, ..plain(200, "served") }
+        }
+        Ok(ClientResponse::NotModified(tag)) => HttpOutcome { etag: tag, ..plain(304, "unchanged") },
+        Ok(ClientResponse::Rejected { retry_after: wait, reason: cause }) => match cause {
+            FailureReason::Overloaded => {
+                HttpOutcome { retry_after: Some(seconds(wait)), ..plain(503, "refused") }
+            }
+            FailureReason::UpstreamFailed | FailureReason::DuplicateRequest | FailureReason::ShuttingDown => {
+                HttpOutcome { retry_after: Some(seconds(wait)), ..plain(502, "upstream") }
             }
-            Cause::Deadline => plain(504, "deadline"),
-            Cause::Expired => plain(403, Denied::Expired.reason()),
+            FailureReason::DeadlineExceeded => plain(504, "deadline"),
+            FailureReason::CredentialExpired => plain(403, Denied::Expired.reason()),
         },
-        Ok(Answer::Failed(Cause::Deadline)) => plain(504, "deadline"),
+        Ok(ClientResponse::Failed(FailureReason::DeadlineExceeded)) => plain(504, "deadline"),
         // It may have run: a 403 would say that it did not.
-        Ok(Answer::Failed(Cause::Expired)) => plain(504, "expired_unknown"),
+        Ok(ClientResponse::Failed(FailureReason::CredentialExpired)) => plain(504, "expired_unknown"),
         // Ids on this front are the core's own, so that no two are alike.
-        Ok(Answer::Failed(Cause::Busy | Cause::Upstream | Cause::Duplicate | Cause::Ended)) => {
-            plain(502, "upstream")
-        }
+        Ok(ClientResponse::Failed(
+            FailureReason::Overloaded
+            | FailureReason::UpstreamFailed
+            | FailureReason::DuplicateRequest
+            | FailureReason::ShuttingDown,
+        )) => plain(502, "upstream"),
         Err(denied) => plain(403, denied.reason()),
     }
 }
@@ -135,7 +142,7 @@
 pub struct Counts([AtomicU64; OUTCOMES.len()]);
 
 impl Counts {
-    /// Counts one outcome, by the word of [`Worded`].
+    /// Counts one outcome, by the word of [`HttpOutcome`].
     pub fn add(&self, outcome: &str) {
         if let Some(place) = OUTCOMES.iter().position(|o| *o == outcome) {
             self.0[place].fetch_add(1, Ordering::Relaxed);
--- a/src/signed/token.rs
+++ b/src/signed/token.rs
@@ -101,7 +101,7 @@
         return Err(Denied::Forged);
     }
     let valid_until = check_times(keys, date(&claims, "nbf")?, date(&claims, "exp")?, unix)?;
-    Ok(Grant { target: stripped, valid_until })
+    Ok(Grant { target: stripped, expires_at: valid_until })
 }
 
 fn check_claims(keys: &Keys, issuer: Option<&str>, claims: &Object) -> Result<(), Denied> {
--- a/src/signed/url.rs
+++ b/src/signed/url.rs
@@ -43,5 +43,5 @@
     }
     let valid_until = check_times(keys, None, Some(expires), unix)?;
     let target = if rest.is_empty() { path.to_owned() } else { format!("{path}?{rest}") };
-    Ok(Grant { target, valid_until })
+    Ok(Grant { target, expires_at: valid_until })
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -27,11 +27,11 @@
         "ask" => parse_request(f, hosted),
         "under_way" => parse_started(f),
         "report_back" => parse_ended(f),
-        "left" => Ok(Event::Left(RequestId(f.number("xid")?))),
+        "left" => Ok(Event::ClientCancelled(RequestId(f.number("xid")?))),
         "timer" => {
             let tag = f.tail("tag")?;
             // A tag that is not a number is none of ours; the router ignores an unknown token.
-            Ok(Event::Timer(tag.parse().unwrap_or(Token::MAX)))
+            Ok(Event::Timer(tag.parse().unwrap_or(TimerToken::MAX)))
         }
         "health" => parse_probed(f),
         "from_peer" => parse_peer_message(f),
@@ -51,7 +51,7 @@
         size_kb: f.real_or("lengthKb", 0.0)?.max(0.0),
         group: Some(f.number_or("batchId", 0)?),
         part: f.number_or("part", 0)?,
-        repeat: f.number_or("stateBits", 0u32)? & REPEAT_BIT != 0,
+        is_retry: f.number_or("stateBits", 0u32)? & REPEAT_BIT != 0,
     }))
 }
 
@@ -59,29 +59,29 @@
     let request = RequestId(f.number("xid")?);
     f.server()?;
     f.time("durationMs")?;
-    Ok(Event::Started { request, attempt: f.number("copy")? })
+    Ok(Event::ResponseStarted { request, attempt: f.number("copy")? })
 }
 
 fn parse_ended(f: &mut Fields) -> Parsed<Event> {
-    Ok(Event::Ended(AttemptEnd {
+    Ok(Event::AttemptEnded(AttemptEnd {
         request: RequestId(f.number("xid")?),
         attempt: f.number("copy")?,
         server: f.server()?,
         outcome: f.outcome()?,
-        took: f.time("durationMs")?,
-        over: f.flag("settled")?,
-        note: parse_note(f)?,
-        waited: f.time_or("waitedMs", 0)?,
-        report: f.row("feedback")?,
+        elapsed: f.time("durationMs")?,
+        request_finished: f.flag("settled")?,
+        cache_status: parse_note(f)?,
+        source_wait: f.time_or("waitedMs", 0)?,
+        load_report: f.row("feedback")?,
     }))
 }
 
 fn parse_probed(f: &mut Fields) -> Parsed<Event> {
-    Ok(Event::Probed {
+    Ok(Event::HealthChecked {
         server: f.server()?,
         outcome: f.outcome()?,
-        took: f.time("durationMs")?,
-        report: f.row("feedback")?,
+        elapsed: f.time("durationMs")?,
+        load_report: f.row("feedback")?,
     })
 }
 
@@ -98,13 +98,13 @@
 }
 
 /// The router, the kind and the number of entries of a member list.
-pub(super) fn parse_view(f: &mut Fields) -> Parsed<(u32, ListKind, usize)> {
+pub(super) fn parse_view(f: &mut Fields) -> Parsed<(u32, MemberUpdate, usize)> {
     let who = f.number("who")?;
     let kind = match f.text("how")? {
-        "patch" => ListKind::Changes,
-        "whole" => ListKind::Full,
-        "stale_copy" => ListKind::Stale,
-        "broken" => ListKind::Failed,
+        "patch" => MemberUpdate::Incremental,
+        "whole" => MemberUpdate::Full,
+        "stale_copy" => MemberUpdate::Stale,
+        "broken" => MemberUpdate::Failed,
         other => return Err(f.bad("how", &format!("'{other}' is not known"))),
     };
     f.optional(); // the list's version: changes come in order, none missing
@@ -129,22 +129,22 @@
             other => return Err(f.bad("state", &format!("'{other}' is not known"))),
         },
         size: f.real_or("size", 1.0)?,
-        since: f.time_or("sinceMs", 0)?,
+        started_at: f.time_or("sinceMs", 0)?,
     })
 }
 
-fn parse_note(f: &mut Fields) -> Parsed<Note> {
+fn parse_note(f: &mut Fields) -> Parsed<CacheStatus> {
     Ok(match f.number_or("detail", 0u32)? {
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledByOrigin,
-        4 => Note::Joined,
-        5 => Note::Stale,
-        6 => Note::SourceRefused,
-        7 => Note::SourceLost,
-        8 => Note::SourceLacks,
-        9 => Note::NoPlace,
-        10 => Note::OriginFailed,
-        _ => Note::None,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FilledFromOrigin,
+        4 => CacheStatus::Collapsed,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRejected,
+        7 => CacheStatus::SourceUnreachable,
+        8 => CacheStatus::SourceMiss,
+        9 => CacheStatus::FillLimitReached,
+        10 => CacheStatus::OriginFailed,
+        _ => CacheStatus::Unknown,
     })
 }
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -129,11 +129,11 @@
         Ok(match self.text("code")? {
             "Ok" => Outcome::Ok,
             "Failed" => Outcome::Failed,
-            "QueueFull" => Outcome::Full,
+            "QueueFull" => Outcome::Rejected,
             "TimedOut" => Outcome::TimedOut,
             "ConnectError" => Outcome::ConnectError,
             "ResetByPeer" => Outcome::Reset,
-            "Canceled" => Outcome::Canceled,
+            "Canceled" => Outcome::Cancelled,
             "Ignored" => Outcome::NotSent,
             "Miss" => Outcome::Miss,
             other => return Err(self.bad("code", &format!("'{other}' is not an outcome"))),
--- a/src/upstream/host.rs
+++ b/src/upstream/host.rs
@@ -4,7 +4,10 @@
 //! Each attempt is a task of its own on the director's thread. A task that panics, is dropped or never ends
 //! is an attempt that may have run; it takes nothing else with it.
 
-use crate::dispatch::{Broken, End, Health, Listing, Message, Order, Peers, Reports, Ticket, Want};
+use crate::dispatch::{
+    AttemptError, AttemptId, AttemptResult, DispatcherMessage, DispatcherSender, Endpoint, EndpointCommand,
+    EndpointConnector, HealthReport, UpstreamRequest,
+};
 use crate::policy::types::ServerId;
 use std::collections::HashMap;
 use std::future::Future;
@@ -17,38 +20,44 @@
 const MAILBOX: usize = 512;
 
 /// What a host's function gives back.
-pub type Boxed<T> = Pin<Box<dyn Future<Output = T> + Send>>;
+pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// How servers are reached, in the host's own way.
 pub trait Exchange: Send + Sync + 'static {
     /// Carries one attempt to a server and says how it ended. The future is dropped where the attempt is
     /// called off; it runs on the director's thread and must not block it. What it can't prove not to have
-    /// run it must end with [`Broken::Written`]: a write is sent again only after an end that proves it.
+    /// run it must end with [`AttemptError::Unanswered`]: a write is sent again only after an end that proves
+    /// it.
     ///
     /// A site may allow no calling off. A future that waits before its first byte, as for a connection, asks
-    /// [`Over::look`](crate::dispatch::Over::look) of the attempt last thing before that byte, and ends with
-    /// [`Broken::CalledOff`] where it is over.
-    fn exchange(&self, server: &Listing, want: Want) -> Boxed<End>;
+    /// [`CancellationToken::check_client`](crate::dispatch::CancellationToken::check_client) of the attempt
+    /// last thing before that byte, and ends with [`AttemptError::Cancelled`] where it is over.
+    fn exchange(&self, server: &Endpoint, want: UpstreamRequest) -> BoxFuture<AttemptResult>;
 
     /// Asks a server whether it is well. Unless it is written anew, every server is.
-    fn probe(&self, _server: &Listing) -> Boxed<Result<Health, Broken>> {
-        Box::pin(std::future::ready(Ok(Health { well: true, gauges: Vec::new() })))
+    fn check_health(&self, _server: &Endpoint) -> BoxFuture<Result<HealthReport, AttemptError>> {
+        Box::pin(std::future::ready(Ok(HealthReport { healthy: true, load_report: Vec::new() })))
     }
 }
 
 /// An [`Exchange`] as the core's peers.
 #[derive(Debug)]
-pub struct Host<E>(Arc<E>);
+pub struct HostTransport<E>(Arc<E>);
 
-impl<E: Exchange> Host<E> {
+impl<E: Exchange> HostTransport<E> {
     /// Reaches servers by this.
     pub fn new(exchange: E) -> Self {
-        Host(Arc::new(exchange))
+        HostTransport(Arc::new(exchange))
     }
 }
 
-impl<E: Exchange> Peers for Host<E> {
-    fn open(&mut self, _: ServerId, listing: &Listing, reports: Reports) -> mpsc::Sender<Order> {
+impl<E: Exchange> EndpointConnector for HostTransport<E> {
+    fn connect(
+        &mut self,
+        _: ServerId,
+        listing: &Endpoint,
+        reports: DispatcherSender,
+    ) -> mpsc::Sender<EndpointCommand> {
         let (mailbox, orders) = mpsc::channel(MAILBOX);
         tokio::task::spawn_local(follow(self.0.clone(), listing.clone(), reports, orders));
         mailbox
@@ -57,46 +66,47 @@
 
 async fn follow<E: Exchange>(
     exchange: Arc<E>,
-    server: Listing,
-    reports: Reports,
-    mut orders: mpsc::Receiver<Order>,
+    server: Endpoint,
+    reports: DispatcherSender,
+    mut orders: mpsc::Receiver<EndpointCommand>,
 ) {
-    let mut under_way: HashMap<Ticket, AbortHandle> = HashMap::new();
+    let mut under_way: HashMap<AttemptId, AbortHandle> = HashMap::new();
     while let Some(order) = orders.recv().await {
         under_way.retain(|_, task| !task.is_finished());
         match order {
-            Order::Want(want) => {
-                let (ticket, exchange, server) = (want.ticket, exchange.clone(), server.clone());
+            EndpointCommand::Send(want) => {
+                let (ticket, exchange, server) = (want.attempt_id, exchange.clone(), server.clone());
                 let mut last =
-                    LastWord { said: false, ticket, reports: reports.clone(), how: Broken::Unwritten };
+                    LastWord { said: false, ticket, reports: reports.clone(), how: AttemptError::NotWritten };
                 let task = tokio::task::spawn_local(async move {
                     // Waited for first: nothing is to come between the last look and the exchange.
                     let reports = last.reports.clone();
                     let Some(room) = reports.reserve().await else { return };
-                    if want.over.look() {
+                    if want.cancellation.check_client() {
                         last.keep_silent();
-                        return room.send(Message::Ended(ticket, Err(Broken::CalledOff)));
+                        return room
+                            .send(DispatcherMessage::AttemptEnded(ticket, Err(AttemptError::Cancelled)));
                     }
-                    last.how = Broken::Written;
+                    last.how = AttemptError::Unanswered;
                     // From here on the time is the server's.
-                    room.send(Message::Written(ticket));
+                    room.send(DispatcherMessage::AttemptWritten(ticket));
                     let end = exchange.exchange(&server, want).await;
                     last.said = true;
-                    last.reports.send(Message::Ended(ticket, end)).await;
+                    last.reports.send(DispatcherMessage::AttemptEnded(ticket, end)).await;
                 });
                 under_way.insert(ticket, task.abort_handle());
             }
-            Order::Forget(ticket) => {
+            EndpointCommand::Cancel(ticket) => {
                 // Its last word tells the core whether it had begun.
                 if let Some(task) = under_way.remove(&ticket) {
                     task.abort();
                 }
             }
-            Order::Probe(number) => {
+            EndpointCommand::HealthCheck(number) => {
                 let (exchange, server, reports) = (exchange.clone(), server.clone(), reports.clone());
                 tokio::task::spawn_local(async move {
-                    let health = exchange.probe(&server).await;
-                    reports.send(Message::Probed(number, health)).await;
+                    let health = exchange.check_health(&server).await;
+                    reports.send(DispatcherMessage::HealthChecked(number, health)).await;
                 });
             }
         }
@@ -106,9 +116,9 @@
 /// Says how far an attempt had come, where its task ends without a word.
 struct LastWord {
     said: bool,
-    ticket: Ticket,
-    reports: Reports,
-    how: Broken,
+    ticket: AttemptId,
+    reports: DispatcherSender,
+    how: AttemptError,
 }
 
 impl LastWord {
@@ -122,7 +132,7 @@
     fn drop(&mut self) {
         if !self.said {
             // Full: the core's own time-out ends the attempt.
-            self.reports.try_send(Message::Ended(self.ticket, Err(self.how)));
+            self.reports.try_send(DispatcherMessage::AttemptEnded(self.ticket, Err(self.how)));
         }
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -11,13 +11,13 @@
 
 /// Looks at what has come on a connection and is not read, be it that the runtime has not been told of it:
 /// at most one byte; 0 is the end.
-pub fn ahead(stream: &TcpStream) -> std::io::Result<usize> {
+pub fn peek_available(stream: &TcpStream) -> std::io::Result<usize> {
     socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
 
 /// Whether the other side has closed or reset a connection of which all that came is read.
 pub fn has_ended(stream: &TcpStream) -> bool {
-    match ahead(stream) {
+    match peek_available(stream) {
         Ok(n) => n == 0,
         Err(error) => error.kind() != WouldBlock,
     }
--- a/src/upstream/servers.rs
+++ b/src/upstream/servers.rs
@@ -4,10 +4,13 @@
 //! own that reports ends straight to the core. An attempt that no connection began to write goes back to the
 //! actor when its connection ends, and is placed anew for as long as it may still be sent.
 
-use super::line_codec::{self, Content, Reader};
+use super::line_codec::{self, Content, LineDecoder};
 use super::{has_ended, is_short_of_descriptors};
-use crate::config::settings::Transport;
-use crate::dispatch::{Broken, Health, Listing, Message, Order, Over, Peers, Reports, Ticket, Want};
+use crate::config::settings::ConnectionSettings;
+use crate::dispatch::{
+    AttemptError, AttemptId, CancellationToken, DispatcherMessage, DispatcherSender, Endpoint,
+    EndpointCommand, EndpointConnector, HealthReport, UpstreamRequest,
+};
 use crate::policy::types::ServerId;
 use bytes::{Buf, BytesMut};
 use std::collections::{HashMap, VecDeque};
@@ -51,8 +54,8 @@
 
 /// Opens an actor for each server.
 #[derive(Clone, Debug)]
-pub struct Servers {
-    transport: Transport,
+pub struct UpstreamConnector {
+    transport: ConnectionSettings,
     places: Places,
 }
 
@@ -79,15 +82,20 @@
     }
 }
 
-impl Servers {
+impl UpstreamConnector {
     /// Keeps to what the settings say of connections, and to this many descriptors.
-    pub fn new(transport: Transport, descriptors: usize) -> Self {
-        Servers { transport, places: Places::new(descriptors) }
+    pub fn new(transport: ConnectionSettings, descriptors: usize) -> Self {
+        UpstreamConnector { transport, places: Places::new(descriptors) }
     }
 }
 
-impl Peers for Servers {
-    fn open(&mut self, _: ServerId, listing: &Listing, reports: Reports) -> mpsc::Sender<Order> {
+impl EndpointConnector for UpstreamConnector {
+    fn connect(
+        &mut self,
+        _: ServerId,
+        listing: &Endpoint,
+        reports: DispatcherSender,
+    ) -> mpsc::Sender<EndpointCommand> {
         let (mailbox, orders) = mpsc::channel(MAILBOX);
         let (to_actor, news) = mpsc::channel(MAILBOX);
         let actor = Actor {
@@ -109,33 +117,33 @@
     /// It has come up.
     Up(u64),
     /// The attempt needs its place no longer.
-    Done(u64, Ticket),
+    Done(u64, AttemptId),
     /// Nothing new should be placed on this connection.
     Suspect(u64),
     /// It has ended; these orders were not written.
-    Closed(u64, Vec<Order>),
+    Closed(u64, Vec<EndpointCommand>),
 }
 
 struct Connection {
     number: u64,
-    orders: mpsc::Sender<Order>,
-    open: HashMap<Ticket, Arc<str>>,
+    orders: mpsc::Sender<EndpointCommand>,
+    open: HashMap<AttemptId, Arc<str>>,
     up: bool,
     suspect: bool,
 }
 
 struct Actor {
     address: Arc<str>,
-    transport: Transport,
+    transport: ConnectionSettings,
     places: Places,
-    reports: Reports,
+    reports: DispatcherSender,
     to_actor: mpsc::Sender<News>,
     connections: Vec<Connection>,
     next: u64,
 }
 
 impl Actor {
-    async fn run(mut self, mut orders: mpsc::Receiver<Order>, mut news: mpsc::Receiver<News>) {
+    async fn run(mut self, mut orders: mpsc::Receiver<EndpointCommand>, mut news: mpsc::Receiver<News>) {
         loop {
             tokio::select! {
                 order = orders.recv() => match order {
@@ -171,38 +179,48 @@
         }
     }
 
-    async fn order(&mut self, order: Order, again: bool) {
+    async fn order(&mut self, order: EndpointCommand, again: bool) {
         match order {
-            Order::Want(want) if want.over.is() => {
-                self.reports.send(Message::Ended(want.ticket, Err(Broken::CalledOff))).await;
+            EndpointCommand::Send(want) if want.cancellation.is_cancelled() => {
+                self.reports
+                    .send(DispatcherMessage::AttemptEnded(want.attempt_id, Err(AttemptError::Cancelled)))
+                    .await;
             }
-            Order::Want(want) => {
-                let ticket = want.ticket;
+            EndpointCommand::Send(want) => {
+                let ticket = want.attempt_id;
                 let placed = self.place(&want).and_then(|c| {
                     let id = want.id.clone();
-                    c.orders.try_send(Order::Want(want)).map_err(|_| Broken::Unwritten)?;
+                    c.orders.try_send(EndpointCommand::Send(want)).map_err(|_| AttemptError::NotWritten)?;
                     c.open.insert(ticket, id);
                     Ok(())
                 });
                 if let Err(how) = placed {
-                    let how = if again && how == Broken::Unwritten { Broken::NotConnected } else { how };
-                    self.reports.send(Message::Ended(ticket, Err(how))).await;
+                    let how = if again && how == AttemptError::NotWritten {
+                        AttemptError::NotConnected
+                    } else {
+                        how
+                    };
+                    self.reports.send(DispatcherMessage::AttemptEnded(ticket, Err(how))).await;
                 }
             }
-            Order::Forget(ticket) => {
+            EndpointCommand::Cancel(ticket) => {
                 if let Some(c) = self.connections.iter_mut().find(|c| c.open.contains_key(&ticket)) {
                     // Full, or ended: what is not written yet is not, for its request is over.
-                    let _ = c.orders.try_send(Order::Forget(ticket));
+                    let _ = c.orders.try_send(EndpointCommand::Cancel(ticket));
                 }
             }
-            Order::Probe(number) => {
+            EndpointCommand::HealthCheck(number) => {
                 let usable = self.connections.iter().position(|c| !c.suspect);
                 let place = usable.or_else(|| self.connect().ok());
                 let taken = place.is_some_and(|n| {
-                    self.connections.get(n).is_some_and(|c| c.orders.try_send(Order::Probe(number)).is_ok())
+                    self.connections
+                        .get(n)
+                        .is_some_and(|c| c.orders.try_send(EndpointCommand::HealthCheck(number)).is_ok())
                 });
                 if !taken {
-                    self.reports.send(Message::Probed(number, Err(Broken::Unwritten))).await;
+                    self.reports
+                        .send(DispatcherMessage::HealthChecked(number, Err(AttemptError::NotWritten)))
+                        .await;
                 }
             }
         }
@@ -211,10 +229,10 @@
     /// The connection for an attempt: the fullest that carries few, so that others fall idle and close, of
     /// those that are up if there are such; then a new one; then the emptiest that has room. Two attempts of
     /// one id never share a connection, for their answers could not be told apart.
-    fn place(&mut self, want: &Want) -> Result<&mut Connection, Broken> {
+    fn place(&mut self, want: &UpstreamRequest) -> Result<&mut Connection, AttemptError> {
         // Those that have ended and whose word of it is on the way: put there, an attempt would end unsent.
         self.connections.retain(|c| !c.orders.is_closed());
-        let streams = self.transport.streams;
+        let streams = self.transport.max_streams;
         let fits =
             |c: &Connection| !c.suspect && c.open.len() < streams && c.open.values().all(|id| *id != want.id);
         let found = || self.connections.iter().enumerate().filter(|(_, c)| fits(c));
@@ -224,16 +242,16 @@
             Some((place, _)) => place,
             None => self.connect().or_else(|none| emptiest.ok_or(none))?,
         };
-        self.connections.get_mut(place).ok_or(Broken::Unwritten)
+        self.connections.get_mut(place).ok_or(AttemptError::NotWritten)
     }
 
     /// Begins a new connection; none beyond the most, and none without a descriptor for it: then the attempt
     /// ends unsent and the module looks elsewhere.
-    fn connect(&mut self) -> Result<usize, Broken> {
+    fn connect(&mut self) -> Result<usize, AttemptError> {
         if self.connections.len() >= MOST_CONNECTIONS {
-            return Err(Broken::Unwritten);
+            return Err(AttemptError::NotWritten);
         }
-        let place = self.places.take().ok_or(Broken::NoDescriptor)?;
+        let place = self.places.take().ok_or(AttemptError::NoDescriptor)?;
         let (mailbox, orders) = mpsc::channel(MAILBOX);
         let number = self.next;
         self.next += 1;
@@ -274,10 +292,10 @@
 
 /// How an attempt ends whose connection did not come up. Guards the server against being suspected for what
 /// this process lacks.
-fn not_connected(error: &std::io::Error) -> Broken {
+fn not_connected(error: &std::io::Error) -> AttemptError {
     match is_short_of_descriptors(error) {
-        true => Broken::NoDescriptor,
-        false => Broken::NotConnected,
+        true => AttemptError::NoDescriptor,
+        false => AttemptError::NotConnected,
     }
 }
 
@@ -288,19 +306,19 @@
     wanted: Arc<Notify>,
     number: u64,
     address: Arc<str>,
-    transport: Transport,
-    reports: Reports,
+    transport: ConnectionSettings,
+    reports: DispatcherSender,
     actor: mpsc::Sender<News>,
     /// Not yet in the out buffer.
-    queue: VecDeque<Order>,
-    open: HashMap<Ticket, Open>,
+    queue: VecDeque<EndpointCommand>,
+    open: HashMap<AttemptId, Open>,
     /// Probes that are out, by their tag.
     probes: HashMap<Arc<str>, u64>,
-    ids: HashMap<Arc<str>, Ticket>,
+    ids: HashMap<Arc<str>, AttemptId>,
     /// Ids that were given up here; the oldest leave first.
     forgotten: VecDeque<Arc<str>>,
     /// The request that is not written whole yet.
-    unwritten: Option<(Ticket, Over, Instant)>,
+    unwritten: Option<(AttemptId, CancellationToken, Instant)>,
     out: BytesMut,
     /// Bytes ever put into the out buffer, and ever written.
     queued: u64,
@@ -309,7 +327,7 @@
 }
 
 impl Task {
-    async fn run(mut self, mut orders: mpsc::Receiver<Order>) {
+    async fn run(mut self, mut orders: mpsc::Receiver<EndpointCommand>) {
         match self.connect(&mut orders).await {
             Ok(stream) => {
                 let _ = self.actor.send(News::Up(self.number)).await;
@@ -321,7 +339,10 @@
     }
 
     /// Brings the connection up, and meanwhile takes orders, for they may be called off again.
-    async fn connect(&mut self, orders: &mut mpsc::Receiver<Order>) -> Result<TcpStream, Broken> {
+    async fn connect(
+        &mut self,
+        orders: &mut mpsc::Receiver<EndpointCommand>,
+    ) -> Result<TcpStream, AttemptError> {
         let address = self.address.clone();
         let connecting = timeout(self.transport.connect_timeout, TcpStream::connect(&*address));
         tokio::pin!(connecting);
@@ -329,8 +350,9 @@
         loop {
             tokio::select! {
                 connected = &mut connecting => {
-                    let stream = connected.map_err(|_| Broken::NotConnected)?.map_err(|e| not_connected(&e))?;
-                    stream.set_nodelay(true).map_err(|_| Broken::NotConnected)?;
+                    let connected = connected.map_err(|_| AttemptError::NotConnected)?;
+                    let stream = connected.map_err(|e| not_connected(&e))?;
+                    stream.set_nodelay(true).map_err(|_| AttemptError::NotConnected)?;
                     // Where the system can't be told, it takes more than it has sent, and that can't be
                     // undone.
                     let _ = socket2::SockRef::from(&stream).set_tcp_notsent_lowat(MOST_UNSENT);
@@ -345,25 +367,25 @@
     }
 
     /// Puts an order into the queue. What is given up unsent leaves no trace on the wire.
-    async fn take(&mut self, order: Order) {
-        let Order::Forget(ticket) = order else {
+    async fn take(&mut self, order: EndpointCommand) {
+        let EndpointCommand::Cancel(ticket) = order else {
             self.queue.push_back(order);
             return;
         };
         let before = self.queue.len();
-        self.queue.retain(|o| !matches!(o, Order::Want(w) if w.ticket == ticket));
+        self.queue.retain(|o| !matches!(o, EndpointCommand::Send(w) if w.attempt_id == ticket));
         if self.withdraw(ticket) {
-            self.reports.send(Message::Forgotten(ticket, Broken::Unwritten)).await;
+            self.reports.send(DispatcherMessage::AttemptCancelled(ticket, AttemptError::NotWritten)).await;
             let _ = self.actor.send(News::Done(self.number, ticket)).await;
         } else if let Some(open) = self.open.remove(&ticket) {
             // What has begun to go out goes out whole, before the word that gives it up.
-            self.reports.send(Message::Forgotten(ticket, Broken::Written)).await;
+            self.reports.send(DispatcherMessage::AttemptCancelled(ticket, AttemptError::Unanswered)).await;
             if open.since.elapsed() >= SILENCE && self.last_read <= open.since {
                 let _ = self.actor.send(News::Suspect(self.number)).await;
             }
             self.ids.remove(&open.id);
             let from = self.out.len();
-            line_codec::write_forget(&open.id, &mut self.out);
+            line_codec::write_cancel(&open.id, &mut self.out);
             self.queued += (self.out.len() - from) as u64;
             if self.forgotten.len() >= MOST_FORGOTTEN {
                 self.forgotten.pop_front();
@@ -371,13 +393,13 @@
             self.forgotten.push_back(open.id);
             let _ = self.actor.send(News::Done(self.number, ticket)).await;
         } else if self.queue.len() < before {
-            self.reports.send(Message::Forgotten(ticket, Broken::Unwritten)).await;
+            self.reports.send(DispatcherMessage::AttemptCancelled(ticket, AttemptError::NotWritten)).await;
             let _ = self.actor.send(News::Done(self.number, ticket)).await;
         }
     }
 
     /// Takes an attempt of which nothing is written back out of the out buffer; whether it was one.
-    fn withdraw(&mut self, ticket: Ticket) -> bool {
+    fn withdraw(&mut self, ticket: AttemptId) -> bool {
         let Some(open) = self.open.get(&ticket).filter(|o| o.start >= self.written) else { return false };
         let (from, to) = ((open.start - self.written) as usize, (open.end - self.written) as usize);
         // It is the one request in there; a word that gives up an earlier one may follow it.
@@ -391,17 +413,19 @@
     }
 
     /// Whether no byte of an attempt in the out buffer is written.
-    fn is_unwritten(&self, ticket: Ticket) -> bool {
+    fn is_unwritten(&self, ticket: AttemptId) -> bool {
         self.open.get(&ticket).is_some_and(|open| open.start >= self.written)
     }
 
     /// Withdraws the attempt that waits to be written if its request is over, however that came to be known,
     /// or it is too late to send it.
     async fn drop_over(&mut self) {
-        let waits = |(ticket, ..): &&(Ticket, Over, Instant)| self.is_unwritten(*ticket);
-        let how = |(ticket, over, send_by): &(Ticket, Over, Instant)| match Instant::now() > *send_by {
-            _ if over.look() => Some((*ticket, Broken::CalledOff)),
-            late => late.then_some((*ticket, Broken::Unwritten)),
+        let waits = |(ticket, ..): &&(AttemptId, CancellationToken, Instant)| self.is_unwritten(*ticket);
+        let how = |(ticket, over, send_by): &(AttemptId, CancellationToken, Instant)| match Instant::now()
+            > *send_by
+        {
+            _ if over.check_client() => Some((*ticket, AttemptError::Cancelled)),
+            late => late.then_some((*ticket, AttemptError::NotWritten)),
         };
         let dropped = self.unwritten.as_ref().filter(waits).and_then(how);
         if let Some((ticket, how)) = dropped.filter(|(ticket, _)| self.withdraw(*ticket)) {
@@ -416,32 +440,34 @@
             let Some(order) = self.queue.pop_front() else { return };
             let (now, from) = (Instant::now(), self.out.len());
             match order {
-                Order::Want(want) if want.over.is() => {
-                    self.report(want.ticket, Err(Broken::CalledOff)).await;
+                EndpointCommand::Send(want) if want.cancellation.is_cancelled() => {
+                    self.report(want.attempt_id, Err(AttemptError::Cancelled)).await;
                 }
-                Order::Want(want) if now > want.send_by => {
-                    self.report(want.ticket, Err(Broken::Unwritten)).await;
+                EndpointCommand::Send(want) if now > want.send_deadline => {
+                    self.report(want.attempt_id, Err(AttemptError::NotWritten)).await;
                 }
                 // Its answer could not be told from the late one to an attempt that was given up here.
-                Order::Want(want) if self.forgotten.contains(&want.id) || self.ids.contains_key(&want.id) => {
-                    self.report(want.ticket, Err(Broken::Unwritten)).await;
+                EndpointCommand::Send(want)
+                    if self.forgotten.contains(&want.id) || self.ids.contains_key(&want.id) =>
+                {
+                    self.report(want.attempt_id, Err(AttemptError::NotWritten)).await;
                 }
-                Order::Want(want) => {
-                    line_codec::write_want(&want, now, &mut self.out);
+                EndpointCommand::Send(want) => {
+                    line_codec::write_request(&want, now, &mut self.out);
                     let start = self.queued;
                     self.queued += (self.out.len() - from) as u64;
                     let open = Open { id: want.id.clone(), start, end: self.queued, since: now };
-                    self.unwritten = Some((want.ticket, want.over, want.send_by));
-                    self.ids.insert(want.id, want.ticket);
-                    self.open.insert(want.ticket, open);
+                    self.unwritten = Some((want.attempt_id, want.cancellation, want.send_deadline));
+                    self.ids.insert(want.id, want.attempt_id);
+                    self.open.insert(want.attempt_id, open);
                 }
-                Order::Probe(number) => {
+                EndpointCommand::HealthCheck(number) => {
                     let tag: Arc<str> = format!("p{number}").into();
-                    line_codec::write_probe(&tag, &mut self.out);
+                    line_codec::write_health_check(&tag, &mut self.out);
                     self.queued += (self.out.len() - from) as u64;
                     self.probes.insert(tag, number);
                 }
-                Order::Forget(_) => {} // taken at once, never queued
+                EndpointCommand::Cancel(_) => {} // taken at once, never queued
             }
         }
     }
@@ -449,21 +475,25 @@
     /// Tells of a request that has now been written whole, answered or not, given up or not.
     async fn count_written(&mut self) {
         if let Some((ticket, ..)) = self.unwritten.take_if(|_| self.out.is_empty()) {
-            self.reports.send(Message::Written(ticket)).await;
+            self.reports.send(DispatcherMessage::AttemptWritten(ticket)).await;
         }
     }
 
-    async fn report(&mut self, ticket: Ticket, end: crate::dispatch::End) {
-        self.reports.send(Message::Ended(ticket, end)).await;
+    async fn report(&mut self, ticket: AttemptId, end: crate::dispatch::AttemptResult) {
+        self.reports.send(DispatcherMessage::AttemptEnded(ticket, end)).await;
         let _ = self.actor.send(News::Done(self.number, ticket)).await;
     }
 
     /// Writes, reads and takes orders until the connection ends. Returns the id whose answer was cut off.
-    async fn serve(&mut self, mut stream: TcpStream, orders: &mut mpsc::Receiver<Order>) -> Option<Arc<str>> {
+    async fn serve(
+        &mut self,
+        mut stream: TcpStream,
+        orders: &mut mpsc::Receiver<EndpointCommand>,
+    ) -> Option<Arc<str>> {
         let (mut read, write) = stream.split();
-        let (mut reader, mut buffer) = (Reader::default(), BytesMut::with_capacity(8 * 1024));
+        let (mut reader, mut buffer) = (LineDecoder::default(), BytesMut::with_capacity(8 * 1024));
         // Ends before the server would end it, so that no request crosses the server's close.
-        let idle = self.transport.idle.mul_f64(0.8);
+        let idle = self.transport.idle_timeout.mul_f64(0.8);
         let wanted = self.wanted.clone();
         let (mut used, mut closed) = (Instant::now(), false);
         // How far a silence has come: nothing, asked for a sign of life, doubtful.
@@ -523,7 +553,7 @@
                     0 => {
                         // No probe of the module's: whatever comes shows that the connection lives.
                         let from = self.out.len();
-                        line_codec::write_probe(SIGN, &mut self.out);
+                        line_codec::write_health_check(SIGN, &mut self.out);
                         self.queued += (self.out.len() - from) as u64;
                         asked = 1;
                     }
@@ -543,7 +573,7 @@
     }
 
     /// Takes what has been read; whether it can be used.
-    async fn answers(&mut self, reader: &mut Reader, buffer: &mut BytesMut) -> bool {
+    async fn answers(&mut self, reader: &mut LineDecoder, buffer: &mut BytesMut) -> bool {
         self.last_read = Instant::now();
         loop {
             match reader.next(buffer) {
@@ -559,14 +589,19 @@
 
     async fn answer(&mut self, message: line_codec::Message) {
         match message.content {
-            Content::Probe(well, gauges) => {
+            Content::Health(well, gauges) => {
                 if let Some(number) = self.probes.remove(&message.id) {
-                    self.reports.send(Message::Probed(number, Ok(Health { well, gauges }))).await;
+                    self.reports
+                        .send(DispatcherMessage::HealthChecked(
+                            number,
+                            Ok(HealthReport { healthy: well, load_report: gauges }),
+                        ))
+                        .await;
                 }
             }
             // Where nothing is open under the id it is a second copy, the late answer to what was given up,
             // or one to what was never asked. It was read whole, so what follows it is as good as ever.
-            Content::Reply(reply) => {
+            Content::Response(reply) => {
                 if let Some(ticket) = self.ids.remove(&message.id) {
                     self.open.remove(&ticket);
                     self.report(ticket, Ok(reply)).await;
@@ -576,45 +611,47 @@
     }
 
     /// No connection came up: nothing ran.
-    async fn refused(mut self, how: Broken, mut orders: mpsc::Receiver<Order>) {
+    async fn refused(mut self, how: AttemptError, mut orders: mpsc::Receiver<EndpointCommand>) {
         orders.close();
         while let Some(order) = orders.recv().await {
             self.take(order).await;
         }
         for order in std::mem::take(&mut self.queue) {
             match order {
-                Order::Want(want) => self.report(want.ticket, Err(how)).await,
-                Order::Probe(number) => self.reports.send(Message::Probed(number, Err(how))).await,
-                Order::Forget(_) => {}
+                EndpointCommand::Send(want) => self.report(want.attempt_id, Err(how)).await,
+                EndpointCommand::HealthCheck(number) => {
+                    self.reports.send(DispatcherMessage::HealthChecked(number, Err(how))).await
+                }
+                EndpointCommand::Cancel(_) => {}
             }
         }
         let _ = self.actor.send(News::Closed(self.number, Vec::new())).await;
     }
 
     /// Ends all that is open by how far each had come, and hands back what was not written.
-    async fn end(mut self, answering: Option<Arc<str>>, mut orders: mpsc::Receiver<Order>) {
+    async fn end(mut self, answering: Option<Arc<str>>, mut orders: mpsc::Receiver<EndpointCommand>) {
         orders.close();
         while let Some(order) = orders.recv().await {
             self.take(order).await;
         }
         for (ticket, open) in std::mem::take(&mut self.open) {
             let how = match () {
-                () if answering.as_ref() == Some(&open.id) => Broken::Answering,
-                () if self.written >= open.end => Broken::Written,
-                () if self.written > open.start => Broken::PartlyWritten,
-                () => Broken::Unwritten,
+                () if answering.as_ref() == Some(&open.id) => AttemptError::ResponseInterrupted,
+                () if self.written >= open.end => AttemptError::Unanswered,
+                () if self.written > open.start => AttemptError::PartiallyWritten,
+                () => AttemptError::NotWritten,
             };
             self.report(ticket, Err(how)).await;
         }
         for number in std::mem::take(&mut self.probes).into_values() {
-            self.reports.send(Message::Probed(number, Err(Broken::Written))).await;
+            self.reports.send(DispatcherMessage::HealthChecked(number, Err(AttemptError::Unanswered))).await;
         }
-        let mut unsent: Vec<Order> = std::mem::take(&mut self.queue).into();
+        let mut unsent: Vec<EndpointCommand> = std::mem::take(&mut self.queue).into();
         if self.written == 0 {
             // Guards against a server that accepts and closes: placed anew, they would be so without an end.
             for order in std::mem::take(&mut unsent) {
-                if let Order::Want(want) = order {
-                    self.report(want.ticket, Err(Broken::NotConnected)).await;
+                if let EndpointCommand::Send(want) = order {
+                    self.report(want.attempt_id, Err(AttemptError::NotConnected)).await;
                 }
             }
         }
@@ -623,8 +660,8 @@
         {
             // The actor has ended, so nobody will place these anew.
             for order in unsent {
-                if let Order::Want(want) = order {
-                    self.report(want.ticket, Err(Broken::Unwritten)).await;
+                if let EndpointCommand::Send(want) = order {
+                    self.report(want.attempt_id, Err(AttemptError::NotWritten)).await;
                 }
             }
         }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -13,7 +13,7 @@
 const PROBES: u64 = 100;
 
 fn deployment_without_joins() -> Settings {
-    Settings { joins: false, direct: false, ..settings() }
+    Settings { request_collapsing: false, direct_requests: false, ..settings() }
 }
 
 /// Ends a fill for which the parent had to ask the origin.
@@ -23,13 +23,13 @@
         attempt: 0,
         server: one.server,
         outcome: Outcome::Ok,
-        took,
-        over: true,
-        note: Note::FilledByOrigin,
-        waited,
-        report: Vec::new(),
+        elapsed: took,
+        request_finished: true,
+        cache_status: CacheStatus::FilledFromOrigin,
+        source_wait: waited,
+        load_report: Vec::new(),
     };
-    gateway.event(Event::Ended(end));
+    gateway.event(Event::AttemptEnded(end));
 }
 
 /// How many of a hundred lone requests may only take what their source holds.
@@ -37,8 +37,8 @@
     let mut held_only = 0;
     for object in first_object..first_object + PROBES {
         let one = gateway.send(object);
-        held_only += usize::from(one.fill.is_some_and(|fill| fill.held_only));
-        gateway.end(&one, 0, Outcome::Ok, Note::Hit);
+        held_only += usize::from(one.fill.is_some_and(|fill| fill.only_if_cached));
+        gateway.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
     }
     held_only
 }
@@ -56,7 +56,7 @@
         if object % 3 == 0 {
             fetched_from_origin(&mut gateway, &one, LATE_ANSWER, LATE_FIRST_BYTE);
         } else {
-            gateway.end(&one, 0, Outcome::Ok, Note::Filled);
+            gateway.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
         }
     }
     let held_back = held_only(&mut gateway, 2_000);
@@ -84,7 +84,7 @@
             fetched_from_origin(&mut gateway, &one, LATE_ANSWER, EARLY_FIRST_BYTE);
         } else {
             let one = gateway.send(object);
-            gateway.end(&one, 0, Outcome::Ok, Note::Filled);
+            gateway.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
         }
     }
     let held_back = held_only(&mut gateway, 2_000);
@@ -99,14 +99,14 @@
     for object in 0..60 {
         gateway.now += 100_000;
         for one in sent(&gateway.ask(0, object)) {
-            gateway.end(&one, 0, Outcome::Full, Note::NoPlace);
+            gateway.end(&one, 0, Outcome::Rejected, CacheStatus::FillLimitReached);
         }
     }
     for object in 100..160 {
         gateway.now += 100_000;
         let actions = gateway.ask(WRITES, object);
         let one = sent(&actions).first().cloned().unwrap_or_else(|| panic!("nothing sent: {actions:?}"));
-        assert_eq!(one.fill.map(|fill| (fill.source, fill.held_only)), Some((ORIGIN, false)));
-        gateway.end(&one, 0, Outcome::Ok, Note::Filled);
+        assert_eq!(one.fill.map(|fill| (fill.source, fill.only_if_cached)), Some((ORIGIN, false)));
+        gateway.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
     }
 }
--- a/tests/board.rs
+++ b/tests/board.rs
@@ -3,7 +3,7 @@
 mod standin;
 
 use foxhold::discovery::client;
-use foxhold::dispatch::{Message, Reports};
+use foxhold::dispatch::{DispatcherMessage, DispatcherSender};
 use standin::local;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -15,7 +15,7 @@
 
 struct Board {
     listener: TcpListener,
-    news: mpsc::Receiver<Message>,
+    news: mpsc::Receiver<DispatcherMessage>,
     address: watch::Sender<String>,
 }
 
@@ -31,7 +31,7 @@
         let (listener, address) = listener().await;
         let (reports, news) = mpsc::channel(16);
         let (address, at) = watch::channel(address);
-        tokio::task::spawn_local(client::follow(at, 3, purges_only, Reports::new(reports), None));
+        tokio::task::spawn_local(client::follow(at, 3, purges_only, DispatcherSender::new(reports), None));
         Board { listener, news, address }
     }
 
@@ -48,7 +48,7 @@
     /// The object of the next purge that it reports.
     async fn purge(&mut self) -> String {
         match timeout(SOON, self.news.recv()).await.expect("news in time") {
-            Some(Message::Purged { object: Some(object), .. }) => object.to_string(),
+            Some(DispatcherMessage::Purged { object: Some(object), .. }) => object.to_string(),
             other => panic!("{other:?}"),
         }
     }
@@ -133,7 +133,10 @@
             stream.write_all(events.as_bytes()).await.expect("a reader");
             assert_eq!(board.purge().await, "4");
             if !purges_only {
-                assert!(matches!(board.news.recv().await, Some(Message::Members { full: true, .. })));
+                assert!(matches!(
+                    board.news.recv().await,
+                    Some(DispatcherMessage::Members { full: true, .. })
+                ));
             }
             assert_eq!(board.purge().await, "6");
         });
@@ -169,7 +172,7 @@
         for _ in 0..60 {
             let (reports, news) = mpsc::channel(16);
             let (address, follows) = watch::channel(at.clone());
-            tokio::task::spawn_local(client::follow(follows, 3, false, Reports::new(reports), None));
+            tokio::task::spawn_local(client::follow(follows, 3, false, DispatcherSender::new(reports), None));
             told.push((address, news));
         }
         let mut first = Vec::new();
@@ -260,7 +263,7 @@
             let board = Unreachable::start().await;
             let (reports, news) = mpsc::channel(16);
             let (address, at) = watch::channel(board.address.clone());
-            tokio::task::spawn_local(client::follow(at, 3, false, Reports::new(reports), None));
+            tokio::task::spawn_local(client::follow(at, 3, false, DispatcherSender::new(reports), None));
             returns.push(tokio::task::spawn_local(async move {
                 // By then the wait is as long as it gets; each returns at another moment of it.
                 tokio::time::sleep(Duration::from_millis(4_000 + 170 * n)).await;
@@ -316,7 +319,7 @@
         let lines = whole(9) + "9\n" + &whole(9) + &whole(2) + &purge(10);
         stream.write_all(lines.as_bytes()).await.expect("a reader");
         let first = timeout(SOON, board.news.recv()).await.expect("news in time");
-        assert!(matches!(first, Some(Message::Members { full: true, .. })), "{first:?}");
+        assert!(matches!(first, Some(DispatcherMessage::Members { full: true, .. })), "{first:?}");
         assert_eq!(board.purge().await, "10", "neither list again");
         drop(stream);
         assert_eq!(board.connection().await.1, "watch 10\n");
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -6,13 +6,14 @@
 mod standin;
 
 use foxhold::dispatch::{
-    Ask, Broken, Clock, Copy, Core, End, Listing, Message, Order, Peers, Reply, Reports, Ticket, Verdict,
-    Want,
+    AttemptError, AttemptId, AttemptResult, ClientRequest, Clock, Dispatcher, DispatcherMessage,
+    DispatcherSender, Endpoint, EndpointCommand, EndpointConnector, Representation, ResponseStatus,
+    UpstreamRequest, UpstreamResponse,
 };
 use foxhold::frontend::platform::Platform;
 use foxhold::frontend::stream::ClientStream;
-use foxhold::policy::types::{Note, ServerId};
-use foxhold::upstream::host::{Boxed, Exchange, Host};
+use foxhold::policy::types::{CacheStatus, ServerId};
+use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
 use standin::*;
 use std::io::{ErrorKind, Write};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -33,7 +34,7 @@
 
 /// A director's front before a cache that is taken step by step, and a parent and an origin that serve.
 struct Site {
-    core: Core,
+    core: Dispatcher,
     front: String,
     cache: BufReader<TcpStream>,
     others: [Server; 2],
@@ -76,10 +77,10 @@
     }
 
     /// Puts an attempt's end into the core's mailbox, with nothing run.
-    fn ends(&mut self, end: End) {
-        let ticket = Ticket { request: self.next, attempt: 0 };
+    fn ends(&mut self, end: AttemptResult) {
+        let ticket = AttemptId { request: self.next, attempt: 0 };
         self.next += 1;
-        assert!(self.core.reports().try_send(Message::Ended(ticket, end)));
+        assert!(self.core.sender().try_send(DispatcherMessage::AttemptEnded(ticket, end)));
     }
 
     /// Waits until the core holds no request, and what was written to servers has come there.
@@ -96,15 +97,15 @@
     }
 }
 
-fn foxhold_core(members: Vec<Listing>) -> Core {
+fn foxhold_core(members: Vec<Endpoint>) -> Dispatcher {
     start(settings(), Clock::system(), members)
 }
 
-async fn settle(core: &Core) {
+async fn settle(core: &Dispatcher) {
     let until = Instant::now() + SOON;
     loop {
-        let tables = core.figures().await.expect("a core").tables;
-        if tables.live == 0 {
+        let tables = core.metrics().await.expect("a core").tables;
+        if tables.pending_requests == 0 {
             break;
         }
         assert!(Instant::now() < until, "{tables:?}");
@@ -113,9 +114,14 @@
     sleep(Duration::from_millis(20)).await;
 }
 
-fn served() -> End {
-    let verdict = Verdict::Copy(Copy { tag: None, body: "ok".into() });
-    Ok(Reply { verdict, note: Note::Hit, waited: 0, gauges: Vec::new() })
+fn served() -> AttemptResult {
+    let verdict = ResponseStatus::Ok(Representation { etag: None, body: "ok".into() });
+    Ok(UpstreamResponse {
+        status: verdict,
+        cache_status: CacheStatus::Hit,
+        source_wait: 0,
+        load_report: Vec::new(),
+    })
 }
 
 // ---- under a stall of the loop ----
@@ -127,14 +133,14 @@
         local(async {
             let mut site = Site::start().await;
             let mut client = site.client(0xa).await;
-            site.ends(Err(Broken::Unwritten));
+            site.ends(Err(AttemptError::NotWritten));
             client.write_all(&vec![b'x'; unread]).expect("a reader");
             drop(client);
             stall();
             site.settle().await;
             assert_eq!(site.others_had(), site.before, "{unread} bytes unread");
-            let counts = site.core.figures().await.expect("a core").requests["videos"];
-            assert_eq!(counts.left_unrun + counts.left_may_have_run, 1, "{counts:?}");
+            let counts = site.core.metrics().await.expect("a core").requests["videos"];
+            assert_eq!(counts.cancelled_not_run + counts.cancelled_may_have_run, 1, "{counts:?}");
         });
     }
 }
@@ -149,14 +155,14 @@
             let address = listener.local_addr().expect("an address");
             let mut client = std::net::TcpStream::connect(address).expect("a listener");
             let stream = ClientStream::new(listener.accept().await.expect("a connection").0);
-            let ask = Ask {
+            let ask = ClientRequest {
                 id: "000000000000000a".into(),
                 object: "7f3a9c21e0b4d655".into(),
                 size_kb: 50.0,
-                allow: Duration::from_secs(2),
+                timeout: Duration::from_secs(2),
                 ..Default::default()
             };
-            let _pending = site.core.ask_of(ask, stream.client());
+            let _pending = site.core.submit_for_client(ask, stream.client());
             client.write_all(&vec![b'x'; unread]).expect("a reader");
             drop(client);
             stall();
@@ -278,7 +284,7 @@
         let front = serve(&core, Platform(core.clone())).await;
         let mut client = std::net::TcpStream::connect(&front).expect("a front");
         client.write_all(get(0xa).as_bytes()).expect("a reader");
-        while core.figures().await.expect("a core").tables.attempts == 0 {
+        while core.metrics().await.expect("a core").tables.attempts_in_flight == 0 {
             tokio::task::yield_now().await;
         }
         drop(client);
@@ -331,9 +337,9 @@
 struct Counting(Arc<AtomicUsize>);
 
 impl Exchange for Counting {
-    fn exchange(&self, _: &Listing, _: Want) -> Boxed<End> {
+    fn exchange(&self, _: &Endpoint, _: UpstreamRequest) -> BoxFuture<AttemptResult> {
         self.0.fetch_add(1, Ordering::Relaxed);
-        Box::pin(std::future::ready(Err(Broken::Written)))
+        Box::pin(std::future::ready(Err(AttemptError::Unanswered)))
     }
 }
 
@@ -343,27 +349,27 @@
     local(async {
         let begun = Arc::new(AtomicUsize::new(0));
         let (reports, mut news) = mpsc::channel(1);
-        let reports = Reports::new(reports);
-        let ticket = Ticket { request: 1, attempt: 0 };
-        assert!(reports.try_send(Message::Left(9)));
+        let reports = DispatcherSender::new(reports);
+        let ticket = AttemptId { request: 1, attempt: 0 };
+        assert!(reports.try_send(DispatcherMessage::ClientCancelled(9)));
         let listing = listing("s-1", "", "edge", "cache");
-        let orders = Host::new(Counting(begun.clone())).open(ServerId(1), &listing, reports);
+        let orders = HostTransport::new(Counting(begun.clone())).connect(ServerId(1), &listing, reports);
         let want = want(ticket, "a", "videos", Vec::new(), Instant::now() + SOON);
-        let over = want.over.clone();
-        orders.try_send(Order::Want(want)).expect("room");
+        let over = want.cancellation.clone();
+        orders.try_send(EndpointCommand::Send(want)).expect("room");
         for _ in 0..20 {
             tokio::task::yield_now().await;
         }
-        over.end();
+        over.cancel();
         let mut ended = None;
         while ended.is_none() {
             match timeout(SOON, news.recv()).await.expect("in time") {
-                Some(Message::Ended(of, end)) => ended = Some((of, end)),
-                Some(Message::Left(_) | Message::Written(_)) => {}
+                Some(DispatcherMessage::AttemptEnded(of, end)) => ended = Some((of, end)),
+                Some(DispatcherMessage::ClientCancelled(_) | DispatcherMessage::AttemptWritten(_)) => {}
                 other => panic!("{other:?}"),
             }
         }
-        assert_eq!(ended, Some((ticket, Err(Broken::CalledOff))));
+        assert_eq!(ended, Some((ticket, Err(AttemptError::Cancelled))));
         assert_eq!(begun.load(Ordering::Relaxed), 0);
     });
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,27 +5,35 @@
 
 pub const ORIGIN: ServerId = ServerId(20);
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
         name: "pages".into(),
-        aim: 500_000,
+        latency_objective: 500_000,
         deadline: 2_000_000,
-        worth: 1.0,
-        effect,
-        fresh: 8_000_000,
-        grace: 10_000_000,
+        priority_weight: 1.0,
+        idempotency: effect,
+        freshness_lifetime: 8_000_000,
+        stale_grace: 10_000_000,
         ..Class::default()
     }
 }
 
 pub fn settings() -> Settings {
-    let cold = ColdRule { floor: 0.2, warm_within: 10_000_000, multiple: 2.0, window: 1_000_000 };
+    let cold = SlowStartRule {
+        initial_capacity_share: 0.2,
+        warm_up_time: 10_000_000,
+        overload_multiple: 2.0,
+        overload_window: 1_000_000,
+    };
     Settings {
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            class(Effect::Keyed { scope: KeyScope::Cell, window: 1_000_000 }),
-            Class { write: true, ..class(Effect::Keyed { scope: KeyScope::All, window: 1_000_000 }) },
+            class(Idempotency::Idempotent),
+            class(Idempotency::AtMostOnce),
+            class(Idempotency::IdempotencyKey { scope: KeyScope::Cell, window: 1_000_000 }),
+            Class {
+                write: true,
+                ..class(Idempotency::IdempotencyKey { scope: KeyScope::All, window: 1_000_000 })
+            },
         ],
         kinds: vec!["cache".into(), "parent".into(), "origin".into()],
         parent_kind: Some(1),
@@ -34,22 +42,22 @@
         zone: 2,
         routers_by_zone: vec![0, 0, 1, 1],
         routers: 2,
-        flow: 1000.0,
-        sizes_told: true,
-        cancel: true,
-        second_copies: true,
-        retry_advice: true,
-        max_advice: 1_000_000,
+        transfer_kb_per_s: 1000.0,
+        sizes_known: true,
+        can_cancel: true,
+        hedging: true,
+        retry_after: true,
+        max_retry_after: 1_000_000,
         max_attempts: 6,
-        direct: true,
-        joins: true,
+        direct_requests: true,
+        request_collapsing: true,
         siblings: Siblings::Zone,
-        notes: Notes::All,
+        cache_status_level: CacheStatusLevel::All,
         drain_grace: 500_000,
-        cold_cache: cold,
-        cold_parent: cold,
+        cache_slow_start: cold,
+        parent_slow_start: cold,
         purge_grace: 500_000,
-        purge_done: 6_000_000,
+        purge_complete_within: 6_000_000,
         ..Settings::default()
     }
 }
@@ -63,7 +71,7 @@
         _ => (0, 2),
     };
     let cell = if id == 3 { 8 } else { 7 };
-    Member { server: ServerId(id), zone, kind, cell, state: MemberState::Running, size: 20.0, since: 0 }
+    Member { server: ServerId(id), zone, kind, cell, state: MemberState::Running, size: 20.0, started_at: 0 }
 }
 
 pub struct Gateway {
@@ -97,7 +105,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -116,7 +124,7 @@
 
     pub fn with(settings: Settings, ids: &[u32]) -> Self {
         let mut gateway = Gateway::new(settings);
-        gateway.list(ListKind::Full, ids.iter().map(|id| member(*id)).collect());
+        gateway.list(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
         gateway
     }
 
@@ -130,7 +138,7 @@
         actions
     }
 
-    pub fn list(&mut self, kind: ListKind, members: Vec<Member>) -> Vec<Action> {
+    pub fn list(&mut self, kind: MemberUpdate, members: Vec<Member>) -> Vec<Action> {
         self.event(Event::Members { kind, members })
     }
 
@@ -170,23 +178,23 @@
         sent(&self.event(Event::Request(request)))[0].clone()
     }
 
-    pub fn end(&mut self, sent: &Sent, attempt: u32, outcome: Outcome, note: Note) -> Vec<Action> {
-        self.event(Event::Ended(AttemptEnd {
+    pub fn end(&mut self, sent: &Sent, attempt: u32, outcome: Outcome, note: CacheStatus) -> Vec<Action> {
+        self.event(Event::AttemptEnded(AttemptEnd {
             request: sent.request,
             attempt,
             server: sent.server,
             outcome,
-            took: 80_000,
-            over: outcome == Outcome::Ok,
-            note,
-            waited: 0,
-            report: Vec::new(),
+            elapsed: 80_000,
+            request_finished: outcome == Outcome::Ok,
+            cache_status: note,
+            source_wait: 0,
+            load_report: Vec::new(),
         }))
     }
 
     pub fn fill(&mut self, object: u64) -> Sent {
         let sent = self.send(object);
-        self.end(&sent, 0, Outcome::Ok, Note::Filled);
+        self.end(&sent, 0, Outcome::Ok, CacheStatus::Filled);
         sent
     }
 
@@ -198,7 +206,7 @@
     /// The source a lone request would name; the request is ended at once.
     pub fn peek(&mut self, object: u64) -> ServerId {
         let sent = self.send(object);
-        self.end(&sent, 0, Outcome::Ok, Note::Hit);
+        self.end(&sent, 0, Outcome::Ok, CacheStatus::Hit);
         sent.source()
     }
 }
--- a/tests/director.rs
+++ b/tests/director.rs
@@ -2,9 +2,9 @@
 
 mod standin;
 
-use foxhold::dispatch::{Answer, Cause, Clock};
+use foxhold::dispatch::{ClientResponse, Clock, FailureReason};
 use foxhold::frontend::platform::Platform;
-use foxhold::frontend::serve::{Closing, Front};
+use foxhold::frontend::serve::{Frontend, ShutdownPhase};
 use foxhold::policy::types::Settings;
 use standin::*;
 use std::time::{Duration, Instant};
@@ -211,14 +211,14 @@
     local(async {
         let cache = Server::start(COPY).await;
         let core = start(settings(), Clock::system(), vec![cache.listing("s-cache", "edge", "cache")]);
-        let (close, closing) = tokio::sync::watch::channel(Closing::No);
+        let (close, closing) = tokio::sync::watch::channel(ShutdownPhase::Running);
         let address = serve_until(&core, Platform(core.clone()), closing).await;
         let request = get("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "");
         let mut idle = TcpStream::connect(&address).await.expect("a listener");
         let mut begun = TcpStream::connect(&address).await.expect("a listener");
         begun.write_all(&request.as_bytes()[..20]).await.expect("a reader");
         tokio::time::sleep(Duration::from_millis(50)).await; // so that it has come
-        close.send(Closing::Idle).expect("a front");
+        close.send(ShutdownPhase::CloseIdle).expect("a front");
         assert_eq!(idle.read(&mut [0]).await.expect("an end"), 0, "idle connections end");
         begun.write_all(&request.as_bytes()[20..]).await.expect("a reader");
         let mut answer = String::new();
@@ -342,10 +342,11 @@
     local(async {
         let ([_cache, ..], members) = trio(COPY).await;
         for (retry_advice, most, told) in [(true, 300_000, Some("300")), (false, 300_000, None)] {
-            let settings = Settings { retry_advice, max_advice: most, ..settings() };
+            let settings = Settings { retry_after: retry_advice, max_retry_after: most, ..settings() };
             let core = start(settings, Clock::system(), members.clone());
             let wait = Some(Duration::from_millis(500));
-            let refused = Platform(core).word(Answer::Refused { wait, cause: Cause::Busy });
+            let refused = Platform(core)
+                .word(ClientResponse::Rejected { retry_after: wait, reason: FailureReason::Overloaded });
             let head = refused.head(true);
             let advice = head.lines().find_map(|l| l.strip_prefix("X-Wait-Ms: "));
             assert_eq!(advice, told, "{head}");
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -3,8 +3,8 @@
 mod standin;
 
 use base64::{engine::general_purpose::URL_SAFE, Engine};
-use foxhold::discovery::watched_file::Watched;
-use foxhold::dispatch::{Clock, Core, Message};
+use foxhold::discovery::watched_file::WatchedFile;
+use foxhold::dispatch::{Clock, Dispatcher, DispatcherMessage};
 use foxhold::frontend::signed::{follow_keys, parse_keys, Metrics, Signed};
 use foxhold::policy::types::Micros;
 use foxhold::signed::Counts;
@@ -18,7 +18,7 @@
 const NOW: u64 = 1_764_576_000;
 
 struct Site {
-    core: Core,
+    core: Dispatcher,
     cache: Server,
     parent: Server,
     origin: Server,
@@ -230,7 +230,7 @@
             member("s-parent", "hub", "parent"),
             member("s-origin", "hub", "origin"),
         ];
-        site.core.reports().send(Message::Members { full: true, members }).await;
+        site.core.sender().send(DispatcherMessage::Members { full: true, members }).await;
         for (method, path) in [("GET", "/videos/a"), ("PUT", "/filing/a")] {
             let answer = site.send(method, &site.link(path, NOW + 60), "").await;
             assert_eq!(answer.status, 502, "{method}");
@@ -251,7 +251,7 @@
     };
     std::fs::write(&path, file("u0")).expect("a file");
     paused(async {
-        let (watched, first) = Watched::open(path.clone(), parse_keys).expect("a good file");
+        let (watched, first) = WatchedFile::open(path.clone(), parse_keys).expect("a good file");
         let (sender, keys) = watch::channel(Arc::new(first));
         tokio::task::spawn_local(follow_keys(watched, sender));
         let names = || format!("{:?}", keys.borrow());
