--- a/tests/library.rs
+++ b/tests/library.rs
@@ -2,11 +2,11 @@
 
 mod standin;
 
-use foxhold::director::{AskError, Director, Question, Stopped};
-use foxhold::discovery::Told;
+use foxhold::director::{CacheRequest, Director, SendError, Stopped};
+use foxhold::discovery::StaticEndpoints;
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
-use foxhold::upstream::host::{Boxed, Exchange, Host};
+use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
 use standin::{listing, local, settings, want, Manner, Server};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 /// What a host's own transport does with each attempt.
-type Manners = Arc<Mutex<Box<dyn Fn(&Listing, &Want) -> Boxed<End> + Send>>>;
+type Manners = Arc<Mutex<Box<dyn Fn(&Endpoint, &UpstreamRequest) -> BoxFuture<AttemptResult> + Send>>>;
 
 /// The server, the source of a fill, and when.
 type Asked = (String, Option<String>, Instant);
@@ -27,7 +27,9 @@
 }
 
 impl Carrier {
-    fn new(manners: impl Fn(&Listing, &Want) -> Boxed<End> + Send + 'static) -> Self {
+    fn new(
+        manners: impl Fn(&Endpoint, &UpstreamRequest) -> BoxFuture<AttemptResult> + Send + 'static,
+    ) -> Self {
         Carrier { asked: Arc::default(), manners: Arc::new(Mutex::new(Box::new(manners))) }
     }
 
@@ -37,24 +39,31 @@
 }
 
 impl Exchange for Carrier {
-    fn exchange(&self, server: &Listing, want: Want) -> Boxed<End> {
-        let via = want.via.as_ref().map(|v| v.to_string());
+    fn exchange(&self, server: &Endpoint, want: UpstreamRequest) -> BoxFuture<AttemptResult> {
+        let via = want.fill_source.as_ref().map(|v| v.to_string());
         self.asked.lock().expect("a list").push((server.name.to_string(), via, Instant::now()));
         self.manners.lock().expect("manners")(server, &want)
     }
 }
 
-fn served() -> Boxed<End> {
-    let verdict = Verdict::Copy(Copy { tag: None, body: "bytes".into() });
-    Box::pin(async { Ok(Reply { verdict, note: Note::Hit, waited: 0, gauges: Vec::new() }) })
+fn served() -> BoxFuture<AttemptResult> {
+    let verdict = ResponseStatus::Ok(Representation { etag: None, body: "bytes".into() });
+    Box::pin(async {
+        Ok(UpstreamResponse {
+            status: verdict,
+            cache_status: CacheStatus::Hit,
+            source_wait: 0,
+            load_report: Vec::new(),
+        })
+    })
 }
 
-fn never() -> Boxed<End> {
+fn never() -> BoxFuture<AttemptResult> {
     Box::pin(std::future::pending())
 }
 
-fn members() -> Vec<Listing> {
-    let mut members: Vec<Listing> =
+fn members() -> Vec<Endpoint> {
+    let mut members: Vec<Endpoint> =
         (1..=3).map(|n| listing(&format!("cache-{n}"), "a", "edge", "cache")).collect();
     members.extend((1..=2).map(|n| listing(&format!("parent-{n}"), "b", "hub", "parent")));
     members.push(listing("origin-1", "c", "hub", "origin"));
@@ -62,8 +71,8 @@
 }
 
 fn director(carrier: &Carrier) -> Director {
-    let builder = Director::builder(settings()).membership(Told(members())).seed(7);
-    builder.transport(Host::new(carrier.clone())).start().expect("a director")
+    let builder = Director::builder(settings()).endpoint_source(StaticEndpoints(members())).seed(7);
+    builder.connector(HostTransport::new(carrier.clone())).start().expect("a director")
 }
 
 /// Waits until it holds, for 5 s at most.
@@ -76,22 +85,22 @@
 }
 
 async fn counts(director: &Director, class: &str) -> ClassCounts {
-    director.figures().await.expect("figures").requests[class]
+    director.metrics().await.expect("figures").requests[class]
 }
 
 async fn left(director: &Director, class: &str) -> (u64, u64) {
     let counts = counts(director, class).await;
-    (counts.left_unrun, counts.left_may_have_run)
+    (counts.cancelled_not_run, counts.cancelled_may_have_run)
 }
 
 /// Whether nothing is held any more.
 async fn empty(director: &Director) -> bool {
-    let t = director.figures().await.expect("figures").tables;
-    (t.live, t.attempts, t.let_go, t.probes) == (0, 0, 0, 0)
+    let t = director.metrics().await.expect("figures").tables;
+    (t.pending_requests, t.attempts_in_flight, t.cancelled_requests, t.health_checks) == (0, 0, 0, 0)
 }
 
-fn filing(object: &str) -> Question {
-    Question::new("filing", object).body("a filing")
+fn filing(object: &str) -> CacheRequest {
+    CacheRequest::new("filing", object).body("a filing")
 }
 
 fn threads<T>(test: impl std::future::Future<Output = T>) -> T {
@@ -114,10 +123,10 @@
             served()
         });
         let director = director(&carrier);
-        let first = director.ask(Question::new("videos", "one"));
+        let first = director.send(CacheRequest::new("videos", "one"));
         until("it is busy", async || busy.load(Ordering::SeqCst)).await;
-        drop(director.ask(filing("two")));
-        assert!(matches!(first.await, Ok(Answer::Served(_))));
+        drop(director.send(filing("two")));
+        assert!(matches!(first.await, Ok(ClientResponse::Served(_))));
         until("it is counted", async || left(&director, "filing").await == (1, 0)).await;
         assert_eq!(carrier.asked().len(), 1);
         assert!(empty(&director).await);
@@ -129,7 +138,7 @@
     threads(async {
         let carrier = Carrier::new(|_, _| never());
         let director = director(&carrier);
-        let pending = director.ask(filing("one"));
+        let pending = director.send(filing("one"));
         until("it is sent", async || carrier.asked().len() == 1).await;
         drop(pending);
         until("it is counted", async || left(&director, "filing").await == (0, 1)).await;
@@ -144,9 +153,9 @@
     for manner in [Manner::Silent, Manner::Stalls] {
         local(async {
             let origin = Server::start(manner).await;
-            let told = Told(vec![origin.listing("s-origin", "hub", "origin")]);
-            let director = Director::builder(settings()).membership(told).start().expect("a director");
-            let pending = director.ask(filing("one"));
+            let told = StaticEndpoints(vec![origin.listing("s-origin", "hub", "origin")]);
+            let director = Director::builder(settings()).endpoint_source(told).start().expect("a director");
+            let pending = director.send(filing("one"));
             until("it is asked", async || origin.wants().len() == 1).await;
             drop(pending);
             until("it is counted", async || left(&director, "filing").await == (0, 1)).await;
@@ -166,15 +175,25 @@
     local(async {
         let server = Server::start(Manner::Silent).await;
         let (mailbox, mut inbox) = tokio::sync::mpsc::channel(16);
-        let mut servers = foxhold::upstream::servers::Servers::new(standin::transport(), 4);
-        let peer = servers.open(ServerId(1), &server.listing("s", "edge", "cache"), Reports::new(mailbox));
-        let ticket = Ticket { request: 1, attempt: 0 };
+        let mut servers = foxhold::upstream::servers::UpstreamConnector::new(standin::transport(), 4);
+        let peer = servers.connect(
+            ServerId(1),
+            &server.listing("s", "edge", "cache"),
+            DispatcherSender::new(mailbox),
+        );
+        let ticket = AttemptId { request: 1, attempt: 0 };
         let until = tokio::time::Instant::now() + Duration::from_secs(1);
         let want = want(ticket, "00000000000000aa", "filing", b"a filing".to_vec(), until);
-        peer.try_send(Order::Want(want)).expect("room");
-        peer.try_send(Order::Forget(ticket)).expect("room");
+        peer.try_send(EndpointCommand::Send(want)).expect("room");
+        peer.try_send(EndpointCommand::Cancel(ticket)).expect("room");
         let told = tokio::time::timeout(Duration::from_secs(2), inbox.recv()).await.expect("word");
-        assert!(matches!(told, Some(Message::Forgotten(t, Broken::Unwritten)) if t == ticket), "{told:?}");
+        assert!(
+            matches!(
+                told,
+                Some(DispatcherMessage::AttemptCancelled(t, AttemptError::NotWritten)) if t == ticket
+            ),
+            "{told:?}"
+        );
         sleep(Duration::from_millis(50)).await;
         assert_eq!(server.wants(), Vec::<String>::new());
     });
@@ -194,12 +213,13 @@
 fn ten_thousand_questions_let_go_leave_nothing_behind() {
     local(async {
         let cache = Server::start(Manner::Silent).await;
-        let told = Told(vec![cache.listing("s-cache", "edge", "cache")]);
-        let director = Director::builder(settings()).membership(told).start().expect("a director");
+        let told = StaticEndpoints(vec![cache.listing("s-cache", "edge", "cache")]);
+        let director = Director::builder(settings()).endpoint_source(told).start().expect("a director");
         let mut before = 0;
         for round in 0..100 {
-            let pending: Vec<_> =
-                (0..100).map(|n| director.ask(Question::new("videos", format!("{round}-{n}")))).collect();
+            let pending: Vec<_> = (0..100)
+                .map(|n| director.send(CacheRequest::new("videos", format!("{round}-{n}"))))
+                .collect();
             tokio::task::yield_now().await;
             if round % 10 == 0 {
                 sleep(Duration::from_millis(5)).await; // some get as far as the wire
@@ -211,10 +231,13 @@
             }
         }
         let counts = counts(&director, "videos").await;
-        let all =
-            counts.left_unrun + counts.left_may_have_run + counts.refused + counts.served + counts.failed;
+        let all = counts.cancelled_not_run
+            + counts.cancelled_may_have_run
+            + counts.rejected
+            + counts.served
+            + counts.failed;
         assert_eq!(all, 10_000, "{counts:?}");
-        assert!(counts.left_unrun > 0 && counts.left_may_have_run > 0, "{counts:?}");
+        assert!(counts.cancelled_not_run > 0 && counts.cancelled_may_have_run > 0, "{counts:?}");
         let after = descriptors();
         assert!(after <= before + 8, "{before} descriptors, then {after}");
     });
@@ -226,12 +249,17 @@
         let carrier = Carrier::new(|_, _| {
             Box::pin(async {
                 sleep(Duration::from_millis(30)).await;
-                let verdict = Verdict::Copy(Copy::default());
-                Ok(Reply { verdict, note: Note::Filled, waited: 0, gauges: Vec::new() })
+                let verdict = ResponseStatus::Ok(Representation::default());
+                Ok(UpstreamResponse {
+                    status: verdict,
+                    cache_status: CacheStatus::Filled,
+                    source_wait: 0,
+                    load_report: Vec::new(),
+                })
             })
         });
         let director = director(&carrier);
-        let ask = |n: usize| director.ask(Question::new("videos", format!("object-{n}")).size_kb(1.0));
+        let ask = |n: usize| director.send(CacheRequest::new("videos", format!("object-{n}")).size_kb(1.0));
         let open: Vec<_> = (0..200).map(ask).collect();
         until("fills are under way", async || carrier.asked().len() > 50).await;
         // Hundreds of tasks clone and drop the handle meanwhile.
@@ -301,7 +329,7 @@
         });
         let director = director(&carrier);
         let begun = Instant::now();
-        let pending = director.ask(Question::new("videos", "one").allow(Duration::from_millis(300)));
+        let pending = director.send(CacheRequest::new("videos", "one").timeout(Duration::from_millis(300)));
         until("it is sent", async || !carrier.asked().is_empty()).await;
         let handle = director.clone();
         let drained = std::thread::spawn(move || {
@@ -315,7 +343,10 @@
         let called_off = dropped.lock().expect("a note").expect("called off");
         assert!(called_off < begun + Duration::from_millis(400), "{:?}", called_off - begun);
         assert!(drained.join().expect("a thread") < begun + Duration::from_millis(300));
-        assert!(matches!(pending.await, Ok(Answer::Refused { cause: Cause::Deadline, .. })));
+        assert!(matches!(
+            pending.await,
+            Ok(ClientResponse::Rejected { reason: FailureReason::DeadlineExceeded, .. })
+        ));
     });
 }
 
@@ -326,28 +357,30 @@
         let first = director(&one);
         let mut settings = settings();
         settings.classes[0].name = "pages".into();
-        let builder = Director::builder(settings).membership(Told(members())).seed(8);
-        let second = builder.transport(Host::new(other.clone())).start().expect("a director");
-        assert!(matches!(first.ask(Question::new("videos", "a")).await, Ok(Answer::Served(_))));
-        let unknown = second.ask(Question::new("videos", "a")).await;
-        assert_eq!(unknown, Err(AskError::UnknownClass("videos".into())));
-        let open =
-            [second.ask(Question::new("pages", "a")), second.ask(Question::new("filing", "b").body("x"))];
+        let builder = Director::builder(settings).endpoint_source(StaticEndpoints(members())).seed(8);
+        let second = builder.connector(HostTransport::new(other.clone())).start().expect("a director");
+        assert!(matches!(first.send(CacheRequest::new("videos", "a")).await, Ok(ClientResponse::Served(_))));
+        let unknown = second.send(CacheRequest::new("videos", "a")).await;
+        assert_eq!(unknown, Err(SendError::UnknownClass("videos".into())));
+        let open = [
+            second.send(CacheRequest::new("pages", "a")),
+            second.send(CacheRequest::new("filing", "b").body("x")),
+        ];
         until("both are sent", async || other.asked().len() == 2).await;
         let begun = Instant::now();
         let shutdown = second.shutdown(Duration::from_millis(100)).await.expect("an end");
         assert_eq!((shutdown.open, shutdown.cut_off), (2, 2));
         assert!(begun.elapsed() < Duration::from_secs(1));
         for one in open {
-            assert_eq!(one.await, Err(AskError::Stopped { may_have_run: true }));
+            assert_eq!(one.await, Err(SendError::Stopped { may_have_run: true }));
         }
-        let late = second.ask(filing("c")).await;
-        assert_eq!(late, Err(AskError::Stopped { may_have_run: false }), "at once");
+        let late = second.send(filing("c")).await;
+        assert_eq!(late, Err(SendError::Stopped { may_have_run: false }), "at once");
         assert_eq!(second.drain("cache-1").await, Err(Stopped));
         assert_eq!(second.members(true, members()).await, Err(Stopped));
-        assert!(second.figures().await.is_err() && second.shutdown(Duration::ZERO).await.is_err());
+        assert!(second.metrics().await.is_err() && second.shutdown(Duration::ZERO).await.is_err());
         assert!(
-            matches!(first.ask(Question::new("videos", "b")).await, Ok(Answer::Served(_))),
+            matches!(first.send(CacheRequest::new("videos", "b")).await, Ok(ClientResponse::Served(_))),
             "it lives on"
         );
         let shutdown = first.shutdown(Duration::from_secs(5)).await.expect("an end");
@@ -368,8 +401,8 @@
         });
         let director = director(&carrier);
         // A panic in the call itself poisons the test's own lock; the director does not care.
-        let _ = director.ask(Question::new("videos", "a").allow(Duration::from_millis(300))).await;
-        assert!(director.figures().await.is_ok());
+        let _ = director.send(CacheRequest::new("videos", "a").timeout(Duration::from_millis(300))).await;
+        assert!(director.metrics().await.is_ok());
     });
     threads(async {
         let carrier = Carrier::new(|_, want| match want.body.is_empty() {
@@ -377,29 +410,48 @@
             false => Box::pin(async { panic!("with a filing in hand") }),
         });
         let director = director(&carrier);
-        let answer = director.ask(filing("a")).await;
-        assert_eq!(answer, Ok(Answer::Failed(Cause::Upstream)), "it may have run");
+        let answer = director.send(filing("a")).await;
+        assert_eq!(answer, Ok(ClientResponse::Failed(FailureReason::UpstreamFailed)), "it may have run");
         assert_eq!(carrier.asked().len(), 1, "and does not run twice");
         // Ends of attempts that are not out, and a second end of one that was.
         for attempt in 0..3 {
-            let ticket = Ticket { request: 1, attempt };
-            director.core().reports().send(Message::Ended(ticket, Err(Broken::Unwritten))).await;
-            director.core().reports().send(Message::Forgotten(ticket, Broken::Unwritten)).await;
+            let ticket = AttemptId { request: 1, attempt };
+            director
+                .dispatcher()
+                .sender()
+                .send(DispatcherMessage::AttemptEnded(ticket, Err(AttemptError::NotWritten)))
+                .await;
+            director
+                .dispatcher()
+                .sender()
+                .send(DispatcherMessage::AttemptCancelled(ticket, AttemptError::NotWritten))
+                .await;
         }
-        assert!(matches!(director.ask(Question::new("videos", "b")).await, Ok(Answer::Served(_))));
+        assert!(matches!(
+            director.send(CacheRequest::new("videos", "b")).await,
+            Ok(ClientResponse::Served(_))
+        ));
         assert_eq!(counts(&director, "filing").await.failed, 1);
     });
     struct Broke;
-    impl Peers for Broke {
-        fn open(&mut self, _: ServerId, _: &Listing, _: Reports) -> tokio::sync::mpsc::Sender<Order> {
+    impl EndpointConnector for Broke {
+        fn connect(
+            &mut self,
+            _: ServerId,
+            _: &Endpoint,
+            _: DispatcherSender,
+        ) -> tokio::sync::mpsc::Sender<EndpointCommand> {
             panic!("no peer")
         }
     }
     threads(async {
-        let director = Director::builder(settings()).membership(Told(members())).transport(Broke).start();
+        let director = Director::builder(settings())
+            .endpoint_source(StaticEndpoints(members()))
+            .connector(Broke)
+            .start();
         let director = director.expect("a director");
-        let answer = director.ask(Question::new("videos", "a")).await;
-        assert!(matches!(answer, Ok(Answer::Refused { .. })), "{answer:?}");
+        let answer = director.send(CacheRequest::new("videos", "a")).await;
+        assert!(matches!(answer, Ok(ClientResponse::Rejected { .. })), "{answer:?}");
     });
 }
 
@@ -407,22 +459,25 @@
 fn questions_that_cant_be_put_are_errors_that_say_that_nothing_ran() {
     threads(async {
         let director = director(&Carrier::new(|_, _| served()));
-        let ask = |question| director.ask(question);
+        let ask = |question| director.send(question);
         let errors = [
-            ask(Question::new("nothing", "a")).await,
-            ask(Question::new("videos", "a,b")).await,
-            ask(Question::new("videos", "a").body("bytes")).await,
-            ask(Question::new("filing", "a").body(vec![0; LARGEST_WRITE + 1])).await,
+            ask(CacheRequest::new("nothing", "a")).await,
+            ask(CacheRequest::new("videos", "a,b")).await,
+            ask(CacheRequest::new("videos", "a").body("bytes")).await,
+            ask(CacheRequest::new("filing", "a").body(vec![0; MAX_WRITE_BYTES + 1])).await,
         ];
         for error in errors {
             let error = error.expect_err("an error");
             assert!(!error.may_have_run() && !error.to_string().is_empty());
         }
-        let twice = ["00000000000000aa"; 2].map(|id| ask(Question::new("videos", "a").id(id)));
+        let twice = ["00000000000000aa"; 2].map(|id| ask(CacheRequest::new("videos", "a").id(id)));
         let [first, second] = twice;
         let answers = (first.await, second.await);
-        assert!(matches!(answers.0, Ok(Answer::Served(_))));
-        assert!(matches!(answers.1, Ok(Answer::Failed(Cause::Duplicate) | Answer::Served(_))));
+        assert!(matches!(answers.0, Ok(ClientResponse::Served(_))));
+        assert!(matches!(
+            answers.1,
+            Ok(ClientResponse::Failed(FailureReason::DuplicateRequest) | ClientResponse::Served(_))
+        ));
     });
 }
 
@@ -434,13 +489,16 @@
         later.classes[0].name = "pages".into();
         director.reload(later).await.expect("a director");
         until("it is taken over", async || director.settings().class("pages").is_some()).await;
-        assert!(matches!(director.ask(Question::new("pages", "a")).await, Ok(Answer::Served(_))));
-        let none = director.ask(Question::new("videos", "a")).await;
-        assert_eq!(none, Err(AskError::UnknownClass("videos".into())));
+        assert!(matches!(
+            director.send(CacheRequest::new("pages", "a")).await,
+            Ok(ClientResponse::Served(_))
+        ));
+        let none = director.send(CacheRequest::new("videos", "a")).await;
+        assert_eq!(none, Err(SendError::UnknownClass("videos".into())));
         let error = Director::builder(Settings::default()).start().expect_err("no classes");
         assert!(error.to_string().contains("no classes"), "{error}");
         let missing = foxhold::discovery::XdsFile::new("/nowhere/members.json");
-        let error = Director::builder(settings()).membership(missing).start().expect_err("no file");
+        let error = Director::builder(settings()).endpoint_source(missing).start().expect_err("no file");
         assert!(error.to_string().contains("/nowhere/members.json"), "{error}");
     });
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,14 +1,23 @@
 //! Operators' drains against what sources list.
 
-use foxhold::dispatch::membership::{Drains, Listing};
+use foxhold::dispatch::membership::{DrainOverrides, Endpoint};
 use foxhold::policy::types::{MemberState, Micros};
 
-fn listing(state: MemberState, since: Micros) -> Listing {
+fn listing(state: MemberState, since: Micros) -> Endpoint {
     let (zone, kind) = ("edge".into(), "cache".into());
-    Listing { name: "a".into(), address: "x".into(), zone, kind, cell: 0, state, size: 1.0, since }
+    Endpoint {
+        name: "a".into(),
+        address: "x".into(),
+        zone,
+        kind,
+        cell: 0,
+        state,
+        size: 1.0,
+        started_at: since,
+    }
 }
 
-fn after(drains: &mut Drains, state: MemberState, since: Micros) -> MemberState {
+fn after(drains: &mut DrainOverrides, state: MemberState, since: Micros) -> MemberState {
     let mut listing = listing(state, since);
     drains.apply(&mut listing);
     listing.state
@@ -16,7 +25,7 @@
 
 #[test]
 fn a_drain_stands_above_the_sources_until_another_process_runs_there() {
-    let mut drains = Drains::default();
+    let mut drains = DrainOverrides::default();
     drains.begin(&listing(MemberState::Running, 5));
     assert_eq!(after(&mut drains, MemberState::Running, 5), MemberState::Draining);
     assert_eq!(after(&mut drains, MemberState::Running, 5), MemberState::Draining, "each time");
@@ -29,10 +38,10 @@
 
 #[test]
 fn it_can_be_taken_back_and_does_not_outlive_the_list() {
-    let mut drains = Drains::default();
+    let mut drains = DrainOverrides::default();
     drains.begin(&listing(MemberState::Running, 5));
     assert!(drains.end("a") && !drains.end("a"));
     drains.begin(&listing(MemberState::Running, 5));
-    drains.keep(|_| false);
+    drains.retain(|_| false);
     assert_eq!(drains.len(), 0);
 }
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -10,7 +10,7 @@
 use base64::{engine::general_purpose::URL_SAFE, Engine};
 use foxhold::config::operator::LibrarySection;
 use foxhold::director::Director;
-use foxhold::discovery::Told;
+use foxhold::discovery::StaticEndpoints;
 use foxhold::dispatch::Clock;
 use foxhold::middleware::{DirectorLayer, DirectorService, Route, Routes, SignedLayer};
 use foxhold::signed::{Counts, Grant, Keys};
@@ -49,7 +49,7 @@
     local(async {
         let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(Counts::default()));
         let show = |grant: Grant, uri: axum::http::Uri| async move {
-            format!("{uri} {}", grant.valid_until.expect("an end"))
+            format!("{uri} {}", grant.expires_at.expect("an end"))
         };
         let app = Router::new().route("/{*path}", get(show)).layer(layer(clock, &counts));
         let good = app.clone().oneshot(request("/hello", NOW + 60)).await.expect("an answer");
@@ -97,7 +97,10 @@
         let cache = Server::start(Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
         let members =
             vec![cache.listing("s-cache", "edge", "cache"), cache.listing("s-origin", "hub", "origin")];
-        let director = Director::builder(settings()).membership(Told(members)).start().expect("a director");
+        let director = Director::builder(settings())
+            .endpoint_source(StaticEndpoints(members))
+            .start()
+            .expect("a director");
         let counts = Arc::new(Counts::default());
         let layer = DirectorLayer::new(director, counts.clone(), routes(), &LibrarySection::default());
         let app = Router::new().route("/hello", get(|| async { "of the host" })).layer(layer);
@@ -122,7 +125,10 @@
     local(async {
         let origin = Server::start(Manner::Silent).await;
         let members = vec![origin.listing("s-origin", "hub", "origin")];
-        let director = Director::builder(settings()).membership(Told(members)).start().expect("a director");
+        let director = Director::builder(settings())
+            .endpoint_source(StaticEndpoints(members))
+            .start()
+            .expect("a director");
         let limits = LibrarySection { open: 2, body_budget_kb: 60, ..LibrarySection::default() };
         let counts = Arc::new(Counts::default());
         let mut service = DirectorService::with(director, counts.clone(), Some(routes()), &limits);
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -2,11 +2,11 @@
 
 mod standin;
 
-use foxhold::config::platform::Config;
-use foxhold::dispatch::{Clock, Message};
-use foxhold::frontend::admin::{self, Door, Reloads};
+use foxhold::config::platform::PlatformConfig;
+use foxhold::dispatch::{Clock, DispatcherMessage};
+use foxhold::frontend::admin::{self, AdminEndpoint, Reloads};
 use foxhold::frontend::platform::Platform;
-use foxhold::frontend::serve::Closing;
+use foxhold::frontend::serve::ShutdownPhase;
 use foxhold::policy::types::*;
 use standin::*;
 use std::cell::Cell;
@@ -42,16 +42,22 @@
         let front = serve(&core, Platform(core.clone())).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        let (close, closing) = watch::channel(Closing::No);
+        let (close, closing) = watch::channel(ShutdownPhase::Running);
         let (open, reloads) = (Rc::new(Cell::new(0)), Rc::new(Reloads::default()));
         let peers = None;
-        let door = Door { core: core.clone(), open: open.clone(), closing, reloads: reloads.clone(), peers };
+        let door = AdminEndpoint {
+            dispatcher: core.clone(),
+            requests_in_flight: open.clone(),
+            shutdown: closing,
+            reloads: reloads.clone(),
+            peers,
+        };
         tokio::task::spawn_local(admin::accept(listener, door));
         for n in 0..3 {
             assert_eq!(send(&front, &get("videos", n)).await.status, 200);
         }
         *cache.manner.borrow_mut() = Manner::Silent;
-        core.reports().send(Message::Members { full: true, members: Vec::new() }).await;
+        core.sender().send(DispatcherMessage::Members { full: true, members: Vec::new() }).await;
         assert_eq!(send(&front, &get("videos", 3)).await.status, 503);
         open.set(2);
         reloads.failed.set(1);
@@ -76,21 +82,21 @@
         assert!(figures.ends_with("}\nEND\n"), "{figures}");
         assert!(call(&address, "reboot\n").await.starts_with("NO "));
         assert!(call(&address, &"x".repeat(300)).await.starts_with("NO "), "a call without an end");
-        close.send(Closing::AfterAnswer).expect("a door");
+        close.send(ShutdownPhase::CloseAfterResponse).expect("a door");
         assert!(call(&address, "check\n").await.starts_with("NO "), "a process that ends");
     });
 }
 
-fn toy() -> Config {
-    Config::parse(include_str!("../examples/config.json")).expect("a good configuration")
+fn toy() -> PlatformConfig {
+    PlatformConfig::parse(include_str!("../examples/config.json")).expect("a good configuration")
 }
 
 /// Guards against taking over a part of a file that can't be used, such as a board nobody listens at.
 #[test]
 fn a_configuration_that_lacks_a_key_or_has_figures_that_can_t_be_is_turned_down() {
     let text = include_str!("../examples/config.json");
-    let turned_down = |text: &str| match Config::parse(text) {
-        Ok(later) => later.may_follow(&toy()).is_err(),
+    let turned_down = |text: &str| match PlatformConfig::parse(text) {
+        Ok(later) => later.can_replace(&toy()).is_err(),
         Err(_) => true,
     };
     assert!(!turned_down(text));
@@ -134,10 +140,10 @@
     let free = second.renewed(with(&["b", "c", "d"]), |_| false);
     assert_eq!((free.class("d"), free.classes.len()), (Some(0), 3));
     let mut other = with(&["b", "c"]);
-    other.classes[0].effect = Effect::Unsafe;
+    other.classes[0].idempotency = Idempotency::AtMostOnce;
     let changed = second.renewed(other, |_| true);
-    assert_eq!(changed.classes[1].effect, Effect::Safe, "what is open keeps the old rules");
-    assert_eq!(changed.classes[changed.class("b").expect("a class")].effect, Effect::Unsafe);
+    assert_eq!(changed.classes[1].idempotency, Idempotency::Idempotent, "what is open keeps the old rules");
+    assert_eq!(changed.classes[changed.class("b").expect("a class")].idempotency, Idempotency::AtMostOnce);
     let mut grown = first;
     for n in 0..1000 {
         grown = grown.renewed(with(&[&format!("n{n}")]), |_| false);
@@ -155,8 +161,8 @@
         assert_eq!(send(&front, &get("films", 1)).await.status, 404);
         let mut later = settings();
         later.classes[0].name = "films".into();
-        core.reports().send(Message::Settings(Box::new(later))).await;
-        core.figures().await.expect("a core");
+        core.sender().send(DispatcherMessage::Settings(Box::new(later))).await;
+        core.metrics().await.expect("a core");
         assert_eq!(send(&front, &get("films", 2)).await.status, 200);
         assert_eq!(send(&front, &get("videos", 3)).await.status, 404);
         assert!(servers[0].wants()[0].contains("kind=films,"), "{:?}", servers[0].wants());
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -62,7 +62,7 @@
         let mut g = Gateway::seeded(settings(), round as u64);
         for churn in 0..3 {
             // A list that changes forgets the orders remembered by the one before.
-            g.list(ListKind::Full, members.clone());
+            g.list(MemberUpdate::Full, members.clone());
             let of = |kind| members.iter().filter(|m| m.kind == kind).cloned().collect::<Vec<_>>();
             let (caches, parents) = (of(0), of(1));
             for n in 0..40u64 {
@@ -74,7 +74,7 @@
                     assert_eq!(one.server, cache(object, 0, &caches), "{round} {churn} {n} {again}");
                     let source = one.fill.map(|f| f.source);
                     assert_eq!(source, Some(by_score(object, &parents)[0]), "{round} {churn} {n} {again}");
-                    g.end(&one, 0, Outcome::Ok, Note::Hit);
+                    g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
                 }
             }
             let gone = members.len() / 4;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,7 +1,7 @@
 //! Random cuts of valid messages and random garbage against the parsers, from fixed seeds.
 
 use bytes::BytesMut;
-use foxhold::config::platform::Config;
+use foxhold::config::platform::PlatformConfig;
 use foxhold::discovery::{client, xds};
 use foxhold::frontend::http;
 use foxhold::signed;
@@ -41,11 +41,11 @@
 
 #[test]
 fn answers_of_servers_read_the_same_however_they_are_cut() {
-    let mut reader = line_codec::Reader::default();
+    let mut reader = line_codec::LineDecoder::default();
     let whole = in_pieces(ANSWERS, &[], |b| reader.next(b)).expect("good answers");
     assert_eq!(whole.len(), 5);
     check(1, move |cuts: &Vec<u16>| {
-        let mut reader = line_codec::Reader::default();
+        let mut reader = line_codec::LineDecoder::default();
         in_pieces(ANSWERS, cuts, |b| reader.next(b)).as_ref() == Ok(&whole)
     });
 }
@@ -74,7 +74,7 @@
         lines.iter().map(|l| client::parse_line(l)).collect::<Result<Vec<_>, _>>()
     };
     let whole = read(&[]).expect("good lines");
-    assert_eq!((whole.len(), &whole[2]), (4, &client::Line::Last(42)));
+    assert_eq!((whole.len(), &whole[2]), (4, &client::WatchLine::Heartbeat(42)));
     check(3, move |cuts: &Vec<u16>| read(cuts).as_ref() == Ok(&whole));
 }
 
@@ -82,13 +82,13 @@
 #[test]
 fn garbage_is_turned_down_and_never_a_panic() {
     fn feed(bytes: &[u8]) -> bool {
-        let mut reader = line_codec::Reader::default();
+        let mut reader = line_codec::LineDecoder::default();
         let _ = in_pieces(bytes, &[], |b| reader.next(b));
         let _ = in_pieces(bytes, &[], |b| http::parse_head(b, 100));
         let _ = in_pieces(bytes, &[], client::next_line)
             .map(|l| l.iter().map(|l| client::parse_line(l)).filter(Result::is_ok).count());
         let text = String::from_utf8_lossy(bytes);
-        let _ = (xds::parse(&text).is_ok(), Config::parse(&text).is_ok());
+        let _ = (xds::parse(&text).is_ok(), PlatformConfig::parse(&text).is_ok());
         let file = r#"{"keys":[{"name":"k","alg":"HMAC-SHA1","key":"MDEyMzQ1Njc4OWFiY2RlZg"}]}"#;
         let keys = signed::Keys::new(miniserde::json::from_str(file).expect("JSON")).expect("a good key");
         signed::check(&keys, "a", &text, 0).is_err()
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -27,9 +27,9 @@
 /// Makes the second parent a believed holder: the first is away while a fill is kept.
 fn believe_second(g: &mut Gateway, object: u64, first: ServerId, second: ServerId) {
     let gone = Member { state: MemberState::Draining, ..member(first.0) };
-    g.list(ListKind::Changes, vec![gone]);
+    g.list(MemberUpdate::Incremental, vec![gone]);
     assert_eq!(g.fill(object).source(), second);
-    g.list(ListKind::Changes, vec![member(first.0)]);
+    g.list(MemberUpdate::Incremental, vec![member(first.0)]);
 }
 
 #[test]
@@ -62,7 +62,7 @@
     let (mut g, object, first, second) = two_parents();
     believe_second(&mut g, object, first, second);
     g.now += 20_000_000;
-    g.list(ListKind::Changes, vec![Member { since: g.now - 10_500_000, ..member(second.0) }]);
+    g.list(MemberUpdate::Incremental, vec![Member { started_at: g.now - 10_500_000, ..member(second.0) }]);
     occupy(&mut g, first, 4);
     assert_eq!(g.peek(object), first, "a restarted parent is no believed holder");
 }
@@ -83,16 +83,16 @@
     let (mut g, object, first, second) = two_parents();
     believe_second(&mut g, object, first, second);
     let held = occupy(&mut g, first, 1);
-    let again = sent(&g.end(&held[0], 0, Outcome::Failed, Note::SourceLost));
+    let again = sent(&g.end(&held[0], 0, Outcome::Failed, CacheStatus::SourceUnreachable));
     assert_eq!(again[0].source(), second, "the further attempt is filled by the other");
-    g.end(&again[0], 1, Outcome::Ok, Note::Hit);
+    g.end(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
     let (mut object_there, mut filled) = (90_000, false);
     assert_eq!(g.peek(object), second, "one failed fill against none");
     while !filled {
         object_there += 1;
         let sent = g.send(object_there);
         filled = sent.source() == first;
-        g.end(&sent, 0, Outcome::Ok, if filled { Note::Filled } else { Note::Hit });
+        g.end(&sent, 0, Outcome::Ok, if filled { CacheStatus::Filled } else { CacheStatus::Hit });
     }
     assert_eq!(g.peek(object), first, "a later success clears it");
 }
@@ -104,7 +104,7 @@
     let mut seen = vec![g.peek(object)];
     for _ in 0..3 {
         let last = *seen.last().expect("one seen");
-        g.list(ListKind::Changes, vec![Member { state: MemberState::Gone, ..member(last.0) }]);
+        g.list(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(last.0) }]);
         seen.push(g.peek(object));
     }
     assert_eq!(seen.last(), Some(&ORIGIN));
@@ -133,7 +133,7 @@
     let place = |g: &mut Gateway, object, part| {
         let request = Request { part, ..g.request(0, object) };
         let one = sent(&g.event(Event::Request(request)))[0].clone();
-        g.end(&one, 0, Outcome::Ok, Note::Hit);
+        g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
         (one.server, one.source())
     };
     for object in 1..60 {
@@ -154,11 +154,11 @@
     let mut g = Gateway::usual();
     let place = |g: &mut Gateway, o| {
         let s = g.send(o);
-        g.end(&s, 0, Outcome::Ok, Note::Hit);
+        g.end(&s, 0, Outcome::Ok, CacheStatus::Hit);
         s.server
     };
     let before: Vec<_> = (1..100).map(|o| place(&mut g, o)).collect();
-    g.list(ListKind::Changes, vec![Member { state: MemberState::Gone, ..member(2) }]);
+    g.list(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(2) }]);
     for (object, was) in (1..100).zip(before) {
         let is = place(&mut g, object);
         assert!(if was == ServerId(2) { is != was } else { is == was });
@@ -183,6 +183,6 @@
     for object in 0..50 {
         g.fill(object);
     }
-    assert_eq!(g.send(3).fill.expect("a fill").keep, 2, "asked for again");
-    assert_eq!(g.send(888).fill.expect("a fill").keep, 1, "asked for once");
+    assert_eq!(g.send(3).fill.expect("a fill").cache_rank, 2, "asked for again");
+    assert_eq!(g.send(888).fill.expect("a fill").cache_rank, 1, "asked for once");
 }
--- a/tests/peers_frame.rs
+++ b/tests/peers_frame.rs
@@ -3,7 +3,7 @@
 
 use foxhold::cluster::frame::{parse_keys, Body, Message, Rejection, Seal, VERSION};
 use foxhold::cluster::members::Member;
-use foxhold::replication::gossip::Say;
+use foxhold::replication::gossip::GossipMessage;
 use proptest::prelude::*;
 
 fn seal(fleet: &str, byte: u8) -> Seal {
@@ -12,7 +12,7 @@
 
 fn message() -> Message {
     let from = Member::new("a", "127.0.0.1:1".parse().expect("an address"), 1);
-    Message { from, run: 7, number: 1, body: Body::Say(Say::Root(5)) }
+    Message { from, incarnation: 7, number: 1, body: Body::Gossip(GossipMessage::RootDigest(5)) }
 }
 
 #[test]
--- a/tests/peers_status.rs
+++ b/tests/peers_status.rs
@@ -31,3 +31,10 @@
     );
     assert_eq!(miniserde::json::to_string(&status), json);
 }
+
+#[test]
+fn rejected_entries_are_counted_under_the_same_names() {
+    use foxhold::replication::state::MergeError;
+    let causes = [MergeError::Malformed, MergeError::Expired, MergeError::FromFuture, MergeError::NoCapacity];
+    assert_eq!(causes.map(MergeError::name), ["form", "old", "ahead", "full"]);
+}
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -35,7 +35,7 @@
     departed: BTreeMap<ServerId, Micros>,
     purges: Vec<(ObjectId, Micros, Micros)>,
     cold: BTreeMap<ServerId, (Micros, Vec<(Micros, f64)>)>,
-    wakes: Vec<(Micros, Token)>,
+    wakes: Vec<(Micros, TimerToken)>,
 }
 
 impl Judge {
@@ -43,13 +43,13 @@
         for action in actions {
             match action {
                 Action::Attempt { request, server, fill, .. } => self.check_attempt(*request, *server, *fill),
-                Action::Refuse { request, .. } => self.check_answer(*request, true),
+                Action::Reject { request, .. } => self.check_answer(*request, true),
                 Action::Fail(request) => self.check_answer(*request, false),
                 Action::Cancel { request, attempt } => {
                     let open = &self.open[request];
                     assert!(open.attempts[*attempt as usize].ended.is_none(), "cancelled what has ended");
                 }
-                Action::Wake { at, token } => {
+                Action::SetTimer { at, token } => {
                     self.wakes.push((*at, *token));
                 }
                 _ => {}
@@ -67,8 +67,8 @@
         assert!(self.now <= open.request.deadline + 8_000, "rule 1: an answer past the deadline");
         open.over = true;
         let ran = open.attempts.iter().any(Self::may_have_run);
-        let free = match self.settings.classes[open.request.class].effect {
-            Effect::Safe | Effect::Keyed { scope: KeyScope::All, .. } => true,
+        let free = match self.settings.classes[open.request.class].idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
             _ => !ran,
         };
         assert!(!refused || free, "rule 2: a refusal of what may have run");
@@ -80,14 +80,14 @@
         assert!(!open.over, "rule 1: a send after the end");
         assert!(now <= open.request.deadline, "rule 1: a send after the deadline");
         assert!(open.attempts.len() < self.settings.max_attempts as usize);
-        if !self.settings.second_copies {
+        if !self.settings.hedging {
             assert!(open.attempts.iter().all(|a| a.ended.is_some()), "two attempts out together");
         }
         for earlier in open.attempts.iter().filter(|a| Self::may_have_run(a)) {
-            match self.settings.classes[open.request.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => panic!("rule 2: an unsafe request sent again"),
-                Effect::Keyed { scope, window } => {
+            match self.settings.classes[open.request.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::AtMostOnce => panic!("rule 2: an unsafe request sent again"),
+                Idempotency::IdempotencyKey { scope, window } => {
                     assert!(now - earlier.at < window, "rule 2: past the window");
                     let cell = |s: ServerId| (member(s.0).zone, member(s.0).cell);
                     assert!(
@@ -106,21 +106,24 @@
         for used in [server, fill.map_or(server, |f| f.source)] {
             if let Some((since, log)) = self.cold.get_mut(&used) {
                 log.push((now, work));
-                let rule = self.settings.cold_cache;
-                let warm = rule.floor + (1.0 - rule.floor) * (now - *since) as f64 / rule.warm_within as f64;
-                let sum: f64 = log.iter().filter(|l| l.0 + rule.window > now).map(|l| l.1).sum();
+                let rule = self.settings.cache_slow_start;
+                let warm = rule.initial_capacity_share
+                    + (1.0 - rule.initial_capacity_share) * (now - *since) as f64 / rule.warm_up_time as f64;
+                let sum: f64 = log.iter().filter(|l| l.0 + rule.overload_window > now).map(|l| l.1).sum();
                 let sharers = if used.0 > 10 { 2.0 } else { 1.0 };
                 // A server that is both asked and named as source counts twice here, which is stricter.
-                let budget = rule.multiple * 20.0 * warm.min(1.0) * rule.window as f64 / sharers;
+                let budget =
+                    rule.overload_multiple * 20.0 * warm.min(1.0) * rule.overload_window as f64 / sharers;
                 assert!(sum <= budget, "rule 4: {used:?} asked for {sum} of {budget}");
             }
         }
         for (object, at, told) in &self.purges {
-            let bound = now >= told + self.settings.purge_grace && now < at + self.settings.purge_done;
+            let bound =
+                now >= told + self.settings.purge_grace && now < at + self.settings.purge_complete_within;
             if *object == open.request.object && bound {
                 if let Some(fill) = fill {
                     let capped = fill.max_age > 0 && fill.max_age <= now - at;
-                    assert!(capped && !fill.join, "rule 5: {fill:?} for a purge {} ago", now - at);
+                    assert!(capped && !fill.collapse, "rule 5: {fill:?} for a purge {} ago", now - at);
                 }
             }
         }
@@ -131,11 +134,12 @@
 fn run(seed: u64) -> usize {
     let mut dice = Dice(seed);
     let mut settings = settings();
-    settings.second_copies = dice.roll(3) > 0;
-    settings.cancel = dice.roll(3) > 0;
-    settings.direct = dice.roll(2) > 0;
-    settings.joins = dice.roll(2) > 0;
-    settings.notes = [Notes::None, Notes::Hit, Notes::All][dice.roll(3) as usize];
+    settings.hedging = dice.roll(3) > 0;
+    settings.can_cancel = dice.roll(3) > 0;
+    settings.direct_requests = dice.roll(2) > 0;
+    settings.request_collapsing = dice.roll(2) > 0;
+    settings.cache_status_level =
+        [CacheStatusLevel::None, CacheStatusLevel::Hit, CacheStatusLevel::All][dice.roll(3) as usize];
     let mut judge = Judge {
         settings: settings.clone(),
         now: 100_000_000,
@@ -153,13 +157,13 @@
         g.now = judge.now;
         // Deadlines and other wake-ups first, as the gateway would.
         let now = judge.now;
-        let due: Vec<Token> = judge.wakes.iter().filter(|w| w.0 <= now).map(|w| w.1).collect();
+        let due: Vec<TimerToken> = judge.wakes.iter().filter(|w| w.0 <= now).map(|w| w.1).collect();
         judge.wakes.retain(|w| w.0 > now);
         for token in due {
             // The wake-up comes within a tick of its time.
             let actions = g.event(Event::Timer(token));
             for action in &actions {
-                if let Action::Refuse { request, .. } | Action::Fail(request) = action {
+                if let Action::Reject { request, .. } | Action::Fail(request) = action {
                     let open = judge.open.get_mut(request).expect("taken");
                     open.request.deadline = open.request.deadline.max(now);
                 }
@@ -187,39 +191,45 @@
                     continue;
                 }
                 let (request, n) = waiting[dice.roll(waiting.len() as u64) as usize];
-                let kinds = [Outcome::Ok, Outcome::Ok, Outcome::Failed, Outcome::Full, Outcome::TimedOut];
+                let kinds = [Outcome::Ok, Outcome::Ok, Outcome::Failed, Outcome::Rejected, Outcome::TimedOut];
                 let more = [
                     Outcome::ConnectError,
                     Outcome::Reset,
-                    Outcome::Canceled,
+                    Outcome::Cancelled,
                     Outcome::Miss,
                     Outcome::NotSent,
                 ];
                 let at = dice.roll(10) as usize;
                 let outcome = if at < 5 { kinds[at] } else { more[at - 5] };
-                let notes = [Note::None, Note::Hit, Note::Filled, Note::SourceLost, Note::SourceRefused];
+                let notes = [
+                    CacheStatus::Unknown,
+                    CacheStatus::Hit,
+                    CacheStatus::Filled,
+                    CacheStatus::SourceUnreachable,
+                    CacheStatus::SourceRejected,
+                ];
                 let open = judge.open.get_mut(&request).expect("open");
                 let out = &mut open.attempts[n];
                 out.ended = Some(outcome);
                 let (server, took) = (out.server, judge.now - out.at);
                 open.over |= outcome == Outcome::Ok;
-                Event::Ended(AttemptEnd {
+                Event::AttemptEnded(AttemptEnd {
                     request,
                     attempt: n as u32,
                     server,
                     outcome,
-                    took,
-                    over: open.over,
-                    note: notes[dice.roll(5) as usize],
-                    waited: 0,
-                    report: Vec::new(),
+                    elapsed: took,
+                    request_finished: open.over,
+                    cache_status: notes[dice.roll(5) as usize],
+                    source_wait: 0,
+                    load_report: Vec::new(),
                 })
             }
             16 => {
                 let live: Vec<RequestId> = judge.open.iter().filter(|o| !o.1.over).map(|o| *o.0).collect();
                 let Some(id) = live.get(dice.roll(8) as usize) else { continue };
                 judge.open.get_mut(id).expect("open").over = true;
-                Event::Left(*id)
+                Event::ClientCancelled(*id)
             }
             17 => {
                 let object = ObjectId(1 + dice.roll(40));
@@ -241,12 +251,12 @@
                         judge.departed.entry(server).or_insert(judge.now);
                     }
                     _ => {
-                        entry.since = judge.now;
+                        entry.started_at = judge.now;
                         judge.departed.remove(&server);
                         judge.cold.insert(server, (judge.now, Vec::new()));
                     }
                 }
-                Event::Members { kind: ListKind::Changes, members: vec![entry] }
+                Event::Members { kind: MemberUpdate::Incremental, members: vec![entry] }
             }
         };
         let actions = g.event(event);
@@ -257,7 +267,7 @@
     g.now = judge.now;
     for (_, token) in std::mem::take(&mut judge.wakes) {
         for action in g.event(Event::Timer(token)) {
-            if let Action::Refuse { request, .. } | Action::Fail(request) = action {
+            if let Action::Reject { request, .. } | Action::Fail(request) = action {
                 let open = judge.open.get_mut(&request).expect("taken");
                 assert!(!std::mem::replace(&mut open.over, true), "rule 1: a second final answer");
             }
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -3,12 +3,15 @@
 
 mod standin;
 
-use foxhold::config::settings::Transport;
-use foxhold::dispatch::{Broken, Clock, Core, End, Message, Order, Over, Peers, Reports, Ticket, Want};
+use foxhold::config::settings::ConnectionSettings;
+use foxhold::dispatch::{
+    AttemptError, AttemptId, AttemptResult, CancellationToken, Clock, Dispatcher, DispatcherMessage,
+    DispatcherSender, EndpointCommand, EndpointConnector, UpstreamRequest,
+};
 use foxhold::frontend::platform::Platform;
-use foxhold::frontend::serve::{self, Closing, Places, Shared};
+use foxhold::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
 use foxhold::policy::types::ServerId;
-use foxhold::upstream::servers::Servers;
+use foxhold::upstream::servers::UpstreamConnector;
 use standin::*;
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -21,38 +24,43 @@
 
 /// The actor of one server.
 struct Peer {
-    orders: mpsc::Sender<Order>,
-    news: mpsc::Receiver<Message>,
+    orders: mpsc::Sender<EndpointCommand>,
+    news: mpsc::Receiver<DispatcherMessage>,
 }
 
 impl Peer {
-    fn open(address: &str, transport: Transport, descriptors: usize) -> Peer {
+    fn open(address: &str, transport: ConnectionSettings, descriptors: usize) -> Peer {
         let (reports, news) = mpsc::channel(64);
         let listing = listing("s-1", address, "edge", "cache");
-        let orders = Servers::new(transport, descriptors).open(ServerId(1), &listing, Reports::new(reports));
+        let orders = UpstreamConnector::new(transport, descriptors).connect(
+            ServerId(1),
+            &listing,
+            DispatcherSender::new(reports),
+        );
         Peer { orders, news }
     }
 
     /// Puts an attempt into the mailbox, with nothing run meanwhile.
-    fn want(&self, attempt: u32, id: &str, body: Vec<u8>) -> Over {
+    fn want(&self, attempt: u32, id: &str, body: Vec<u8>) -> CancellationToken {
         let until = Instant::now() + Duration::from_secs(20);
-        let want: Want = standin::want(Ticket { request: 1, attempt }, id, "videos", body, until);
-        let over = want.over.clone();
-        self.orders.try_send(Order::Want(want)).expect("room");
+        let want: UpstreamRequest =
+            standin::want(AttemptId { request: 1, attempt }, id, "videos", body, until);
+        let over = want.cancellation.clone();
+        self.orders.try_send(EndpointCommand::Send(want)).expect("room");
         over
     }
 
-    async fn end(&mut self) -> (u32, End) {
+    async fn end(&mut self) -> (u32, AttemptResult) {
         loop {
             match timeout(SOON, self.news.recv()).await.expect("an end in time") {
-                Some(Message::Ended(ticket, end)) => return (ticket.attempt, end),
-                Some(Message::Written(_) | Message::Forgotten(..)) => {}
+                Some(DispatcherMessage::AttemptEnded(ticket, end)) => return (ticket.attempt, end),
+                Some(DispatcherMessage::AttemptWritten(_) | DispatcherMessage::AttemptCancelled(..)) => {}
                 other => panic!("{other:?}"),
             }
         }
     }
 
-    async fn broken(&mut self) -> (u32, Broken) {
+    async fn broken(&mut self) -> (u32, AttemptError) {
         let (attempt, end) = self.end().await;
         (attempt, end.expect_err("an attempt that broke off"))
     }
@@ -66,16 +74,21 @@
 /// A platform's front whose end the test decides on.
 struct Front {
     address: String,
-    close: watch::Sender<Closing>,
-    places: Rc<Places>,
+    close: watch::Sender<ShutdownPhase>,
+    places: Rc<ConnectionSlots>,
 }
 
-async fn front(core: &Core, usual: usize) -> Front {
-    let (close, closing) = watch::channel(Closing::No);
+async fn front(core: &Dispatcher, usual: usize) -> Front {
+    let (close, closing) = watch::channel(ShutdownPhase::Running);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let places = Places::new(usual, usual + 2);
-    let shared = Shared { core: core.clone(), places: places.clone(), closing, open: Rc::new(Cell::new(0)) };
+    let places = ConnectionSlots::new(usual, usual + 2);
+    let shared = ListenerContext {
+        dispatcher: core.clone(),
+        slots: places.clone(),
+        shutdown: closing,
+        requests_in_flight: Rc::new(Cell::new(0)),
+    };
     tokio::task::spawn_local(serve::accept(listener, shared, Platform(core.clone())));
     Front { address, close, places }
 }
@@ -115,20 +128,20 @@
             let over = peer.want(1, "b", Vec::new());
             let mut first = server.connection().await;
             first.read_exact(&mut [0; 100]).await.expect("its beginning");
-            over.end(); // and no order to forget it
+            over.cancel(); // and no order to forget it
             if ended {
                 drop(first); // handed back to the actor, which would place it on another connection
-                assert_eq!(peer.broken().await, (0, Broken::PartlyWritten));
+                assert_eq!(peer.broken().await, (0, AttemptError::PartiallyWritten));
             } else {
                 let mut all = vec![0; 1 << 20];
                 while first.read(&mut all).await.expect("more") > 0 {
-                    if let Ok(Message::Written(ticket)) = peer.news.try_recv() {
+                    if let Ok(DispatcherMessage::AttemptWritten(ticket)) = peer.news.try_recv() {
                         assert_eq!(ticket.attempt, 0);
                         break;
                     }
                 }
             }
-            assert_eq!(peer.broken().await, (1, Broken::CalledOff));
+            assert_eq!(peer.broken().await, (1, AttemptError::Cancelled));
             assert!(!ended || !server.is_asked().await);
         });
     }
@@ -150,11 +163,11 @@
         sleep(Duration::from_millis(50)).await; // as much as the system takes
         let over = peer.want(1, "b", Vec::new());
         sleep(Duration::from_millis(50)).await;
-        over.end();
+        over.cancel();
         assert!(line(&mut stream).await.starts_with("want a "));
         stream.write_all(b"a ACK - 0\r\n\r\n").await.expect("a reader");
         let ends = [peer.end().await, peer.end().await];
-        assert!(ends.contains(&(1, Err(Broken::CalledOff))), "{ends:?}");
+        assert!(ends.contains(&(1, Err(AttemptError::Cancelled))), "{ends:?}");
     });
 }
 
@@ -163,7 +176,7 @@
 fn an_attempt_goes_on_a_connection_that_is_up_before_one_that_is_coming_up() {
     local(async {
         let (listener, address) = short_listener();
-        let slow = Transport { connect_timeout: Duration::from_secs(20), ..transport() };
+        let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
         let mut peer = Peer::open(&address, slow, 9);
         (0..4).for_each(|n| drop(peer.want(n, &format!("a{n}"), Vec::new())));
         let mut up = BufReader::new(listener.accept().await.expect("a connection").0);
@@ -191,13 +204,13 @@
         local(async {
             let (listener, address) = short_listener();
             let waiting = fill(&address).await;
-            let slow = Transport { connect_timeout: Duration::from_secs(20), ..transport() };
+            let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
             let mut peer = Peer::open(&address, slow, 9);
             let over = peer.want(0, "a", Vec::new());
             tokio::task::yield_now().await; // the connection begins
-            over.end();
+            over.cancel();
             if order {
-                let forget = Order::Forget(Ticket { request: 1, attempt: 0 });
+                let forget = EndpointCommand::Cancel(AttemptId { request: 1, attempt: 0 });
                 peer.orders.try_send(forget).expect("room");
             }
             peer.want(1, "b", Vec::new());
@@ -210,7 +223,7 @@
             assert!(line(&mut stream).await.starts_with("want b "), "order {order}");
             stream.write_all(b"b ACK - 0\r\n\r\n").await.expect("a reader");
             if !order {
-                assert_eq!(peer.broken().await, (0, Broken::CalledOff));
+                assert_eq!(peer.broken().await, (0, AttemptError::Cancelled));
             }
             peer.served(1).await;
         });
@@ -228,27 +241,27 @@
         let ([cache, parent, origin], mut members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
         members[0].address = address.into();
         let core = start(settings(), Clock::system(), members);
-        let ask = foxhold::dispatch::Ask {
-            id: core.fresh_id(),
+        let ask = foxhold::dispatch::ClientRequest {
+            id: core.generate_request_id(),
             object: "7f3a9c21e0b4d655".into(),
             size_kb: 50.0,
-            allow: Duration::from_secs(2),
+            timeout: Duration::from_secs(2),
             ..Default::default()
         };
-        let pending = core.ask(ask);
+        let pending = core.submit(ask);
         let mut stream = server.connection().await;
         let want = line(&mut stream).await;
         let id = want.split(' ').nth(1).expect("an id").to_owned();
-        let nobody = Ticket { request: u64::MAX, attempt: 0 };
-        while core.reports().try_send(Message::Written(nobody)) {}
+        let nobody = AttemptId { request: u64::MAX, attempt: 0 };
+        while core.sender().try_send(DispatcherMessage::AttemptWritten(nobody)) {}
         drop(pending); // finds no room
         stream.write_all(format!("{id} EIO - 0\r\n\r\n").as_bytes()).await.expect("a reader");
-        while core.figures().await.expect("a core").tables.live > 0 {
+        while core.metrics().await.expect("a core").tables.pending_requests > 0 {
             tokio::task::yield_now().await;
         }
         let sent = cache.wants().len() + parent.wants().len() + origin.wants().len();
         assert_eq!(sent, 0);
-        assert_eq!(core.figures().await.expect("a core").requests["videos"].left_may_have_run, 1);
+        assert_eq!(core.metrics().await.expect("a core").requests["videos"].cancelled_may_have_run, 1);
     });
 }
 
@@ -311,7 +324,7 @@
             }
             let mut client = client.into_std().expect("a socket");
             client.write_all(get(200 + n).as_bytes()).expect("a reader");
-            front.close.send(Closing::Idle).expect("connections");
+            front.close.send(ShutdownPhase::CloseIdle).expect("connections");
             assert_eq!(read_all(client).await, "HTTP/1.1 200");
         }
     });
@@ -330,7 +343,7 @@
             if !late {
                 client.write_all(get(1).as_bytes()).expect("a reader");
             }
-            front.close.send(Closing::Idle).expect("a listener");
+            front.close.send(ShutdownPhase::CloseIdle).expect("a listener");
             if late {
                 // Its request is on the way.
                 sleep(Duration::from_millis(20)).await;
@@ -351,7 +364,7 @@
 }
 
 /// A front whose two places are taken by connections with a request begun, so that none may make room.
-async fn full_front(core: &Core) -> (Front, Vec<std::net::TcpStream>) {
+async fn full_front(core: &Dispatcher) -> (Front, Vec<std::net::TcpStream>) {
     let front = front(core, 0).await;
     let connect = |_| std::net::TcpStream::connect(&front.address).expect("a front");
     let mut held: Vec<_> = (0..2).map(connect).collect();
@@ -377,7 +390,7 @@
         // With nothing run in between: a connection with a whole request, and the end of the program.
         let mut client = std::net::TcpStream::connect(&front.address).expect("a front");
         client.write_all(get(1).as_bytes()).expect("a reader");
-        front.close.send(Closing::Idle).expect("a front");
+        front.close.send(ShutdownPhase::CloseIdle).expect("a front");
         let text = read_all(client).await;
         assert!(text.starts_with("HTTP/1.1 503"), "{text}");
     });
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -7,9 +7,9 @@
 mod program;
 mod standin;
 
-use foxhold::dispatch::{self, Clock, Message};
+use foxhold::dispatch::{self, Clock, DispatcherMessage};
 use foxhold::frontend::platform::Platform;
-use foxhold::upstream::servers::Servers;
+use foxhold::upstream::servers::UpstreamConnector;
 use program::{call, config, read_request, status, write_request, Program, Scratch, Start};
 use standin::{local, trio, Manner, Server};
 use std::cell::Cell;
@@ -302,11 +302,11 @@
 fn a_front_whose_core_has_ended_is_not_ready_and_answers_all_the_same() {
     local(async {
         let (_servers, members) = trio(COPY).await;
-        let known = vec![Message::Members { full: true, members }];
-        let servers = Servers::new(standin::transport(), 10);
+        let known = vec![DispatcherMessage::Members { full: true, members }];
+        let servers = UpstreamConnector::new(standin::transport(), 10);
         let running =
             dispatch::start(standin::settings(), 7, Clock::system(), servers, known).expect("settings");
-        let address = standin::serve(&running.core, Platform(running.core.clone())).await;
+        let address = standin::serve(&running.dispatcher, Platform(running.dispatcher.clone())).await;
         let read = read_request(1, 1_000).replace("guide-videos", "videos");
         assert_eq!(status(&address, ALIVE).await, Some(200));
         assert_eq!(status(&address, &read).await, Some(200));
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -3,11 +3,13 @@
 //! `replica_model.rs`.
 #![cfg(feature = "peers")]
 
-use foxhold::dispatch::Listing;
+use foxhold::dispatch::Endpoint;
 use foxhold::replication::digest::{Digest, Node};
-use foxhold::replication::entry::{bytes, Key, Kind, Merged, Place, Run, Word, Words};
-use foxhold::replication::gossip::{Say, Stage, Talk};
-use foxhold::replication::state::{Bounds, Now, Refused, State};
+use foxhold::replication::entry::{
+    encode, DrainRecord, EndpointRecord, Incarnation, Key, Kind, MergeOutcome, Value,
+};
+use foxhold::replication::gossip::{GossipMessage, GossipProtocol, Stage};
+use foxhold::replication::state::{Bounds, ClockReading, MergeError, ReplicatedState};
 use foxhold::MemberState;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -25,43 +27,51 @@
     }
 }
 
-fn at(seconds: u64) -> Now {
-    Now { steady: seconds * SECOND, unix: UNIX + seconds * SECOND }
+fn at(seconds: u64) -> ClockReading {
+    ClockReading { monotonic: seconds * SECOND, unix: UNIX + seconds * SECOND }
 }
 
-fn state(run: u64) -> State {
-    State::new(Run(run), Bounds::default())
+fn state(run: u64) -> ReplicatedState {
+    ReplicatedState::new(Incarnation(run), Bounds::default())
 }
 
 fn object(name: &str) -> Key {
     Key::Object(name.into())
 }
 
-fn listing(name: &str, state: MemberState, since: u64) -> Listing {
+fn listing(name: &str, state: MemberState, since: u64) -> Endpoint {
     let (address, zone, kind) = ("127.0.0.1:1".into(), "branch".into(), "cache".into());
-    Listing { name: name.into(), address, zone, kind, cell: 0, state, size: 8.0, since }
+    Endpoint { name: name.into(), address, zone, kind, cell: 0, state, size: 8.0, started_at: since }
 }
 
 // ---- merges ----
 
-fn runs() -> impl Strategy<Value = BTreeMap<Run, u32>> {
-    proptest::collection::btree_map((0u64..3).prop_map(Run), 1u32..4, 0..3)
+fn runs() -> impl Strategy<Value = BTreeMap<Incarnation, u32>> {
+    proptest::collection::btree_map((0u64..3).prop_map(Incarnation), 1u32..4, 0..3)
 }
 
 /// Words of one kind, few enough that they meet.
-fn words(kind: u8) -> BoxedStrategy<Word> {
+fn words(kind: u8) -> BoxedStrategy<Value> {
     match kind {
-        0 => (0u64..5).prop_map(Word::Purged).boxed(),
+        0 => (0u64..5).prop_map(Value::Purged).boxed(),
         1 => (0u64..3, runs(), runs())
-            .prop_map(|(since, told, undone)| Word::Drain(Words { since, told, undone }))
+            .prop_map(|(since, told, undone)| {
+                Value::Drain(DrainRecord {
+                    started_at: since,
+                    drains_by_incarnation: told,
+                    undrains_by_incarnation: undone,
+                })
+            })
             .boxed(),
         _ => (1u64..4, 0u8..3)
-            .prop_map(|(rev, state)| Word::Listed(rev, Place { state, ..Place::default() }))
+            .prop_map(|(rev, state)| {
+                Value::Endpoint(rev, EndpointRecord { state, ..EndpointRecord::default() })
+            })
             .boxed(),
     }
 }
 
-fn merged(a: &Word, b: &Word) -> Word {
+fn merged(a: &Value, b: &Value) -> Value {
     let mut a = a.clone();
     a.merge(b);
     a
@@ -101,7 +111,7 @@
         let of = |run, entries: &BTreeMap<u32, u64>| {
             let mut state = state(run);
             entries.iter().for_each(|(group, n)| drop(state.purge(Key::Group(*group), UNIX + n, at(1))));
-            Talk::<u8>::new(state, run, at(1))
+            GossipProtocol::<u8>::new(state, run, at(1))
         };
         let (mut a, mut b) = (of(1, &mine), of(2, &theirs));
         // Both have caught up; from here on by digests alone.
@@ -113,25 +123,29 @@
         while a.state.digest().sum(Node::ROOT) != b.state.digest().sum(Node::ROOT) {
             walks += 1;
             prop_assert!(walks < 40, "after {} walks", walks);
-            let mut mail = vec![(false, Say::Root(a.state.digest().sum(Node::ROOT)))];
+            let mut mail = vec![(false, GossipMessage::RootDigest(a.state.digest().sum(Node::ROOT)))];
             let mut steps = 0;
             while let Some((to_a, say)) = mail.pop() {
                 steps += 1;
                 prop_assert!(steps < 5_000, "a walk without end");
                 let mut out = Vec::new();
-                if to_a { a.heard(&2, say, at(9), &mut out) } else { b.heard(&1, say, at(9), &mut out) }
+                if to_a {
+                    a.handle_message(&2, say, at(9), &mut out)
+                } else {
+                    b.handle_message(&1, say, at(9), &mut out)
+                }
                 mail.extend(out.into_iter().map(|(_, say)| (!to_a, say)));
             }
         }
-        let all = |t: &Talk<u8>| bytes(&t.state.of(Kind::Purges));
+        let all = |t: &GossipProtocol<u8>| encode(&t.state.of(Kind::Purges));
         prop_assert_eq!(all(&a), all(&b));
     }
 
     #[test]
     fn words_and_messages_from_anywhere_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let Ok(say) = postcard::from_bytes::<Say>(&bytes) else { return Ok(()) };
-        let mut talk = Talk::<u8>::new(state(1), 1, at(1));
-        talk.heard(&1, say, at(2), &mut Vec::new());
+        let Ok(say) = postcard::from_bytes::<GossipMessage>(&bytes) else { return Ok(()) };
+        let mut talk = GossipProtocol::<u8>::new(state(1), 1, at(1));
+        talk.handle_message(&1, say, at(2), &mut Vec::new());
         talk.tick(at(3), &mut Vec::new());
     }
 }
@@ -143,7 +157,8 @@
     b.listed(1, true, &[listing("x", MemberState::Running, 0)], at(1));
     let (key, word) = a.drain("x", true, at(2)).expect("room").expect("news");
     b.merge(&key, &word, at(2)).expect("taken");
-    let drains = |s: &State| matches!(s.get(&Key::Drain("x".into())), Some(Word::Drain(w)) if w.drains());
+    let drains =
+        |s: &ReplicatedState| matches!(s.get(&Key::Drain("x".into())), Some(Value::Drain(w)) if w.drains());
     // At once: an undrain on one side, a drain on the other.
     let (_, undone) = a.drain("x", false, at(3)).expect("room").expect("news");
     let (_, again) = b.drain("x", true, at(3)).expect("room").expect("news");
@@ -162,7 +177,7 @@
     let (_, later) = b.drain("x", false, at(8)).expect("room").expect("news");
     a.merge(&key, &later, at(8)).expect("taken");
     assert!(!drains(&a) && !drains(&b));
-    assert_eq!(a.merge(&key, &word, at(9)), Ok(Merged::Same), "it names the process before");
+    assert_eq!(a.merge(&key, &word, at(9)), Ok(MergeOutcome::Unchanged), "it names the process before");
 }
 
 #[test]
@@ -172,10 +187,10 @@
     for state in [&mut a, &mut b] {
         state.listed(1, true, &two, at(1));
     }
-    let old = b.get(&Key::Listed("y".into())).cloned().expect("listed");
+    let old = b.get(&Key::Endpoint("y".into())).cloned().expect("listed");
     let news = a.listed(2, true, &two[..1], at(2));
     assert_eq!(a.lists("y"), Some(MemberState::Gone));
-    assert_eq!(a.merge(&Key::Listed("y".into()), &old, at(3)), Ok(Merged::Same));
+    assert_eq!(a.merge(&Key::Endpoint("y".into()), &old, at(3)), Ok(MergeOutcome::Unchanged));
     assert_eq!(a.lists("y"), Some(MemberState::Gone), "the board's own word stands");
     for (key, word) in news {
         b.merge(&key, &word, at(3)).expect("taken");
@@ -185,14 +200,15 @@
 
 #[test]
 fn two_copies_of_one_version_that_differ_are_found_and_all_keep_the_same() {
-    let place = |size| Word::Listed(3, Place { size, ..Place::default() });
+    let place = |size| Value::Endpoint(3, EndpointRecord { size, ..EndpointRecord::default() });
     let (mut a, mut b) = (state(1), state(2));
-    let key = Key::Listed("x".into());
+    let key = Key::Endpoint("x".into());
     a.merge(&key, &place(1.0), at(1)).expect("taken");
     b.merge(&key, &place(2.0), at(1)).expect("taken");
     let one = a.merge(&key, &place(2.0), at(2));
     let two = b.merge(&key, &place(1.0), at(2));
-    assert!(matches!((one, two), (Ok(Merged::Differs { changed: x }), Ok(Merged::Differs { changed: y }))
+    assert!(matches!((one, two),
+            (Ok(MergeOutcome::Conflict { changed: x }), Ok(MergeOutcome::Conflict { changed: y }))
             if x != y));
     assert_eq!(a.get(&key), b.get(&key));
 }
@@ -203,13 +219,22 @@
 fn what_does_not_fit_or_is_too_old_or_too_far_ahead_is_turned_down() {
     let mut state = state(1);
     let long = object(&"x".repeat(600));
-    assert_eq!(state.merge(&long, &Word::Purged(UNIX), at(1)), Err(Refused::Form));
-    assert_eq!(state.merge(&object(""), &Word::Purged(UNIX), at(1)), Err(Refused::Form));
-    assert_eq!(state.merge(&object("x"), &Word::Drain(Words::default()), at(1)), Err(Refused::Form));
-    assert_eq!(state.merge(&object("x"), &Word::Purged(UNIX), at(700)), Err(Refused::Old));
+    assert_eq!(state.merge(&long, &Value::Purged(UNIX), at(1)), Err(MergeError::Malformed));
+    assert_eq!(state.merge(&object(""), &Value::Purged(UNIX), at(1)), Err(MergeError::Malformed));
+    assert_eq!(
+        state.merge(&object("x"), &Value::Drain(DrainRecord::default()), at(1)),
+        Err(MergeError::Malformed)
+    );
+    assert_eq!(state.merge(&object("x"), &Value::Purged(UNIX), at(700)), Err(MergeError::Expired));
     // Clocks ten seconds apart are no reason; an hour is.
-    assert_eq!(state.merge(&object("x"), &Word::Purged(UNIX + 11 * SECOND), at(1)), Ok(Merged::Changed));
-    assert_eq!(state.merge(&object("x"), &Word::Purged(UNIX + 3_600 * SECOND), at(1)), Err(Refused::Ahead));
+    assert_eq!(
+        state.merge(&object("x"), &Value::Purged(UNIX + 11 * SECOND), at(1)),
+        Ok(MergeOutcome::Changed)
+    );
+    assert_eq!(
+        state.merge(&object("x"), &Value::Purged(UNIX + 3_600 * SECOND), at(1)),
+        Err(MergeError::FromFuture)
+    );
 }
 
 #[test]
@@ -221,7 +246,7 @@
     assert_eq!(a.expire(at(601)), vec![key.clone()]);
     // The other's clock is behind: it still has it, and offers it.
     assert!(b.expire(at(595)).is_empty());
-    assert_eq!(a.merge(&key, &word, at(601)), Err(Refused::Old));
+    assert_eq!(a.merge(&key, &word, at(601)), Err(MergeError::Expired));
     assert!(a.is_empty());
 }
 
@@ -246,32 +271,37 @@
 #[test]
 fn where_room_is_short_gone_servers_go_first_and_purges_never() {
     let bounds = Bounds { entries: 10, ..Bounds::default() };
-    let mut state = State::new(Run(1), bounds);
-    let gone = |n: u64| (Key::Listed(format!("gone-{n}")), Word::Listed(n, Place::gone()));
+    let mut state = ReplicatedState::new(Incarnation(1), bounds);
+    let gone = |n: u64| (Key::Endpoint(format!("gone-{n}")), Value::Endpoint(n, EndpointRecord::gone()));
     for n in 1..=5 {
         state.merge(&gone(n).0, &gone(n).1, at(1)).expect("room");
     }
     for n in 0..10 {
-        state.merge(&Key::Group(n), &Word::Purged(UNIX), at(1)).expect("room is made");
+        state.merge(&Key::Group(n), &Value::Purged(UNIX), at(1)).expect("room is made");
     }
     assert_eq!((state.count(Kind::Purges), state.count(Kind::Members)), (10, 0));
-    assert_eq!(state.merge(&Key::Group(99), &Word::Purged(UNIX), at(1)), Err(Refused::Full));
-    assert_eq!(state.merge(&gone(3).0, &gone(3).1, at(1)), Err(Refused::Old), "it was let go of");
+    assert_eq!(state.merge(&Key::Group(99), &Value::Purged(UNIX), at(1)), Err(MergeError::NoCapacity));
+    assert_eq!(state.merge(&gone(3).0, &gone(3).1, at(1)), Err(MergeError::Expired), "it was let go of");
     // What is held can always be brought up to date.
-    assert_eq!(state.merge(&Key::Group(3), &Word::Purged(UNIX + 1), at(1)), Ok(Merged::Changed));
+    assert_eq!(state.merge(&Key::Group(3), &Value::Purged(UNIX + 1), at(1)), Ok(MergeOutcome::Changed));
     assert!(state.bytes() <= Bounds::default().bytes && state.len() == 10);
 }
 
 #[test]
 fn words_of_ever_more_runs_find_an_end_and_what_finds_no_room_is_not_called_news() {
-    let mut state = State::new(Run(1), Bounds { entries: 1, ..Bounds::default() });
-    let words = |run: u64| Word::Drain(Words { told: BTreeMap::from([(Run(run), 1)]), ..Words::default() });
+    let mut state = ReplicatedState::new(Incarnation(1), Bounds { entries: 1, ..Bounds::default() });
+    let words = |run: u64| {
+        Value::Drain(DrainRecord {
+            drains_by_incarnation: BTreeMap::from([(Incarnation(run), 1)]),
+            ..DrainRecord::default()
+        })
+    };
     let key = Key::Drain("x".into());
     let refused = (0..1_000).filter(|run| state.merge(&key, &words(*run), at(1)).is_err()).count();
     assert_eq!(refused, 1_000 - 256);
-    assert!(bytes(&(&key, state.get(&key))).len() < 8_000, "it fits a message");
-    assert_eq!(state.purge(object("y"), UNIX, at(1)), Err(Refused::Full));
-    assert_eq!(state.drain("y", true, at(1)), Err(Refused::Full));
+    assert!(encode(&(&key, state.get(&key))).len() < 8_000, "it fits a message");
+    assert_eq!(state.purge(object("y"), UNIX, at(1)), Err(MergeError::NoCapacity));
+    assert_eq!(state.drain("y", true, at(1)), Err(MergeError::NoCapacity));
 }
 
 #[test]
@@ -291,11 +321,11 @@
 
 /// Directors in simulated time, and messages under way between them.
 struct Sim {
-    nodes: Vec<Option<Talk<usize>>>,
+    nodes: Vec<Option<GossipProtocol<usize>>>,
     random: u64,
     steady: u64,
     /// Arrival, a number, to whom, from whom, what.
-    mail: BTreeMap<(u64, u64), (usize, usize, Say)>,
+    mail: BTreeMap<(u64, u64), (usize, usize, GossipMessage)>,
     sent: u64,
     lost: f64,
     twice: f64,
@@ -327,34 +357,34 @@
         (self.random >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn now(&self) -> Now {
-        Now { steady: self.steady, unix: UNIX + self.steady }
+    fn now(&self) -> ClockReading {
+        ClockReading { monotonic: self.steady, unix: UNIX + self.steady }
     }
 
     /// Starts a director from nothing, or from what a disk held.
-    fn start(&mut self, n: usize, disk: Option<Vec<(Key, Word)>>) {
+    fn start(&mut self, n: usize, disk: Option<Vec<(Key, Value)>>) {
         self.random = self.random.wrapping_add(1);
         let (run, now) = (self.random ^ (n as u64) << 48, self.now());
         let mut state = state(run);
         disk.into_iter().flatten().for_each(|(key, word)| {
             let _ = state.merge(&key, &word, now);
         });
-        self.nodes[n] = Some(Talk::new(state, run, now));
+        self.nodes[n] = Some(GossipProtocol::new(state, run, now));
         let all: Vec<usize> = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some()).collect();
         for (n, node) in self.nodes.iter_mut().enumerate() {
             if let Some(node) = node {
-                node.members(all.iter().copied().filter(|other| *other != n).collect());
+                node.set_members(all.iter().copied().filter(|other| *other != n).collect());
             }
         }
     }
 
-    fn disk(&self, n: usize) -> Vec<(Key, Word)> {
+    fn disk(&self, n: usize) -> Vec<(Key, Value)> {
         let Some(node) = &self.nodes[n] else { return Vec::new() };
         let all = Kind::ALL.into_iter().flat_map(|kind| node.state.of(kind));
         all.map(|(key, word)| (key.clone(), word.clone())).collect()
     }
 
-    fn post(&mut self, from: usize, out: Vec<(usize, Say)>) {
+    fn post(&mut self, from: usize, out: Vec<(usize, GossipMessage)>) {
         for (to, say) in out {
             if self.part[from] != self.part[to] || self.unit() < self.lost {
                 continue;
@@ -374,11 +404,11 @@
         while self.steady < end {
             self.steady += 20_000;
             let now = self.now();
-            while let Some(entry) = self.mail.first_entry().filter(|e| e.key().0 <= now.steady) {
+            while let Some(entry) = self.mail.first_entry().filter(|e| e.key().0 <= now.monotonic) {
                 let (to, from, say) = entry.remove();
                 let mut out = Vec::new();
                 if let Some(node) = &mut self.nodes[to] {
-                    node.heard(&from, say, now, &mut out);
+                    node.handle_message(&from, say, now, &mut out);
                 }
                 self.post(to, out);
             }
@@ -395,18 +425,18 @@
     fn tell(
         &mut self,
         n: usize,
-        tell: impl FnOnce(&mut State, Now) -> Option<(Key, Word)>,
-    ) -> Option<(Key, Word)> {
+        tell: impl FnOnce(&mut ReplicatedState, ClockReading) -> Option<(Key, Value)>,
+    ) -> Option<(Key, Value)> {
         let now = self.now();
         let node = self.nodes[n].as_mut()?;
         let change = tell(&mut node.state, now);
-        node.told(change.clone());
+        node.publish(change.clone());
         change
     }
 
     fn all(&self) -> Vec<Vec<u8>> {
         let up = (0..self.nodes.len()).filter(|n| self.nodes[*n].is_some());
-        up.map(|n| bytes(&self.disk(n))).collect()
+        up.map(|n| encode(&self.disk(n))).collect()
     }
 
     fn alike(&self) -> bool {
@@ -472,7 +502,7 @@
         sim.run(12.0);
         assert!(sim.alike(), "seed {seed}");
         let all = Kind::ALL.into_iter().flat_map(|kind| join.of(kind));
-        let all: Vec<(Key, Word)> = all.map(|(k, w)| (k.clone(), w.clone())).collect();
+        let all: Vec<(Key, Value)> = all.map(|(k, w)| (k.clone(), w.clone())).collect();
         assert_eq!(sim.disk(0), all, "seed {seed}");
     }
 }
@@ -515,7 +545,7 @@
     sim.lost = 0.05;
     for n in 0..8u32 {
         sim.tell(n as usize * 37, |s, now| s.purge(Key::Group(n), now.unix, now).ok().flatten());
-        let holds = |t: &Talk<usize>| t.state.get(&Key::Group(n)).is_some();
+        let holds = |t: &GossipProtocol<usize>| t.state.get(&Key::Group(n)).is_some();
         let mut took = 0.0;
         while !sim.nodes.iter().flatten().all(holds) {
             sim.run(0.02);
--- a/tests/replica_model.rs
+++ b/tests/replica_model.rs
@@ -3,19 +3,19 @@
 //! by the same check.
 #![cfg(feature = "peers")]
 
-use foxhold::replication::entry::{Place, Run, Word, Words};
+use foxhold::replication::entry::{DrainRecord, EndpointRecord, Incarnation, Value};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 /// The rules under check; a mutant changes one of them.
 struct Rules {
     name: &'static str,
-    merge: fn(&mut Word, &Word),
+    merge: fn(&mut Value, &Value),
     /// What a director keeps after a merge or a word: a mutant lets go too early.
-    keep: fn(&mut Word),
+    keep: fn(&mut Value),
     /// The run of a director after so many restarts from nothing.
-    run: fn(usize, u32) -> Run,
+    run: fn(usize, u32) -> Incarnation,
     /// What a snapshot says of a word.
-    snapshot: fn(&Word) -> Word,
+    snapshot: fn(&Value) -> Value,
 }
 
 const AS_BUILT: Rules = Rules {
@@ -24,8 +24,8 @@
         let _ = word.merge(other);
     },
     keep: |_| {},
-    run: |n, restarts| Run(n as u64 * 10 + u64::from(restarts)),
-    snapshot: Word::clone,
+    run: |n, restarts| Incarnation(n as u64 * 10 + u64::from(restarts)),
+    snapshot: Value::clone,
 };
 
 /// Directors, all messages ever sent (each may arrive at any time, any number of times, or never), and what
@@ -42,31 +42,31 @@
     /// The last event told to anyone.
     latest: u32,
     /// Drains that each director has seen taken back, and the highest event that it has seen.
-    undone: Vec<BTreeSet<(Run, u32)>>,
+    undone: Vec<BTreeSet<(Incarnation, u32)>>,
     seen: Vec<u64>,
 }
 
-fn pack(word: &Word) -> Vec<u8> {
-    foxhold::replication::entry::bytes(word)
+fn pack(word: &Value) -> Vec<u8> {
+    foxhold::replication::entry::encode(word)
 }
 
-fn unpack(bytes: &[u8]) -> Word {
+fn unpack(bytes: &[u8]) -> Value {
     postcard::from_bytes(bytes).expect("a word")
 }
 
 const DIRECTORS: usize = 3;
 
-fn words_of(word: &Word) -> Words {
+fn words_of(word: &Value) -> DrainRecord {
     match word {
-        Word::Drain(words) => words.clone(),
-        _ => Words::default(),
+        Value::Drain(words) => words.clone(),
+        _ => DrainRecord::default(),
     }
 }
 
 /// Explores all that can happen within the bounds; the number of worlds, or what went wrong.
 fn explore(
     rules: &Rules,
-    start: Word,
+    start: Value,
     most_told: u32,
     most_mail: usize,
     most_restarts: u32,
@@ -97,9 +97,9 @@
 fn check(rules: &Rules, world: &World) -> Result<(), String> {
     let wrong = |what: &str| Err(format!("{}: {what}", rules.name));
     // All that is about meets at one place, in two orders.
-    let everything: Vec<Word> = world.held.iter().chain(&world.mail).map(|b| unpack(b)).collect();
-    let join = |words: &mut dyn Iterator<Item = &Word>| {
-        let mut sum: Option<Word> = None;
+    let everything: Vec<Value> = world.held.iter().chain(&world.mail).map(|b| unpack(b)).collect();
+    let join = |words: &mut dyn Iterator<Item = &Value>| {
+        let mut sum: Option<Value> = None;
         for word in words {
             match &mut sum {
                 None => sum = Some(word.clone()),
@@ -112,35 +112,38 @@
     if one != other {
         return wrong("the order of copies decides");
     }
-    if matches!(one, Word::Drain(_)) && world.last_drains && !words_of(&one).drains() {
+    if matches!(one, Value::Drain(_)) && world.last_drains && !words_of(&one).drains() {
         return wrong("the last word was a drain, nobody has taken it back, and it is lost");
     }
-    if matches!(&one, Word::Listed(_, place) if world.latest > 0 && place.cell != world.latest) {
+    if matches!(&one, Value::Endpoint(_, place) if world.latest > 0 && place.cell != world.latest) {
         return wrong("an older event stands above the last one told");
     }
     for (n, held) in world.held.iter().enumerate() {
         match unpack(held) {
-            Word::Drain(words) => {
-                let in_force = |d: &&(Run, u32)| {
-                    words.told.get(&d.0) == Some(&d.1) && words.undone.get(&d.0) < Some(&d.1)
+            Value::Drain(words) => {
+                let in_force = |d: &&(Incarnation, u32)| {
+                    words.drains_by_incarnation.get(&d.0) == Some(&d.1)
+                        && words.undrains_by_incarnation.get(&d.0) < Some(&d.1)
                 };
                 if let Some(dot) = world.undone[n].iter().find(in_force) {
                     return wrong(&format!("a drain that was taken back is in force again: {dot:?}"));
                 }
             }
-            Word::Listed(rev, _) if rev < world.seen[n] => return wrong("an older event is back"),
+            Value::Endpoint(rev, _) if rev < world.seen[n] => return wrong("an older event is back"),
             _ => {}
         }
     }
     Ok(())
 }
 
-fn settle(rules: &Rules, world: &mut World, n: usize, mut word: Word) {
+fn settle(rules: &Rules, world: &mut World, n: usize, mut word: Value) {
     (rules.keep)(&mut word);
     match &word {
-        Word::Drain(words) => world.undone[n].extend(words.undone.iter().map(|(run, n)| (*run, *n))),
-        Word::Listed(rev, _) => world.seen[n] = world.seen[n].max(*rev),
-        Word::Purged(_) => {}
+        Value::Drain(words) => {
+            world.undone[n].extend(words.undrains_by_incarnation.iter().map(|(run, n)| (*run, *n)))
+        }
+        Value::Endpoint(rev, _) => world.seen[n] = world.seen[n].max(*rev),
+        Value::Purged(_) => {}
     }
     world.held[n] = pack(&word);
 }
@@ -148,7 +151,7 @@
 fn steps(
     rules: &Rules,
     world: &World,
-    start: &Word,
+    start: &Value,
     most_told: u32,
     most_mail: usize,
     most_restarts: u32,
@@ -158,17 +161,17 @@
         let held = unpack(&world.held[n]);
         // A word is told here.
         if world.told < most_told {
-            let told: Vec<(Word, bool)> = match &held {
-                Word::Drain(words) => {
+            let told: Vec<(Value, bool)> = match &held {
+                Value::Drain(words) => {
                     let run = (rules.run)(n, world.restarts[n]);
-                    vec![(Word::Drain(words.drain(run, 0)), true), (Word::Drain(words.undrain(0)), false)]
+                    vec![(Value::Drain(words.drain(run, 0)), true), (Value::Drain(words.undrain(0)), false)]
                 }
-                Word::Listed(..) => {
+                Value::Endpoint(..) => {
                     let rev = u64::from(world.told) + 1;
-                    let place = Place { cell: rev as u32, ..Place::default() };
-                    vec![(Word::Listed(rev, place), false)]
+                    let place = EndpointRecord { cell: rev as u32, ..EndpointRecord::default() };
+                    vec![(Value::Endpoint(rev, place), false)]
                 }
-                Word::Purged(_) => Vec::new(),
+                Value::Purged(_) => Vec::new(),
             };
             for (word, drains) in told {
                 let mut world = World {
@@ -181,8 +184,8 @@
                 let mut merged = held.clone();
                 (rules.merge)(&mut merged, &word);
                 // Seen before the rules let anything go.
-                if let Word::Drain(words) = &word {
-                    world.undone[n].extend(words.undone.iter().map(|(run, n)| (*run, *n)));
+                if let Value::Drain(words) = &word {
+                    world.undone[n].extend(words.undrains_by_incarnation.iter().map(|(run, n)| (*run, *n)));
                 }
                 settle(rules, &mut world, n, merged);
                 next.push(world);
@@ -218,12 +221,12 @@
     next
 }
 
-fn drains() -> Word {
-    Word::Drain(Words::default())
+fn drains() -> Value {
+    Value::Drain(DrainRecord::default())
 }
 
-fn listed() -> Word {
-    Word::Listed(0, Place::default())
+fn listed() -> Value {
+    Value::Endpoint(0, EndpointRecord::default())
 }
 
 #[test]
@@ -256,9 +259,10 @@
             Rules {
                 name: "a tombstone dropped early",
                 keep: |word| {
-                    if let Word::Drain(words) = word {
+                    if let Value::Drain(words) = word {
                         if !words.drains() {
-                            (words.told, words.undone) = (BTreeMap::new(), BTreeMap::new());
+                            (words.drains_by_incarnation, words.undrains_by_incarnation) =
+                                (BTreeMap::new(), BTreeMap::new());
                         }
                     }
                 },
@@ -267,14 +271,18 @@
             drains(),
         ),
         (
-            Rules { name: "a run's name used again after a restart", run: |n, _| Run(n as u64), ..AS_BUILT },
+            Rules {
+                name: "a run's name used again after a restart",
+                run: |n, _| Incarnation(n as u64),
+                ..AS_BUILT
+            },
             drains(),
         ),
         (
             Rules {
                 name: "a snapshot that forgets the version",
                 snapshot: |word| match word {
-                    Word::Listed(_, place) => Word::Listed(9, place.clone()),
+                    Value::Endpoint(_, place) => Value::Endpoint(9, place.clone()),
                     other => other.clone(),
                 },
                 ..AS_BUILT
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,25 +11,25 @@
     let sent_one = sent(&actions)[0].clone();
     g.now += 2_000_000;
     let wakes = actions.iter().filter_map(|a| match a {
-        Action::Wake { at, token } if *at <= g.now => Some(*token),
+        Action::SetTimer { at, token } if *at <= g.now => Some(*token),
         _ => None,
     });
     let late: Vec<Action> =
         wakes.collect::<Vec<_>>().into_iter().flat_map(|t| g.event(Event::Timer(t))).collect();
     assert!(refused(&late));
-    let after = g.end(&sent_one, 0, Outcome::TimedOut, Note::None);
+    let after = g.end(&sent_one, 0, Outcome::TimedOut, CacheStatus::Unknown);
     assert!(sent(&after).is_empty() && !refused(&after) && !failed(&after));
 }
 
 #[test]
 fn what_cannot_be_served_is_refused_at_once_with_advice() {
     for ids in [&[][..], &[11, 20], &[1]] {
-        let mut g = Gateway::with(Settings { direct: false, ..settings() }, ids);
+        let mut g = Gateway::with(Settings { direct_requests: false, ..settings() }, ids);
         let actions = g.ask(0, 5);
         if ids == [1] {
             assert_eq!(sent(&actions)[0].source(), ServerId(1), "no source: only what the cache holds");
         } else {
-            let advised = |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
+            let advised = |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0);
             assert!(actions.iter().any(advised), "{actions:?}");
         }
     }
@@ -51,11 +51,11 @@
 fn unknown_events_are_passed_over() {
     let mut g = Gateway::usual();
     let one = g.send(5);
-    g.end(&one, 0, Outcome::Ok, Note::Hit);
-    assert!(g.end(&one, 0, Outcome::Ok, Note::Hit).is_empty());
-    assert!(g.event(Event::Left(one.request)).is_empty());
-    assert!(g.event(Event::Timer(Token::MAX)).is_empty());
-    assert!(g.event(Event::Started { request: RequestId(999), attempt: 3 }).is_empty());
+    g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
+    assert!(g.end(&one, 0, Outcome::Ok, CacheStatus::Hit).is_empty());
+    assert!(g.event(Event::ClientCancelled(one.request)).is_empty());
+    assert!(g.event(Event::Timer(TimerToken::MAX)).is_empty());
+    assert!(g.event(Event::ResponseStarted { request: RequestId(999), attempt: 3 }).is_empty());
     let mut request = g.request(0, 1);
     request.class = 99;
     assert!(failed(&g.event(Event::Request(request))));
@@ -69,10 +69,10 @@
         (Outcome::TimedOut, false),
         (Outcome::Reset, false),
         (Outcome::ConnectError, true),
-        (Outcome::Full, true),
+        (Outcome::Rejected, true),
     ] {
         let one = sent(&g.ask(1, 5))[0].clone();
-        let actions = g.end(&one, 0, outcome, Note::None);
+        let actions = g.end(&one, 0, outcome, CacheStatus::Unknown);
         assert_eq!(!sent(&actions).is_empty(), again, "{outcome:?}: {actions:?}");
         assert_eq!(failed(&actions), !again);
         assert!(!refused(&actions));
@@ -85,12 +85,12 @@
     let mut g = Gateway::usual();
     for object in 0..60 {
         let one = sent(&g.ask(2, object))[0].clone();
-        let actions = g.end(&one, 0, Outcome::Failed, Note::None);
+        let actions = g.end(&one, 0, Outcome::Failed, CacheStatus::Unknown);
         let cell = |id: ServerId| member(id.0).cell;
         assert!(sent(&actions).iter().all(|s| cell(s.server) == cell(one.server)));
         let one = sent(&g.ask(2, object))[0].clone();
         g.now += 1_100_000;
-        assert!(failed(&g.end(&one, 0, Outcome::Failed, Note::None)), "past its window");
+        assert!(failed(&g.end(&one, 0, Outcome::Failed, CacheStatus::Unknown)), "past its window");
         g.now += 10_000_000;
     }
 }
@@ -100,16 +100,16 @@
     let mut g = Gateway::usual();
     let one = sent(&g.ask(3, 5))[0].clone();
     assert_eq!((one.server, one.fill), (ORIGIN, None));
-    let mut g = Gateway::with(Settings { direct: false, ..settings() }, &[1, 2, 11, 20]);
+    let mut g = Gateway::with(Settings { direct_requests: false, ..settings() }, &[1, 2, 11, 20]);
     let one = sent(&g.ask(3, 5))[0].clone();
-    assert_eq!((one.source(), one.fill.map(|f| f.keep)), (ORIGIN, Some(0)));
+    assert_eq!((one.source(), one.fill.map(|f| f.cache_rank)), (ORIGIN, Some(0)));
 }
 
 #[test]
 fn nothing_new_goes_to_a_draining_server_as_cache_or_source() {
     let mut g = Gateway::usual();
     for id in [2, 12] {
-        g.list(ListKind::Changes, vec![Member { state: MemberState::Draining, ..member(id) }]);
+        g.list(MemberUpdate::Incremental, vec![Member { state: MemberState::Draining, ..member(id) }]);
     }
     for object in 0..200 {
         let one = g.fill(object);
@@ -119,14 +119,14 @@
 
 #[test]
 fn a_full_list_drops_who_is_not_in_it_and_a_failed_one_is_asked_for_again() {
-    let mut g = Gateway::with(Settings { must_ask: true, ..settings() }, &[1, 2, 11, 20]);
-    g.list(ListKind::Full, vec![member(1), member(11)]);
+    let mut g = Gateway::with(Settings { poll_members: true, ..settings() }, &[1, 2, 11, 20]);
+    g.list(MemberUpdate::Full, vec![member(1), member(11)]);
     for object in 0..50 {
         assert_eq!(g.fill(object).server, ServerId(1));
     }
-    assert!(g.list(ListKind::Stale, vec![member(1)]).contains(&Action::Subscribe));
-    let actions = g.list(ListKind::Failed, Vec::new());
-    let Some(Action::Wake { token, .. }) = actions.first() else { panic!("{actions:?}") };
+    assert!(g.list(MemberUpdate::Stale, vec![member(1)]).contains(&Action::Subscribe));
+    let actions = g.list(MemberUpdate::Failed, Vec::new());
+    let Some(Action::SetTimer { token, .. }) = actions.first() else { panic!("{actions:?}") };
     assert!(g.event(Event::Timer(*token)).contains(&Action::Subscribe));
 }
 
@@ -136,7 +136,7 @@
     for id in [1, 11] {
         let mut g = Gateway::with(settings(), &[1, 11, 20]);
         let since = g.now;
-        g.list(ListKind::Changes, vec![Member { since, ..member(id) }]);
+        g.list(MemberUpdate::Incremental, vec![Member { started_at: since, ..member(id) }]);
         let mut log: Vec<(Micros, f64)> = Vec::new();
         for object in 0..4000 {
             g.now += 2_000;
@@ -145,7 +145,7 @@
                 if one.server == ServerId(id) || one.fill.is_some_and(|f| f.source == ServerId(id)) {
                     log.push((g.now, 50_000.0));
                 }
-                g.end(&one, 0, Outcome::Ok, Note::Filled);
+                g.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
             }
         }
         assert!(log.len() > 20, "it is used within its budget: {}", log.len());
@@ -163,9 +163,9 @@
     let mut g = Gateway::usual();
     let age = |g: &mut Gateway, o| {
         let s = g.send(o);
-        g.end(&s, 0, Outcome::Ok, Note::Hit);
+        g.end(&s, 0, Outcome::Ok, CacheStatus::Hit);
         let fill = s.fill.expect("a fill");
-        (fill.max_age, fill.join)
+        (fill.max_age, fill.collapse)
     };
     assert_eq!(age(&mut g, 5), (8_000_000, true));
     g.event(Event::Purged { object: Some(ObjectId(5)), group: 5, age: 100_000 });
@@ -187,12 +187,12 @@
         let actions = g.ask(0, object);
         let one = sent(&actions)[0].clone();
         if *first.get_or_insert(one.server) != one.server {
-            g.end(&one, 0, Outcome::Ok, Note::Hit);
+            g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
             continue;
         }
         g.now += 600_000;
         for action in &actions {
-            if let Action::Wake { at, token } = action {
+            if let Action::SetTimer { at, token } = action {
                 if *at <= g.now {
                     let more = g.event(Event::Timer(*token));
                     copies += sent(&more).iter().filter(|s| Some(s.server) != first).count();
@@ -206,7 +206,7 @@
         let one = g.send(object);
         trials += usize::from(Some(one.server) == first);
         if Some(one.server) != first {
-            g.end(&one, 0, Outcome::Ok, Note::Hit);
+            g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
         }
     }
     assert!(trials <= 1, "a suspected cache gets a trial at most: {trials}");
@@ -218,14 +218,14 @@
     for object in 0..3 {
         let one = g.send(object);
         assert_eq!(one.source(), ServerId(11));
-        g.end(&one, 0, Outcome::Failed, Note::SourceLost);
+        g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable);
         g.now += 1_000;
     }
     assert_eq!(g.peek(500), ORIGIN);
     g.now += 1_000_000;
     let trial = g.send(501);
     assert_eq!(trial.source(), ServerId(11));
-    g.end(&trial, 0, Outcome::Ok, Note::Filled);
+    g.end(&trial, 0, Outcome::Ok, CacheStatus::Filled);
     assert_eq!(g.peek(502), ServerId(11));
 }
 
@@ -244,10 +244,10 @@
         let one = g.send(object);
         g.now += 1_000;
         let other = g.send(object);
-        g.end(&other, 0, Outcome::Ok, Note::Hit);
-        let again = sent(&g.end(&one, 0, Outcome::Reset, Note::None));
+        g.end(&other, 0, Outcome::Ok, CacheStatus::Hit);
+        let again = sent(&g.end(&one, 0, Outcome::Reset, CacheStatus::Unknown));
         assert_eq!(again.first().map(|s| s.server), Some(one.server));
-        g.end(&again[0], 1, Outcome::Ok, Note::Hit);
+        g.end(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
         g.now += 200_000;
         for _ in 0..8 {
             g.peek(object);
@@ -260,16 +260,16 @@
 fn a_source_whose_fills_are_late_is_relieved_until_they_are_in_time_again() {
     let mut g = Gateway::with(settings(), &[1, 2, 3, 11, 20]);
     let slow = |g: &mut Gateway, one: &Sent, took| {
-        g.event(Event::Ended(AttemptEnd {
+        g.event(Event::AttemptEnded(AttemptEnd {
             request: one.request,
             attempt: 0,
             server: one.server,
             outcome: Outcome::Ok,
-            took,
-            over: true,
-            note: Note::Filled,
-            waited: took - 50_000, // the source kept it, not the link
-            report: Vec::new(),
+            elapsed: took,
+            request_finished: true,
+            cache_status: CacheStatus::Filled,
+            source_wait: took - 50_000, // the source kept it, not the link
+            load_report: Vec::new(),
         }))
     };
     for object in 0..20 {
@@ -290,7 +290,7 @@
 /// What would be answered late takes the link from the rest: it is refused at once.
 #[test]
 fn a_request_that_a_jammed_cache_would_answer_late_is_refused_ahead() {
-    let mut g = Gateway::with(Settings { direct: false, ..settings() }, &[1, 11, 20]);
+    let mut g = Gateway::with(Settings { direct_requests: false, ..settings() }, &[1, 11, 20]);
     let (mut taken, mut first_refused) = (0, None);
     for object in 0..400 {
         if refused(&g.ask(0, object)) {
@@ -306,10 +306,10 @@
 
 #[test]
 fn a_copy_within_its_grace_will_do_once_a_source_failed_or_there_is_none() {
-    let mut g = Gateway::with(Settings { direct: false, ..settings() }, &[1, 2, 11, 12, 20]);
+    let mut g = Gateway::with(Settings { direct_requests: false, ..settings() }, &[1, 2, 11, 12, 20]);
     let one = g.send(5);
     assert_eq!(one.fill.expect("a fill").max_age, 8_000_000);
-    let again = sent(&g.end(&one, 0, Outcome::Failed, Note::SourceLost));
+    let again = sent(&g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable));
     assert_eq!(again[0].fill.expect("a fill").max_age, 18_000_000);
     let mut g = Gateway::with(settings(), &[1]);
     assert_eq!(g.send(5).fill.expect("a fill").max_age, 18_000_000);
@@ -323,20 +323,20 @@
     let mut g = Gateway::usual();
     let actions = g.ask(0, 5);
     let one = sent(&actions)[0].clone();
-    g.event(Event::Started { request: one.request, attempt: 0 });
+    g.event(Event::ResponseStarted { request: one.request, attempt: 0 });
     g.now += 2_100_000;
     for action in actions {
-        if let Action::Wake { token, .. } = action {
+        if let Action::SetTimer { token, .. } = action {
             let more = g.event(Event::Timer(token));
             assert!(more.is_empty(), "{more:?}");
         }
     }
-    assert!(g.end(&one, 0, Outcome::Ok, Note::Hit).is_empty());
+    assert!(g.end(&one, 0, Outcome::Ok, CacheStatus::Hit).is_empty());
 }
 
 /// Ends an attempt as the answer of a server that can't use the request: at once and without a note.
 fn at_once(g: &mut Gateway, sent: &Sent, attempt: u32, outcome: Outcome) -> Vec<Action> {
-    ended(g, sent, attempt, outcome, Note::None, 1_000)
+    ended(g, sent, attempt, outcome, CacheStatus::Unknown, 1_000)
 }
 
 fn ended(
@@ -344,19 +344,19 @@
     sent: &Sent,
     attempt: u32,
     outcome: Outcome,
-    note: Note,
+    note: CacheStatus,
     took: Micros,
 ) -> Vec<Action> {
-    g.event(Event::Ended(AttemptEnd {
+    g.event(Event::AttemptEnded(AttemptEnd {
         request: sent.request,
         attempt,
         server: sent.server,
         outcome,
-        took,
-        over: outcome == Outcome::Ok,
-        note,
-        waited: 0,
-        report: Vec::new(),
+        elapsed: took,
+        request_finished: outcome == Outcome::Ok,
+        cache_status: note,
+        source_wait: 0,
+        load_report: Vec::new(),
     }))
 }
 
@@ -373,11 +373,11 @@
         assert!(refused(&at_once(&mut g, &second, 1, Outcome::Failed)));
         // Usual requests go on between, as many more of them do.
         let (source, other) = (first.source(), g.send(9_000 + n));
-        g.end(&other, 0, Outcome::Ok, Note::Filled);
+        g.end(&other, 0, Outcome::Ok, CacheStatus::Filled);
         let object = g.pair_of(source.0);
         let sent = g.send(object);
-        assert_eq!((sent.source(), sent.fill.map(|f| f.held_only)), (source, Some(false)));
-        g.end(&sent, 0, Outcome::Ok, Note::Hit);
+        assert_eq!((sent.source(), sent.fill.map(|f| f.only_if_cached)), (source, Some(false)));
+        g.end(&sent, 0, Outcome::Ok, CacheStatus::Hit);
     }
 }
 
@@ -401,21 +401,21 @@
     for n in 0..120 {
         let one = g.send(20_000 + n);
         g.now += 900_000;
-        g.event(Event::Ended(AttemptEnd {
+        g.event(Event::AttemptEnded(AttemptEnd {
             request: one.request,
             attempt: 0,
             server: one.server,
             outcome: Outcome::Ok,
-            took: 900_000,
-            over: true,
-            note: Note::FilledByOrigin,
-            waited: 850_000, // the origin, not the zone's link
-            report: Vec::new(),
+            elapsed: 900_000,
+            request_finished: true,
+            cache_status: CacheStatus::FilledFromOrigin,
+            source_wait: 850_000, // the origin, not the zone's link
+            load_report: Vec::new(),
         }));
     }
     let (_, fill) = (30_000..30_200)
         .map(|object| g.send(object))
-        .find_map(|s| s.fill.filter(|f| f.held_only).map(|f| (s, f)))
+        .find_map(|s| s.fill.filter(|f| f.only_if_cached).map(|f| (s, f)))
         .expect("a fill from what a parent holds");
     assert!((11..=13).contains(&fill.source.0));
 }
@@ -427,14 +427,14 @@
     let fill = |g: &mut Gateway, object, took| {
         let one = g.send(object);
         let filled = one.fill.is_some_and(|f| f.source != one.server);
-        ended(g, &one, 0, Outcome::Ok, if filled { Note::Filled } else { Note::Hit }, took);
+        ended(g, &one, 0, Outcome::Ok, if filled { CacheStatus::Filled } else { CacheStatus::Hit }, took);
     };
     let mut g = Gateway::usual();
     let filled = |g: &mut Gateway, size_kb: f64| {
         let filled = (0..400).filter(|n| {
             let request = Request { size_kb, ..g.request(0, 50_000 + n) };
             let one = sent(&g.event(Event::Request(request)))[0].clone();
-            g.end(&one, 0, Outcome::Ok, Note::Hit);
+            g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
             one.fill.is_some_and(|f| f.source != one.server)
         });
         filled.count()
@@ -448,7 +448,7 @@
         let size_kb = [25.0, 50.0, 150.0][n % 3];
         let request = Request { size_kb, ..g.request(0, 70_000 + n as u64) };
         let one = sent(&g.event(Event::Request(request)))[0].clone();
-        g.end(&one, 0, Outcome::Ok, Note::Hit);
+        g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
         got[n % 3] += usize::from(one.fill.is_some_and(|f| f.source != one.server));
     }
     let [small, mean, large] = got;
@@ -471,7 +471,7 @@
     let filled = |g: &mut Gateway, class: usize, object: u64, size_kb: f64| {
         let request = Request { size_kb, ..g.request(class, object) };
         let one = sent(&g.event(Event::Request(request)))[0].clone();
-        g.end(&one, 0, Outcome::Ok, Note::Hit);
+        g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
         one.fill.is_some_and(|f| f.source != one.server)
     };
     // The first sizes told stand for their classes.
@@ -480,7 +480,7 @@
     for n in 0..4 {
         let request = Request { size_kb: 400.0, ..g.request(0, 30_000 + n) };
         let one = sent(&g.event(Event::Request(request)))[0].clone();
-        ended(&mut g, &one, 0, Outcome::Ok, Note::Filled, 2_400_000);
+        ended(&mut g, &one, 0, Outcome::Ok, CacheStatus::Filled, 2_400_000);
     }
     let large = (0..400).filter(|n| filled(&mut g, 0, 50_000 + n, 400.0)).count();
     let small = (0..400).filter(|n| filled(&mut g, 2, 60_000 + n, 40.0)).count();
@@ -493,16 +493,21 @@
 /// Short of fills' ends a director learns of a full link late: where caches report it, that counts at once.
 #[test]
 fn a_report_of_the_zones_link_admits_fewer_fills_or_more_at_once() {
-    let told = Settings { probes: true, report: vec!["cpu".into(), "x1".into()], ..settings() };
+    let told = Settings { health_checks: true, load_report: vec!["cpu".into(), "x1".into()], ..settings() };
     let filled = |reports: &[(u32, [f64; 2])]| {
         let mut g = Gateway::with(told.clone(), &[1, 2, 3, 5, 11, 12, 13, 20]);
         for (server, report) in reports {
             let (server, report) = (ServerId(*server), report.to_vec());
-            g.event(Event::Probed { server, outcome: Outcome::Ok, took: 1_000, report });
+            g.event(Event::HealthChecked {
+                server,
+                outcome: Outcome::Ok,
+                elapsed: 1_000,
+                load_report: report,
+            });
         }
         let filled = (0..400).filter(|n| {
             let one = g.send_large(50_000 + n);
-            g.end(&one, 0, Outcome::Ok, Note::Hit);
+            g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
             one.fill.is_some_and(|f| f.source != one.server)
         });
         filled.count()
@@ -526,15 +531,15 @@
 /// at several.
 #[test]
 fn what_may_not_be_filled_is_looked_for_at_two_caches_and_then_given_up() {
-    let told = Settings { probes: true, report: vec!["x1".into()], ..settings() };
+    let told = Settings { health_checks: true, load_report: vec!["x1".into()], ..settings() };
     let mut g = Gateway::with(told, &[1, 2, 3, 11, 12, 13, 20]);
     let full = |g: &mut Gateway| {
         for _ in 0..20 {
-            g.event(Event::Probed {
+            g.event(Event::HealthChecked {
                 server: ServerId(1),
                 outcome: Outcome::Ok,
-                took: 1_000,
-                report: vec![50.0],
+                elapsed: 1_000,
+                load_report: vec![50.0],
             });
         }
     };
@@ -546,7 +551,7 @@
         let (mut asked, mut fills) = (vec![one.server], 0);
         let actions = loop {
             fills += usize::from(one.fill.is_some_and(|f| f.source != one.server));
-            let actions = g.end(&one, asked.len() as u32 - 1, Outcome::Miss, Note::None);
+            let actions = g.end(&one, asked.len() as u32 - 1, Outcome::Miss, CacheStatus::Unknown);
             match sent(&actions).first() {
                 Some(next) => one = next.clone(),
                 None => break actions,
@@ -566,12 +571,12 @@
 /// Mass days: full parents were suspected, and others fetched their objects anew from the origin.
 #[test]
 fn a_source_that_turns_fills_away_is_passed_over_for_a_moment_and_never_suspected() {
-    let mut g = Gateway::with(Settings { probes: true, ..settings() }, &[1, 2, 3, 11, 12, 20]);
+    let mut g = Gateway::with(Settings { health_checks: true, ..settings() }, &[1, 2, 3, 11, 12, 20]);
     let object = g.pair_of(11);
     for _ in 0..10 {
         let one = g.send(object);
-        let actions = at_once(&mut g, &one, 0, Outcome::Full);
-        assert!(!actions.iter().any(|a| matches!(a, Action::Log(_) | Action::Probe(_))), "{actions:?}");
+        let actions = at_once(&mut g, &one, 0, Outcome::Rejected);
+        assert!(!actions.iter().any(|a| matches!(a, Action::Log(_) | Action::HealthCheck(_))), "{actions:?}");
         g.now += 100_000;
     }
 }
@@ -582,7 +587,7 @@
     let mut g = Gateway::usual();
     let home = |g: &mut Gateway, object| {
         let sent = g.send(object);
-        g.end(&sent, 0, Outcome::Ok, Note::Hit);
+        g.end(&sent, 0, Outcome::Ok, CacheStatus::Hit);
         sent.server
     };
     let objects: Vec<u64> = (40_000..).filter(|o| home(&mut g, *o) == ServerId(1)).take(40).collect();
@@ -619,10 +624,10 @@
     let mut g = Gateway::usual();
     let open = g.send(5);
     g.event(Event::Settings(Box::new(Settings { max_attempts: 1, ..settings() })));
-    let again = g.end(&open, 0, Outcome::Full, Note::None);
+    let again = g.end(&open, 0, Outcome::Rejected, CacheStatus::Unknown);
     assert_eq!(sent(&again).len(), 1, "{again:?}");
     let new = g.send(6);
-    let after = g.end(&new, 0, Outcome::Full, Note::None);
+    let after = g.end(&new, 0, Outcome::Rejected, CacheStatus::Unknown);
     assert!(sent(&after).is_empty() && refused(&after), "{after:?}");
 }
 
@@ -636,16 +641,16 @@
         let one = sent(&g.event(Event::Request(request)))[0].clone();
         g.now += 1_000;
         let times = if slow == Some(one.server.0) { 10.0 } else { 1.0 };
-        g.event(Event::Ended(AttemptEnd {
+        g.event(Event::AttemptEnded(AttemptEnd {
             request: one.request,
             attempt: 0,
             server: one.server,
             outcome: Outcome::Ok,
-            took: (size_kb * 1000.0 * times) as Micros,
-            over: true,
-            note: Note::Hit,
-            waited: 0,
-            report: Vec::new(),
+            elapsed: (size_kb * 1000.0 * times) as Micros,
+            request_finished: true,
+            cache_status: CacheStatus::Hit,
+            source_wait: 0,
+            load_report: Vec::new(),
         }));
         one.server.0
     };
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -11,7 +11,7 @@
     let settings = Settings { routers: n, routers_by_zone: vec![0, 0, n, 0], ..settings.clone() };
     let one = |seed| {
         let mut g = Gateway::seeded(settings.clone(), u64::from(seed) + 1);
-        g.list(ListKind::Full, ids.iter().map(|id| member(*id)).collect());
+        g.list(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
         g
     };
     (0..n).map(one).collect()
@@ -32,7 +32,7 @@
             if one.server == id || one.fill.is_some_and(|f| f.source == id) {
                 log.push((now, kb * 1000.0));
             }
-            g.end(&one, 0, Outcome::Ok, Note::Filled);
+            g.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
         }
     }
     log
@@ -43,14 +43,14 @@
     for (id, kb) in [(11, 50.0), (11, 350.0), (1, 50.0), (1, 350.0)] {
         for routers in [4, 40, 180] {
             for multiple in [1.3, 2.0, 3.0] {
-                let rule = ColdRule { multiple, ..settings().cold_parent };
-                let settings = Settings { cold_parent: rule, cold_cache: rule, ..settings() };
+                let rule = SlowStartRule { overload_multiple: multiple, ..settings().parent_slow_start };
+                let settings = Settings { parent_slow_start: rule, cache_slow_start: rule, ..settings() };
                 let mut fleet = fleet(routers, &settings, &[1, 2, 3, 11, 12, 13, 20]);
                 play(&mut fleet, ServerId(99), kb, SECOND / 200, 8 * SECOND);
                 let since = fleet[0].now.max(fleet[1].now);
                 for g in &mut fleet {
                     g.now = since;
-                    g.list(ListKind::Changes, vec![Member { since, ..member(id) }]);
+                    g.list(MemberUpdate::Incremental, vec![Member { started_at: since, ..member(id) }]);
                 }
                 let log = play(&mut fleet, ServerId(id), kb, (kb * 40.0) as Micros, 10 * SECOND);
                 let what = format!("server {id}, {kb} KB, {routers} routers, multiple {multiple}");
@@ -76,7 +76,7 @@
     for routers in [4, 40, 180] {
         let mut fleet = fleet(routers, &settings(), &[1, 2, 3, 11, 20]);
         for g in &mut fleet {
-            g.list(ListKind::Changes, vec![Member { state: MemberState::Gone, ..member(11) }]);
+            g.list(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(11) }]);
         }
         // No fill ends: what is under way at the origin is all that ever named it.
         let named = |fleet: &mut [Gateway], rounds: u64| {
@@ -99,7 +99,7 @@
         for object in 100..160 {
             for g in &mut fleet {
                 for one in sent(&g.ask(0, object)) {
-                    g.end(&one, 0, Outcome::Ok, Note::Filled);
+                    g.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
                 }
             }
         }
@@ -120,13 +120,13 @@
             attempt: 0,
             server: one.server,
             outcome: Outcome::Ok,
-            took,
-            over: true,
-            note: Note::Filled,
-            waited: 0,
-            report: Vec::new(),
+            elapsed: took,
+            request_finished: true,
+            cache_status: CacheStatus::Filled,
+            source_wait: 0,
+            load_report: Vec::new(),
         };
-        g.event(Event::Ended(over(450_000)));
+        g.event(Event::AttemptEnded(over(450_000)));
     }
     let at_parent = (100..200).filter(|o| g.peek(*o) == ServerId(11)).count();
     assert!((1..60).contains(&at_parent), "{at_parent} of 100 lone fills");
@@ -136,31 +136,40 @@
 /// that failed for mere fullness, for as long as the list named it.
 #[test]
 fn a_first_strike_asks_for_a_probe_and_a_failed_one_makes_the_server_suspected() {
-    let mut g = Gateway::with(Settings { probes: true, ..settings() }, &[1, 2, 3, 11, 12, 20]);
-    let probes = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Probe(_))).count();
+    let mut g = Gateway::with(Settings { health_checks: true, ..settings() }, &[1, 2, 3, 11, 12, 20]);
+    let probes = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::HealthCheck(_))).count();
     let object = g.pair_of(11);
     let one = g.send(object);
-    let actions = g.end(&one, 0, Outcome::Failed, Note::SourceLost);
-    assert!(actions.contains(&Action::Probe(ServerId(11))), "{actions:?}");
+    let actions = g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable);
+    assert!(actions.contains(&Action::HealthCheck(ServerId(11))), "{actions:?}");
     g.now += 100_000;
-    let probe = |outcome| Event::Probed { server: ServerId(11), outcome, took: 250_000, report: Vec::new() };
+    let probe = |outcome| Event::HealthChecked {
+        server: ServerId(11),
+        outcome,
+        elapsed: 250_000,
+        load_report: Vec::new(),
+    };
     g.event(probe(Outcome::Ok));
     assert_eq!(g.peek(object), ServerId(11), "an answer leaves it as it was");
     let one = g.send(object);
-    assert_eq!(probes(&g.end(&one, 0, Outcome::Failed, Note::SourceLost)), 1);
+    assert_eq!(probes(&g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable)), 1);
     g.now += 100_000;
     g.event(probe(Outcome::ConnectError));
     assert_eq!(g.peek(object), ServerId(12));
     let mut g = Gateway::usual();
     let one = g.send(object);
-    assert_eq!(probes(&g.end(&one, 0, Outcome::Failed, Note::SourceLost)), 0, "not where it is not allowed");
+    assert_eq!(
+        probes(&g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
+        0,
+        "not where it is not allowed"
+    );
 }
 
 /// Mass days: where a gateway sends little, three late answers were three strikes, each with a probe.
 #[test]
 fn late_answers_of_a_server_that_answers_probes_are_no_strikes() {
     let probed = |outcome| {
-        let mut g = Gateway::with(Settings { probes: true, ..settings() }, &[1, 11, 12, 20]);
+        let mut g = Gateway::with(Settings { health_checks: true, ..settings() }, &[1, 11, 12, 20]);
         let (mut probes, mut suspected) = (0, false);
         for object in 0..6 {
             if suspected {
@@ -168,7 +177,7 @@
             }
             let actions = g.ask(0, object);
             let late = actions.iter().find_map(|a| match a {
-                Action::Wake { at, token } if *at < g.now + 500_000 => Some((*at, *token)),
+                Action::SetTimer { at, token } if *at < g.now + 500_000 => Some((*at, *token)),
                 _ => None,
             });
             let (at, token) = late.expect("a look at it while it can still be in time");
@@ -176,9 +185,10 @@
             let mut asked = g.event(Event::Timer(token));
             while let Some(action) = asked.pop() {
                 suspected |= matches!(action, Action::Log(_));
-                if let Action::Probe(server) = action {
+                if let Action::HealthCheck(server) = action {
                     probes += 1;
-                    let probe = Event::Probed { server, outcome, took: 1_000, report: Vec::new() };
+                    let probe =
+                        Event::HealthChecked { server, outcome, elapsed: 1_000, load_report: Vec::new() };
                     asked.extend(g.event(probe));
                 }
             }
@@ -197,12 +207,12 @@
         let one = sent(&actions)[0].clone();
         let ok = g.send(object);
         g.now += 400_000;
-        g.end(&ok, 0, Outcome::Ok, Note::Filled);
+        g.end(&ok, 0, Outcome::Ok, CacheStatus::Filled);
         let due = |a: &Action| match a {
-            Action::Wake { at, token } if *at <= g.now => Some(*token),
+            Action::SetTimer { at, token } if *at <= g.now => Some(*token),
             _ => None,
         };
-        let tokens: Vec<Token> = actions.iter().filter_map(due).collect();
+        let tokens: Vec<TimerToken> = actions.iter().filter_map(due).collect();
         let again: Vec<Sent> = tokens.into_iter().flat_map(|t| sent(&g.event(Event::Timer(t)))).collect();
         (one, again)
     };
@@ -212,18 +222,19 @@
         let one = g.send(object);
         let ok = g.send(object);
         g.now += 1_000;
-        g.end(&ok, 0, Outcome::Ok, Note::Hit);
-        g.end(&one, 0, Outcome::TimedOut, Note::None);
+        g.end(&ok, 0, Outcome::Ok, CacheStatus::Hit);
+        g.end(&one, 0, Outcome::TimedOut, CacheStatus::Unknown);
     }
     let (one, again) = late(&mut g, 5);
     assert_eq!(again.iter().map(|s| s.server).collect::<Vec<_>>(), [one.server]);
-    let mut g = Gateway::with(Settings { joins: false, ..settings() }, &[1, 2, 3, 11, 12, 13, 20]);
+    let mut g =
+        Gateway::with(Settings { request_collapsing: false, ..settings() }, &[1, 2, 3, 11, 12, 13, 20]);
     for object in 10..16 {
         let one = g.send(object);
         let ok = g.send(object);
         g.now += 1_000;
-        g.end(&ok, 0, Outcome::Ok, Note::Hit);
-        g.end(&one, 0, Outcome::TimedOut, Note::None);
+        g.end(&ok, 0, Outcome::Ok, CacheStatus::Hit);
+        g.end(&one, 0, Outcome::TimedOut, CacheStatus::Unknown);
     }
     assert!(late(&mut g, 5).1.is_empty(), "without joining it would fill the bytes twice");
 }
@@ -237,7 +248,7 @@
         let request = Request { id: RequestId(id), ..g.request(0, 5) };
         let deadline = request.deadline;
         for action in g.event(Event::Request(request)) {
-            if let Action::Wake { at, token } = action {
+            if let Action::SetTimer { at, token } = action {
                 wakes.extend((at == deadline).then_some(token));
             }
         }
@@ -245,23 +256,34 @@
     g.now += 2_000_000;
     for (id, token) in ids.into_iter().zip(wakes) {
         let actions = g.event(Event::Timer(token));
-        let own = |a: &Action| matches!(a, Action::Refuse { request, .. } if request.0 == id);
+        let own = |a: &Action| matches!(a, Action::Reject { request, .. } if request.0 == id);
         assert_eq!(actions.iter().filter(|a| own(a)).count(), 1, "{id}: {actions:?}");
-        assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count(), 1);
+        assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count(), 1);
     }
 }
 
 #[test]
 fn odd_figures_in_settings_and_requests_do_no_harm() {
     for odd in [0.0, -1.0, f64::NAN, f64::INFINITY] {
-        let rule = ColdRule { floor: odd, warm_within: SECOND, multiple: odd, window: SECOND };
-        let mut settings = Settings { flow: odd, cold_cache: rule, cold_parent: rule, ..settings() };
-        settings.classes[0].aim_stretch = odd;
-        (settings.classes[0].fresh, settings.classes[0].grace) = (Micros::MAX, Micros::MAX);
+        let rule = SlowStartRule {
+            initial_capacity_share: odd,
+            warm_up_time: SECOND,
+            overload_multiple: odd,
+            overload_window: SECOND,
+        };
+        let mut settings = Settings {
+            transfer_kb_per_s: odd,
+            cache_slow_start: rule,
+            parent_slow_start: rule,
+            ..settings()
+        };
+        settings.classes[0].objective_stretch = odd;
+        (settings.classes[0].freshness_lifetime, settings.classes[0].stale_grace) =
+            (Micros::MAX, Micros::MAX);
         let mut g = Gateway::new(settings);
-        let odd_member = |id| Member { size: odd, since: g.now, ..member(id) };
+        let odd_member = |id| Member { size: odd, started_at: g.now, ..member(id) };
         let members = [1, 2, 11, 12, 20].map(odd_member).to_vec();
-        g.list(ListKind::Full, members);
+        g.list(MemberUpdate::Full, members);
         for now in [g.now, g.now + 2 * SECOND, Micros::MAX - 1] {
             g.now = now;
             let mut request = g.request_until(5, Micros::MAX);
@@ -282,7 +304,7 @@
         |n: u32| Member { server: ServerId(1000 + n), ..member(if n.is_multiple_of(5) { 11 } else { 1 }) };
     let mut members: Vec<Member> = (0..5000).map(entry).collect();
     members.push(member(20));
-    g.list(ListKind::Full, members);
+    g.list(MemberUpdate::Full, members);
     for object in 0..200 {
         let one = g.fill(object);
         assert_ne!(one.source(), ORIGIN);
@@ -296,7 +318,7 @@
     let object = g.pair_of(11);
     let source = |g: &mut Gateway, object| {
         let one = g.send(object);
-        g.end(&one, 0, Outcome::Full, Note::SourceRefused);
+        g.end(&one, 0, Outcome::Rejected, CacheStatus::SourceRejected);
         one.source()
     };
     // Both of the pair turn fills away and are passed over for a moment.
@@ -318,7 +340,7 @@
     for _ in 0..3 {
         let one = g.send(object);
         assert_eq!(one.source(), ServerId(11));
-        g.end(&one, 0, Outcome::Full, Note::SourceLost);
+        g.end(&one, 0, Outcome::Rejected, CacheStatus::SourceUnreachable);
         g.now += 10_000;
     }
     assert_ne!(g.peek(object), ServerId(11), "a lost parent is passed over");
@@ -335,7 +357,7 @@
         let one = g.send(object);
         let lost = one.source() == ServerId(11);
         trials += usize::from(lost);
-        g.end(&one, 0, if lost { Outcome::Failed } else { Outcome::Ok }, Note::SourceLost);
+        g.end(&one, 0, if lost { Outcome::Failed } else { Outcome::Ok }, CacheStatus::SourceUnreachable);
         g.now += 50_000;
     }
     // Three strikes, then a trial at 0.7, 1.4, 2.8 and 5.6 s at most (each between half and half again).
--- a/tests/servers.rs
+++ b/tests/servers.rs
@@ -2,10 +2,13 @@
 
 mod standin;
 
-use foxhold::config::settings::Transport;
-use foxhold::dispatch::{Broken, End, Message, Order, Peers, Reports, Ticket, Verdict};
+use foxhold::config::settings::ConnectionSettings;
+use foxhold::dispatch::{
+    AttemptError, AttemptId, AttemptResult, DispatcherMessage, DispatcherSender, EndpointCommand,
+    EndpointConnector, ResponseStatus,
+};
 use foxhold::policy::types::ServerId;
-use foxhold::upstream::servers::Servers;
+use foxhold::upstream::servers::UpstreamConnector;
 use standin::{listing, local, transport, Manner, Server};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -14,42 +17,42 @@
 use tokio::time::Instant;
 
 struct Peer {
-    orders: mpsc::Sender<Order>,
-    news: mpsc::Receiver<Message>,
+    orders: mpsc::Sender<EndpointCommand>,
+    news: mpsc::Receiver<DispatcherMessage>,
     /// Attempts told of as written whole.
     written: usize,
 }
 
 impl Peer {
-    fn open(address: &str, transport: Transport, descriptors: usize) -> Peer {
-        Peer::open_by(&mut Servers::new(transport, descriptors), address)
+    fn open(address: &str, transport: ConnectionSettings, descriptors: usize) -> Peer {
+        Peer::open_by(&mut UpstreamConnector::new(transport, descriptors), address)
     }
 
-    fn open_by(servers: &mut Servers, address: &str) -> Peer {
+    fn open_by(servers: &mut UpstreamConnector, address: &str) -> Peer {
         let (reports, news) = mpsc::channel(64);
         let listing = listing("s-1", address, "edge", "cache");
-        let orders = servers.open(ServerId(1), &listing, Reports::new(reports));
+        let orders = servers.connect(ServerId(1), &listing, DispatcherSender::new(reports));
         Peer { orders, news, written: 0 }
     }
 
     async fn want(&self, attempt: u32, id: &str, body: Vec<u8>) {
         let until = Instant::now() + Duration::from_secs(20);
-        let want = standin::want(Ticket { request: 1, attempt }, id, "videos", body, until);
-        self.orders.send(Order::Want(want)).await.expect("an actor");
+        let want = standin::want(AttemptId { request: 1, attempt }, id, "videos", body, until);
+        self.orders.send(EndpointCommand::Send(want)).await.expect("an actor");
     }
 
-    async fn end(&mut self) -> (u32, End) {
+    async fn end(&mut self) -> (u32, AttemptResult) {
         loop {
             match self.news.recv().await {
-                Some(Message::Ended(ticket, end)) => return (ticket.attempt, end),
-                Some(Message::Written(_)) => self.written += 1,
-                Some(Message::Forgotten(..)) => {}
+                Some(DispatcherMessage::AttemptEnded(ticket, end)) => return (ticket.attempt, end),
+                Some(DispatcherMessage::AttemptWritten(_)) => self.written += 1,
+                Some(DispatcherMessage::AttemptCancelled(..)) => {}
                 other => panic!("{other:?}"),
             }
         }
     }
 
-    async fn broken(&mut self) -> Broken {
+    async fn broken(&mut self) -> AttemptError {
         self.end().await.1.expect_err("an attempt that broke off")
     }
 }
@@ -64,7 +67,10 @@
 #[test]
 fn an_end_says_how_far_the_attempt_had_come() {
     local(async {
-        for (manner, broken) in [(Manner::Closes, Broken::Written), (Manner::BreaksOff, Broken::Answering)] {
+        for (manner, broken) in [
+            (Manner::Closes, AttemptError::Unanswered),
+            (Manner::BreaksOff, AttemptError::ResponseInterrupted),
+        ] {
             let server = Server::start(manner).await;
             let mut peer = Peer::open(&server.address, transport(), 9);
             peer.want(0, "a", Vec::new()).await;
@@ -75,7 +81,7 @@
         drop(nobody);
         let mut peer = Peer::open(&address, transport(), 9);
         peer.want(0, "a", Vec::new()).await;
-        assert_eq!(peer.broken().await, Broken::NotConnected);
+        assert_eq!(peer.broken().await, AttemptError::NotConnected);
     });
 }
 
@@ -88,17 +94,20 @@
         peer.want(0, "a", Vec::new()).await;
         peer.want(1, "b", Vec::new()).await;
         sent(&server, 2).await;
-        let ticket = Ticket { request: 1, attempt: 0 };
-        peer.orders.send(Order::Forget(ticket)).await.expect("an actor");
+        let ticket = AttemptId { request: 1, attempt: 0 };
+        peer.orders.send(EndpointCommand::Cancel(ticket)).await.expect("an actor");
         *server.manner.borrow_mut() = Manner::Closes;
         peer.want(2, "c", Vec::new()).await;
-        assert_eq!((peer.broken().await, peer.broken().await), (Broken::Written, Broken::Written));
+        assert_eq!(
+            (peer.broken().await, peer.broken().await),
+            (AttemptError::Unanswered, AttemptError::Unanswered)
+        );
         assert_eq!(peer.written, 3);
         let nobody =
             TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("an address");
         let mut peer = Peer::open(&nobody.to_string(), transport(), 9);
         peer.want(0, "a", Vec::new()).await;
-        assert_eq!((peer.broken().await, peer.written), (Broken::NotConnected, 0));
+        assert_eq!((peer.broken().await, peer.written), (AttemptError::NotConnected, 0));
     });
 }
 
@@ -111,7 +120,7 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         stream.read_exact(&mut [0; 100]).await.expect("its beginning");
         drop(stream);
-        assert_eq!(peer.broken().await, Broken::PartlyWritten);
+        assert_eq!(peer.broken().await, AttemptError::PartiallyWritten);
     });
 }
 
@@ -121,7 +130,7 @@
         let server = Server::start(Manner::Silent).await;
         let mut peer = Peer::open(&server.address, transport(), 0);
         peer.want(0, "a", Vec::new()).await;
-        assert_eq!(peer.broken().await, Broken::NoDescriptor);
+        assert_eq!(peer.broken().await, AttemptError::NoDescriptor);
         assert!(server.wants().is_empty());
     });
 }
@@ -136,7 +145,11 @@
         // Room for one report: the connection waits with the second, and its end is not told.
         let (reports, news) = mpsc::channel(1);
         let listing = listing("s-1", &address.to_string(), "edge", "cache");
-        let orders = Servers::new(transport(), 100).open(ServerId(1), &listing, Reports::new(reports));
+        let orders = UpstreamConnector::new(transport(), 100).connect(
+            ServerId(1),
+            &listing,
+            DispatcherSender::new(reports),
+        );
         let mut peer = Peer { orders, news, written: 0 };
         for (attempt, id) in ["a", "b", "c"].into_iter().enumerate() {
             peer.want(attempt as u32, id, Vec::new()).await;
@@ -146,7 +159,7 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
         for _ in 0..4 {
             let (attempt, end) = peer.end().await;
-            assert_eq!(end.map(|_| ()), Err(Broken::NotConnected), "attempt {attempt}");
+            assert_eq!(end.map(|_| ()), Err(AttemptError::NotConnected), "attempt {attempt}");
         }
     });
 }
@@ -157,13 +170,13 @@
     local(async {
         let copy = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
         let (first, second) = (Server::start(copy.clone()).await, Server::start(copy).await);
-        let mut servers = Servers::new(transport(), 1);
+        let mut servers = UpstreamConnector::new(transport(), 1);
         let mut early = Peer::open_by(&mut servers, &first.address);
         let mut late = Peer::open_by(&mut servers, &second.address);
         early.want(0, "a", Vec::new()).await;
         assert!(early.end().await.1.is_ok());
         late.want(0, "b", Vec::new()).await;
-        assert_eq!(late.broken().await, Broken::NoDescriptor);
+        assert_eq!(late.broken().await, AttemptError::NoDescriptor);
         let begun = Instant::now();
         while first.closed.get() == 0 {
             assert!(begun.elapsed() < Duration::from_secs(2), "it keeps its place");
@@ -181,7 +194,8 @@
     {
         local(async {
             let server = Server::start(Manner::Silent).await;
-            let peer = Peer::open(&server.address, Transport { streams, ..transport() }, 9);
+            let peer =
+                Peer::open(&server.address, ConnectionSettings { max_streams: streams, ..transport() }, 9);
             for (attempt, id) in ids.into_iter().enumerate() {
                 peer.want(attempt as u32, id, Vec::new()).await;
             }
@@ -201,7 +215,10 @@
         let mut lines = BufReader::new(stream);
         let mut text = String::new();
         lines.read_line(&mut text).await.expect("a request");
-        peer.orders.send(Order::Forget(Ticket { request: 1, attempt: 0 })).await.expect("an actor");
+        peer.orders
+            .send(EndpointCommand::Cancel(AttemptId { request: 1, attempt: 0 }))
+            .await
+            .expect("an actor");
         peer.want(1, "b", Vec::new()).await;
         while !text.contains("want b ") {
             lines.read_line(&mut text).await.expect("a line");
@@ -211,7 +228,7 @@
         lines.write_all(answers).await.expect("a reader");
         let (attempt, end) = peer.end().await;
         assert_eq!(attempt, 1);
-        assert!(matches!(end.expect("a reply").verdict, Verdict::Copy(copy) if copy.body == "good"));
+        assert!(matches!(end.expect("a reply").status, ResponseStatus::Ok(copy) if copy.body == "good"));
     });
 }
 
@@ -227,7 +244,7 @@
             peer.want(attempt as u32, id, Vec::new()).await;
             let (ended, end) = peer.end().await;
             assert_eq!(ended, attempt as u32);
-            assert!(matches!(end.expect("a reply").verdict, Verdict::Copy(copy) if copy.body == "good"));
+            assert!(matches!(end.expect("a reply").status, ResponseStatus::Ok(copy) if copy.body == "good"));
         }
         assert_eq!(server.connections.get(), 1);
     });
@@ -241,7 +258,10 @@
         peer.want(0, "a", Vec::new()).await;
         sent(&server, 1).await;
         tokio::time::sleep(Duration::from_millis(1100)).await;
-        peer.orders.send(Order::Forget(Ticket { request: 1, attempt: 0 })).await.expect("an actor");
+        peer.orders
+            .send(EndpointCommand::Cancel(AttemptId { request: 1, attempt: 0 }))
+            .await
+            .expect("an actor");
         while server.lines.borrow().len() < 2 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -255,8 +275,11 @@
 fn an_idle_connection_is_closed_before_the_server_would_and_a_new_one_opened_when_needed() {
     local(async {
         let server = Server::start(Manner::Says("ID ACK - 0\r\n\r\n")).await;
-        let mut peer =
-            Peer::open(&server.address, Transport { idle: Duration::from_millis(50), ..transport() }, 9);
+        let mut peer = Peer::open(
+            &server.address,
+            ConnectionSettings { idle_timeout: Duration::from_millis(50), ..transport() },
+            9,
+        );
         for (attempt, id) in ["a", "b"].into_iter().enumerate() {
             peer.want(attempt as u32, id, Vec::new()).await;
             assert!(peer.end().await.1.is_ok());
@@ -282,7 +305,7 @@
         *server.manner.borrow_mut() = Manner::Says("ID ACK - 4\r\nmore than four\r\n");
         peer.want(12, "a12", Vec::new()).await;
         let (attempt, end) = peer.end().await;
-        assert_eq!((attempt, end.expect_err("a spoilt answer")), (12, Broken::Answering));
+        assert_eq!((attempt, end.expect_err("a spoilt answer")), (12, AttemptError::ResponseInterrupted));
     });
 }
 
@@ -299,7 +322,7 @@
         peer.want(1, "b", Vec::new()).await;
         let mut ends = [peer.end().await, peer.end().await].map(|(n, end)| (n, end.expect_err("no answer")));
         ends.sort_by_key(|(n, _)| *n);
-        assert_eq!(ends, [(0, Broken::Written), (1, Broken::Answering)]);
+        assert_eq!(ends, [(0, AttemptError::Unanswered), (1, AttemptError::ResponseInterrupted)]);
         assert!(begun.elapsed() < Duration::from_millis(600), "{:?}", begun.elapsed());
     });
 }
@@ -324,7 +347,7 @@
         let server = Server::start(Manner::Silent).await;
         let mut peer = Peer::open(&server.address, transport(), 9);
         peer.want(0, "a", Vec::new()).await;
-        assert_eq!(peer.broken().await, Broken::Written);
+        assert_eq!(peer.broken().await, AttemptError::Unanswered);
         let slow = Server::start(Manner::Says("")).await;
         let mut peer = Peer::open(&slow.address, transport(), 9);
         peer.want(0, "a", Vec::new()).await;
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -62,7 +62,7 @@
 fn a_signed_url_is_good_and_its_credential_is_stripped() {
     let grant = check_now(&sha1_url("/videos/guide.mp4?block=3", NOW + 60, "u1")).expect("good");
     assert_eq!(grant.target, "/videos/guide.mp4?block=3");
-    assert_eq!(grant.valid_until, Some((NOW + 65) * 1_000_000));
+    assert_eq!(grant.expires_at, Some((NOW + 65) * 1_000_000));
     assert_eq!(
         check_now(&sha1_url("/videos/guide.mp4", NOW + 60, "u1")).expect("good").target,
         "/videos/guide.mp4"
@@ -139,7 +139,7 @@
 fn a_token_is_good_in_the_query_and_in_the_path_and_is_stripped() {
     assert_eq!(
         check_now(&tokened("")).expect("good"),
-        Grant { target: "/videos/guide.mp4".into(), valid_until: None }
+        Grant { target: "/videos/guide.mp4".into(), expires_at: None }
     );
     let token = tokened("");
     let package = token.split_once('?').expect("a query").1;
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -7,7 +7,7 @@
 mod simulation;
 
 use budget::{ColdServer, Worst};
-use foxhold::ColdRule;
+use foxhold::SlowStartRule;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use simulation::{Fleet, Mix, Role, Site, SECOND};
@@ -20,11 +20,11 @@
 /// A site drawn from a seed: its rule, classes, load and the number of its routers.
 fn drawn(role: Role, few: bool, seed: u64) -> Site {
     let mut random = StdRng::seed_from_u64(seed);
-    let rule = ColdRule {
-        floor: random.random_range(0.1..0.25),
-        warm_within: random.random_range(10..=18) * SECOND,
-        multiple: random.random_range(1.8..3.0),
-        window: random.random_range(1..=3) * SECOND,
+    let rule = SlowStartRule {
+        initial_capacity_share: random.random_range(0.1..0.25),
+        warm_up_time: random.random_range(10..=18) * SECOND,
+        overload_multiple: random.random_range(1.8..3.0),
+        overload_window: random.random_range(1..=3) * SECOND,
     };
     let work = random.random_range(0.02e6..0.2e6);
     let mix = |share, work, write| Mix { share, work, write };
@@ -36,7 +36,7 @@
     };
     let allowed = if few { random.random_range(3.0..10.0) } else { 100.0 };
     // Many transfers in a short window over a long warming up would be millions of requests.
-    let short = ColdRule { warm_within: 10 * SECOND, window: 3 * SECOND, ..rule };
+    let short = SlowStartRule { warm_up_time: 10 * SECOND, overload_window: 3 * SECOND, ..rule };
     let rule = if few { rule } else { short };
     let site = Site {
         role,
@@ -106,7 +106,7 @@
                 summary.worst = worst;
             }
             if let Some(asked) = open.as_ref().map(|open| &open.cold[id]) {
-                summary.budget = summary.budget.plus(Used::of(cold, asked, site.rule.multiple));
+                summary.budget = summary.budget.plus(Used::of(cold, asked, site.rule.overload_multiple));
                 run = run.plus(Used::of(cold, asked, 1.0));
             }
         }
--- a/tests/slow_start/budget.rs
+++ b/tests/slow_start/budget.rs
@@ -2,7 +2,7 @@
 //! the work that
 //! reaches it, in mean requests, may be `N + 2 * sqrt(N) + 2`, `N` being what the settings allow it then.
 
-use foxhold::{ColdRule, Micros};
+use foxhold::{Micros, SlowStartRule};
 
 /// Work that reached a server.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct ColdServer {
     /// What the settings say of such servers.
-    pub rule: ColdRule,
+    pub rule: SlowStartRule,
     /// Its size, in transfers at full pace.
     pub size: f64,
     /// The mean work of a request.
@@ -48,22 +48,23 @@
 impl ColdServer {
     /// The share of its capacity at a time, reckoned as low as the settings allow.
     fn warmth(&self, at: Micros) -> f64 {
-        let age = at.saturating_sub(self.since) as f64 / self.rule.warm_within as f64;
-        (self.rule.floor + (1.0 - self.rule.floor) * age).min(1.0)
+        let age = at.saturating_sub(self.since) as f64 / self.rule.warm_up_time as f64;
+        (self.rule.initial_capacity_share + (1.0 - self.rule.initial_capacity_share) * age).min(1.0)
     }
 
     /// Mean requests that the settings allow it in one window at a time.
     pub fn allowed(&self, at: Micros) -> f64 {
-        self.rule.multiple * self.size * self.warmth(at) * self.rule.window as f64 / self.mean
+        self.rule.overload_multiple * self.size * self.warmth(at) * self.rule.overload_window as f64
+            / self.mean
     }
 
     /// The window with the least margin of those that end with some work, while the server is cold.
     pub fn worst(&self) -> Worst {
         let (mut worst, mut first, mut sum, mut told) = (Worst::default(), 0, 0.0, 0.0);
-        for sent in self.log.iter().filter(|s| s.at < self.since + self.rule.warm_within) {
+        for sent in self.log.iter().filter(|s| s.at < self.since + self.rule.warm_up_time) {
             sum += sent.work;
             told += if sent.told { sent.work } else { 0.0 };
-            while self.log[first].at + self.rule.window <= sent.at {
+            while self.log[first].at + self.rule.overload_window <= sent.at {
                 sum -= self.log[first].work;
                 told -= if self.log[first].told { self.log[first].work } else { 0.0 };
                 first += 1;
@@ -81,9 +82,9 @@
 
     /// By whole windows from its start until it is warm: the mean requests that came.
     pub fn windows(&self) -> Vec<f64> {
-        let mut counts = vec![0.0; (self.rule.warm_within / self.rule.window) as usize];
+        let mut counts = vec![0.0; (self.rule.warm_up_time / self.rule.overload_window) as usize];
         for sent in &self.log {
-            let place = (sent.at.saturating_sub(self.since) / self.rule.window) as usize;
+            let place = (sent.at.saturating_sub(self.since) / self.rule.overload_window) as usize;
             if let Some(count) = counts.get_mut(place) {
                 *count += sent.work / self.mean;
             }
@@ -94,8 +95,9 @@
     /// What it could bear in each of these windows: a multiple of its capacity in the middle, or all
     /// that is asked.
     pub fn bearable(&self, asked: &[f64], multiple: f64) -> Vec<f64> {
-        let middle = |n: usize| self.since + self.rule.window * n as Micros + self.rule.window / 2;
-        let bears = |n: usize| self.allowed(middle(n)) * multiple / self.rule.multiple;
+        let middle =
+            |n: usize| self.since + self.rule.overload_window * n as Micros + self.rule.overload_window / 2;
+        let bears = |n: usize| self.allowed(middle(n)) * multiple / self.rule.overload_multiple;
         asked.iter().enumerate().map(|(n, asked)| asked.min(bears(n))).collect()
     }
 }
--- a/tests/slow_start/simulation.rs
+++ b/tests/slow_start/simulation.rs
@@ -54,7 +54,7 @@
     pub role: Role,
     pub routers: u32,
     pub classes: Vec<Mix>,
-    pub rule: ColdRule,
+    pub rule: SlowStartRule,
     /// The size of each server of the tested role, in transfers at full pace.
     pub size: f64,
     /// The load of such a server, over what it can do when warm.
@@ -78,7 +78,8 @@
 
     /// The size with which a server is allowed so many mean requests in a window at its start.
     pub fn sized(self, allowed: f64) -> Site {
-        let part = self.rule.floor * self.rule.multiple * self.rule.window as f64;
+        let part =
+            self.rule.initial_capacity_share * self.rule.overload_multiple * self.rule.overload_window as f64;
         Site { size: allowed * self.mean() / part, ..self }
     }
 
@@ -94,22 +95,22 @@
     fn settings(&self) -> Settings {
         let class = |mix: &Mix| Class {
             write: mix.write,
-            aim_stretch: 2.0,
+            objective_stretch: 2.0,
             deadline: 3 * SECOND,
             ..common::class(if mix.write {
-                Effect::Keyed { scope: KeyScope::All, window: 5 * SECOND }
+                Idempotency::IdempotencyKey { scope: KeyScope::All, window: 5 * SECOND }
             } else {
-                Effect::Safe
+                Idempotency::Idempotent
             })
         };
         Settings {
             classes: self.classes.iter().map(class).collect(),
             routers: self.routers,
             routers_by_zone: vec![0, 0, self.routers, 0],
-            cold_cache: self.rule,
-            cold_parent: self.rule,
-            direct: self.direct,
-            probes: true,
+            cache_slow_start: self.rule,
+            parent_slow_start: self.rule,
+            direct_requests: self.direct,
+            health_checks: true,
             ..common::settings()
         }
     }
@@ -138,7 +139,7 @@
     Arrival,
     Start(usize),
     Told(usize, Vec<Member>),
-    Timer(Token),
+    Timer(TimerToken),
     Ended(AttemptEnd),
     Probed(ServerId),
 }
@@ -175,7 +176,7 @@
 impl Fleet {
     /// Plays a site to its end.
     pub fn play(site: &Site) -> Fleet {
-        let end = JOIN + site.rule.warm_within;
+        let end = JOIN + site.rule.warm_up_time;
         let mut fleet = Fleet {
             site: site.clone(),
             random: StdRng::seed_from_u64(site.seed),
@@ -232,8 +233,8 @@
         }
         self.at(BEGIN, 0, Due::Arrival);
         let gone = Member { state: MemberState::Gone, ..self.site.member(back) };
-        let returned = Member { since: RETURN, ..self.site.member(back) };
-        let joined = Member { since: JOIN, ..self.site.member(joins) };
+        let returned = Member { started_at: RETURN, ..self.site.member(back) };
+        let joined = Member { started_at: JOIN, ..self.site.member(joins) };
         for (at, member) in [(LISTED, gone), (RETURN, returned), (JOIN, joined)] {
             self.tell(at, member);
         }
@@ -261,11 +262,11 @@
         for member in &mut members {
             if member.server.0 == back && now >= LISTED {
                 member.state = if now < RETURN { MemberState::Gone } else { MemberState::Running };
-                member.since = if now < RETURN { 0 } else { RETURN };
+                member.started_at = if now < RETURN { 0 } else { RETURN };
             }
         }
         if now >= JOIN {
-            members.push(Member { since: JOIN, ..self.site.member(joins) });
+            members.push(Member { started_at: JOIN, ..self.site.member(joins) });
         }
         members
     }
@@ -290,23 +291,26 @@
         match due {
             Due::Told(process, members) => {
                 let members = members.into_iter().map(|m| self.as_told(process, m)).collect();
-                self.event(process, Event::Members { kind: ListKind::Changes, members });
+                self.event(process, Event::Members { kind: MemberUpdate::Incremental, members });
             }
             Due::Timer(token) => self.event(process, Event::Timer(token)),
             Due::Ended(end) => self.ended(process, end),
             Due::Probed(server) => {
                 let outcome = if self.up(server.0) { Outcome::Ok } else { Outcome::ConnectError };
-                self.event(process, Event::Probed { server, outcome, took: 2_000, report: Vec::new() });
+                self.event(
+                    process,
+                    Event::HealthChecked { server, outcome, elapsed: 2_000, load_report: Vec::new() },
+                );
             }
             Due::Arrival | Due::Start(_) => {}
         }
     }
 
     fn as_told(&mut self, process: usize, member: Member) -> Member {
-        if member.since > 0 {
+        if member.started_at > 0 {
             self.processes[process].told.insert(member.server.0);
         }
-        Member { since: if self.site.told { member.since } else { 0 }, ..member }
+        Member { started_at: if self.site.told { member.started_at } else { 0 }, ..member }
     }
 
     /// A new process, with the list as it is now.
@@ -317,7 +321,7 @@
         self.processes[process] = Process { router: Some(router), epoch, ..Process::default() };
         let members: Vec<Member> = self.listed(self.now);
         let members = members.into_iter().map(|m| self.as_told(process, m)).collect();
-        self.event(process, Event::Members { kind: ListKind::Full, members });
+        self.event(process, Event::Members { kind: MemberUpdate::Full, members });
     }
 
     fn arrival(&mut self) {
@@ -377,9 +381,9 @@
                     self.attempt(process, request, server, fill);
                 }
                 Action::Cancel { request, attempt } => self.cancel(process, request, attempt),
-                Action::Wake { at, token } => self.at(at.max(self.now), process, Due::Timer(token)),
-                Action::Probe(server) => self.at(self.now + 2_000, process, Due::Probed(server)),
-                Action::Refuse { .. } | Action::Fail(_) => self.refused += 1,
+                Action::SetTimer { at, token } => self.at(at.max(self.now), process, Due::Timer(token)),
+                Action::HealthCheck(server) => self.at(self.now + 2_000, process, Due::Probed(server)),
+                Action::Reject { .. } | Action::Fail(_) => self.refused += 1,
                 _ => {}
             }
         }
@@ -404,7 +408,7 @@
         let work = (request.size_kb * 1000.0) as Micros;
         let took = match outcome {
             Outcome::ConnectError => 1_000,
-            Outcome::Ok if note == Note::Filled => 60_000 + work,
+            Outcome::Ok if note == CacheStatus::Filled => 60_000 + work,
             Outcome::Ok => 10_000 + work,
             _ => 20_000,
         };
@@ -415,11 +419,11 @@
             attempt,
             server,
             outcome,
-            took,
-            over: outcome == Outcome::Ok,
-            note,
-            waited: if note == Note::Filled { 50_000 } else { 0 },
-            report: Vec::new(),
+            elapsed: took,
+            request_finished: outcome == Outcome::Ok,
+            cache_status: note,
+            source_wait: if note == CacheStatus::Filled { 50_000 } else { 0 },
+            load_report: Vec::new(),
         };
         self.at(self.now + took, process, Due::Ended(end));
         let number = self.next;
@@ -436,52 +440,52 @@
         request: &Request,
         server: ServerId,
         fill: Option<Fill>,
-    ) -> (Outcome, Note) {
+    ) -> (Outcome, CacheStatus) {
         if !self.up(server.0) {
-            return (Outcome::ConnectError, Note::None);
+            return (Outcome::ConnectError, CacheStatus::Unknown);
         }
         self.reaches(process, server.0, request);
         let drawn = self.unit();
         if drawn < TURNED_AWAY {
-            return (Outcome::Full, Note::None);
+            return (Outcome::Rejected, CacheStatus::Unknown);
         }
         if drawn < TURNED_AWAY + FAILED {
-            return (Outcome::Failed, Note::None);
+            return (Outcome::Failed, CacheStatus::Unknown);
         }
-        let Some(fill) = fill else { return (Outcome::Ok, Note::Filled) };
+        let Some(fill) = fill else { return (Outcome::Ok, CacheStatus::Filled) };
         let write = self.site.classes[request.class].write;
         let hit = self.unit() < self.site.hits;
         if !write && hit {
-            return (Outcome::Ok, Note::Hit);
+            return (Outcome::Ok, CacheStatus::Hit);
         }
         if fill.source == server {
             return if server.0 >= *PARENTS.start() {
-                (Outcome::Ok, Note::Filled)
+                (Outcome::Ok, CacheStatus::Filled)
             } else {
-                (Outcome::Miss, Note::None)
+                (Outcome::Miss, CacheStatus::Unknown)
             };
         }
         // Some join a fill that is under way: the source is not asked again.
-        if fill.join && self.unit() < 0.05 {
-            return (Outcome::Ok, Note::Joined);
+        if fill.collapse && self.unit() < 0.05 {
+            return (Outcome::Ok, CacheStatus::Collapsed);
         }
         if !self.up(fill.source.0) {
-            return (Outcome::Failed, Note::SourceLost);
+            return (Outcome::Failed, CacheStatus::SourceUnreachable);
         }
         self.reaches(process, fill.source.0, request);
-        if fill.held_only {
-            return (Outcome::Miss, Note::SourceLacks);
+        if fill.only_if_cached {
+            return (Outcome::Miss, CacheStatus::SourceMiss);
         }
         if self.unit() < TURNED_AWAY {
-            return (Outcome::Full, Note::SourceRefused);
+            return (Outcome::Rejected, CacheStatus::SourceRejected);
         }
-        (Outcome::Ok, Note::Filled)
+        (Outcome::Ok, CacheStatus::Filled)
     }
 
     fn ended(&mut self, process: usize, end: AttemptEnd) {
         let attempts = self.processes[process].out.get_mut(&end.request);
         if attempts.and_then(|a| a.get_mut(end.attempt as usize)).and_then(Option::take).is_some() {
-            self.event(process, Event::Ended(end));
+            self.event(process, Event::AttemptEnded(end));
         }
     }
 
@@ -492,7 +496,13 @@
         };
         if let Some((_, _, Due::Ended(end))) = self.what.remove(&number) {
             let took = self.now - sent;
-            let end = AttemptEnd { outcome: Outcome::Canceled, took, over: true, note: Note::None, ..end };
+            let end = AttemptEnd {
+                outcome: Outcome::Cancelled,
+                elapsed: took,
+                request_finished: true,
+                cache_status: CacheStatus::Unknown,
+                ..end
+            };
             self.at(self.now, process, Due::Ended(end));
             let number = self.next;
             if let Some(out) = self.processes[process].out.get_mut(&request) {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -14,12 +14,12 @@
 const MINUTES: u64 = 45;
 const REQUESTS_A_SECOND: u64 = 12;
 /// What a director may hold at a time, far under what 45 minutes bring: 32,400 requests, 180 servers.
-const MOST: Tables = Tables {
-    live: 120,
-    attempts: 160,
-    alarms: 1_000,
-    probes: 16,
-    let_go: 40,
+const MOST: TableSizes = TableSizes {
+    pending_requests: 120,
+    attempts_in_flight: 160,
+    timers: 1_000,
+    health_checks: 16,
+    cancelled_requests: 40,
     servers: 24,
     mailbox: 64,
     classes: 2,
@@ -28,8 +28,13 @@
 /// Servers that answer after a while, with a miss now and then, break off, or say nothing.
 struct Moody;
 
-impl Peers for Moody {
-    fn open(&mut self, server: ServerId, _: &Listing, reports: Reports) -> mpsc::Sender<Order> {
+impl EndpointConnector for Moody {
+    fn connect(
+        &mut self,
+        server: ServerId,
+        _: &Endpoint,
+        reports: DispatcherSender,
+    ) -> mpsc::Sender<EndpointCommand> {
         let (mailbox, mut orders) = mpsc::channel(64);
         tokio::task::spawn_local(async move {
             let mut count = u64::from(server.0);
@@ -38,22 +43,26 @@
                 let (mood, reports) = ((count >> 33) % 100, reports.clone());
                 let after = Duration::from_millis(5 + (count >> 40) % 300);
                 let message = match order {
-                    Order::Want(want) => Message::Ended(
-                        want.ticket,
+                    EndpointCommand::Send(want) => DispatcherMessage::AttemptEnded(
+                        want.attempt_id,
                         match mood {
-                            0..=79 => {
-                                reply(Verdict::Copy(Copy { tag: None, body: "bytes".into() }), Note::Hit)
+                            0..=79 => reply(
+                                ResponseStatus::Ok(Representation { etag: None, body: "bytes".into() }),
+                                CacheStatus::Hit,
+                            ),
+                            80..=89 => {
+                                reply(ResponseStatus::Ok(Representation::default()), CacheStatus::Filled)
                             }
-                            80..=89 => reply(Verdict::Copy(Copy::default()), Note::Filled),
-                            90..=93 => reply(Verdict::Full, Note::SourceRefused),
-                            94..=95 => reply(Verdict::Error, Note::SourceLost),
-                            96..=97 => Err(Broken::Written),
+                            90..=93 => reply(ResponseStatus::Rejected, CacheStatus::SourceRejected),
+                            94..=95 => reply(ResponseStatus::Error, CacheStatus::SourceUnreachable),
+                            96..=97 => Err(AttemptError::Unanswered),
                             _ => continue, // never answered
                         },
                     ),
-                    Order::Probe(number) if mood < 90 => {
-                        Message::Probed(number, Ok(Health { well: true, gauges: Vec::new() }))
-                    }
+                    EndpointCommand::HealthCheck(number) if mood < 90 => DispatcherMessage::HealthChecked(
+                        number,
+                        Ok(HealthReport { healthy: true, load_report: Vec::new() }),
+                    ),
                     _ => continue,
                 };
                 tokio::task::spawn_local(async move {
@@ -66,13 +75,13 @@
     }
 }
 
-fn reply(verdict: Verdict, note: Note) -> End {
-    Ok(Reply { verdict, note, waited: 0, gauges: Vec::new() })
+fn reply(verdict: ResponseStatus, note: CacheStatus) -> AttemptResult {
+    Ok(UpstreamResponse { status: verdict, cache_status: note, source_wait: 0, load_report: Vec::new() })
 }
 
 /// Caches whose names change with the round, as a rolling deploy replaces them, and the same two behind.
-fn fleet(round: u64) -> Vec<Listing> {
-    let mut members: Vec<Listing> =
+fn fleet(round: u64) -> Vec<Endpoint> {
+    let mut members: Vec<Endpoint> =
         (0..4).map(|n| listing(&format!("cache-{}", round + n), "a", "edge", "cache")).collect();
     members.extend((0..2).map(|n| listing(&format!("parent-{}", (round + n) / 3), "c", "hub", "parent")));
     members.push(listing("origin-1", "d", "hub", "origin"));
@@ -94,35 +103,40 @@
 #[test]
 fn forty_five_minutes_leave_every_table_mailbox_and_the_memory_where_they_were() {
     paused(async {
-        let known = vec![Message::Members { full: true, members: fleet(0) }];
-        let settings = Settings { probes: true, ..settings() };
+        let known = vec![DispatcherMessage::Members { full: true, members: fleet(0) }];
+        let settings = Settings { health_checks: true, ..settings() };
         let clock = Clock::starting_at(1_764_576_000_000_000);
-        let core = dispatch::start(settings, 7, clock, Moody, known).expect("good settings").core;
+        let core = dispatch::start(settings, 7, clock, Moody, known).expect("good settings").dispatcher;
         let (mut gen, mut quarters, mut answered) = (Gen::from_size_and_seed(64, 11), Vec::new(), 0u64);
         let (tell, mut told) = mpsc::unbounded_channel();
         for second in 0..MINUTES * 60 {
             if second % 15 == 14 {
                 let members = fleet(second / 15);
-                core.reports().send(Message::Members { full: true, members }).await;
+                core.sender().send(DispatcherMessage::Members { full: true, members }).await;
             }
             if second % 7 == 0 {
                 let at = clock.unix().saturating_sub(50_000);
-                core.reports()
-                    .send(Message::Purged { object: None, group: second as u32 % 32, at, keep: 0 })
+                core.sender()
+                    .send(DispatcherMessage::Purged {
+                        object: None,
+                        group: second as u32 % 32,
+                        at,
+                        retention: 0,
+                    })
                     .await;
             }
             for _ in 0..REQUESTS_A_SECOND {
                 let pick = u64::arbitrary(&mut gen);
-                let ask = Ask {
-                    id: core.fresh_id(),
+                let ask = ClientRequest {
+                    id: core.generate_request_id(),
                     class: usize::from(pick.is_multiple_of(20)),
                     object: format!("{:016x}", pick % 50_000).into(),
                     group: Some((pick % 32) as u32),
                     size_kb: 20.0 + (pick % 300) as f64,
-                    allow: Duration::from_millis(800 + pick % 2_000),
-                    ..Ask::default()
+                    timeout: Duration::from_millis(800 + pick % 2_000),
+                    ..ClientRequest::default()
                 };
-                let (pending, tell) = (core.ask(ask), tell.clone());
+                let (pending, tell) = (core.submit(ask), tell.clone());
                 tokio::task::spawn_local(async move {
                     // One in ten leaves before its answer.
                     let patience = Duration::from_millis(if pick % 10 == 3 { 40 } else { 60_000 });
@@ -133,15 +147,21 @@
             while let Ok(was) = told.try_recv() {
                 answered += u64::from(was);
             }
-            let tables = core.figures().await.expect("a core").tables;
+            let tables = core.metrics().await.expect("a core").tables;
             assert!(tables.within(&MOST), "after {second} s: {tables:?}");
             if second % (MINUTES * 15) == MINUTES * 15 - 1 {
                 quarters.push(resident());
             }
         }
         sleep(Duration::from_secs(10)).await;
-        let tables = core.figures().await.expect("a core").tables;
-        let empty = (tables.live, tables.attempts, tables.alarms, tables.probes, tables.mailbox);
+        let tables = core.metrics().await.expect("a core").tables;
+        let empty = (
+            tables.pending_requests,
+            tables.attempts_in_flight,
+            tables.timers,
+            tables.health_checks,
+            tables.mailbox,
+        );
         assert_eq!(empty, (0, 0, 0, 0, 0), "nothing is left once all is answered");
         let asked = MINUTES * 60 * REQUESTS_A_SECOND;
         assert!(answered > asked * 85 / 100, "{answered} of {asked} answered");
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -18,7 +18,7 @@
     members.extend([11, 12, 13, 20].map(member));
     let one = |seed| {
         let mut g = Gateway::seeded(settings.clone(), u64::from(seed) + 1);
-        g.list(ListKind::Full, members.clone());
+        g.list(MemberUpdate::Full, members.clone());
         g
     };
     (0..routers).map(one).collect()
@@ -68,7 +68,7 @@
         if n >= from * 800 {
             *got.entry(one.server).or_default() += 1;
         }
-        g.end(&one, 0, Outcome::Ok, Note::Hit);
+        g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
     }
     got
 }
@@ -107,7 +107,7 @@
     let first = |g: &mut Gateway, object| {
         g.now += 900 * SECOND;
         let one = g.send(object);
-        g.end(&one, 0, Outcome::Ok, Note::Hit);
+        g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
         one.server
     };
     let objects: Vec<u64> = (1..).filter(|o| first(&mut g, *o) == ServerId(101)).take(40).collect();
@@ -123,7 +123,7 @@
         if crowded && one.server != ServerId(101) {
             *others.entry(one.server).or_insert(0u32) += 1;
         }
-        g.end(&one, 0, Outcome::Ok, Note::Hit);
+        g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
     }
     let passed: u32 = others.values().sum();
     let most = others.values().max().copied().unwrap_or(0);
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -1,11 +1,11 @@
 //! Stand-ins of the project's own: servers that speak the line protocol, and a client's side of HTTP.
 #![allow(dead_code)]
 
-use foxhold::config::settings::Transport;
-use foxhold::dispatch::{self, Clock, Core, Listing, Message, Ticket, Want};
-use foxhold::frontend::serve::{self, Front, Places, Shared};
+use foxhold::config::settings::ConnectionSettings;
+use foxhold::dispatch::{self, AttemptId, Clock, Dispatcher, DispatcherMessage, Endpoint, UpstreamRequest};
+use foxhold::frontend::serve::{self, ConnectionSlots, Frontend, ListenerContext};
 use foxhold::policy::types::*;
-use foxhold::upstream::servers::Servers;
+use foxhold::upstream::servers::UpstreamConnector;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
@@ -107,13 +107,13 @@
         self.lines.borrow().iter().filter(|l| l.starts_with("want ")).cloned().collect()
     }
 
-    pub fn listing(&self, name: &str, zone: &str, kind: &str) -> Listing {
+    pub fn listing(&self, name: &str, zone: &str, kind: &str) -> Endpoint {
         listing(name, &self.address, zone, kind)
     }
 }
 
 /// A cache, a parent and an origin that all behave alike, and their entries in the list.
-pub async fn trio(manner: Manner) -> ([Server; 3], Vec<Listing>) {
+pub async fn trio(manner: Manner) -> ([Server; 3], Vec<Endpoint>) {
     let cache = Server::start(manner.clone()).await;
     let parent = Server::start(manner.clone()).await;
     let origin = Server::start(manner).await;
@@ -125,8 +125,8 @@
     ([cache, parent, origin], members)
 }
 
-pub fn listing(name: &str, address: &str, zone: &str, kind: &str) -> Listing {
-    Listing {
+pub fn listing(name: &str, address: &str, zone: &str, kind: &str) -> Endpoint {
+    Endpoint {
         name: name.into(),
         address: address.into(),
         zone: zone.into(),
@@ -134,7 +134,7 @@
         cell: 0,
         state: MemberState::Running,
         size: 20.0,
-        since: 0,
+        started_at: 0,
     }
 }
 
@@ -142,15 +142,18 @@
 pub fn settings() -> Settings {
     let class = |name: &str, effect, write| Class {
         name: name.into(),
-        aim: 400_000,
+        latency_objective: 400_000,
         deadline: 3_000_000,
-        worth: 1.0,
-        effect,
+        priority_weight: 1.0,
+        idempotency: effect,
         write,
         ..Class::default()
     };
     Settings {
-        classes: vec![class("videos", Effect::Safe, false), class("filing", Effect::Unsafe, true)],
+        classes: vec![
+            class("videos", Idempotency::Idempotent, false),
+            class("filing", Idempotency::AtMostOnce, true),
+        ],
         kinds: vec!["cache".into(), "parent".into(), "origin".into()],
         parent_kind: Some(1),
         origin_kind: 2,
@@ -158,71 +161,82 @@
         zone: 1,
         routers_by_zone: vec![0, 1],
         routers: 1,
-        flow: 1000.0,
-        sizes_told: true,
-        cancel: true,
-        second_copies: true,
-        retry_advice: true,
-        max_advice: 1_000_000,
+        transfer_kb_per_s: 1000.0,
+        sizes_known: true,
+        can_cancel: true,
+        hedging: true,
+        retry_after: true,
+        max_retry_after: 1_000_000,
         max_attempts: 6,
-        direct: true,
-        notes: Notes::All,
-        purge_done: 6_000_000,
+        direct_requests: true,
+        cache_status_level: CacheStatusLevel::All,
+        purge_complete_within: 6_000_000,
         ..Settings::default()
     }
 }
 
-pub fn transport() -> Transport {
-    Transport::default()
+pub fn transport() -> ConnectionSettings {
+    ConnectionSettings::default()
 }
 
 /// An attempt that asks for nothing but the object, to be sent and answered by then.
-pub fn want(ticket: Ticket, id: &str, class: &str, body: Vec<u8>, until: tokio::time::Instant) -> Want {
-    Want {
-        ticket,
+pub fn want(
+    ticket: AttemptId,
+    id: &str,
+    class: &str,
+    body: Vec<u8>,
+    until: tokio::time::Instant,
+) -> UpstreamRequest {
+    UpstreamRequest {
+        attempt_id: ticket,
         id: id.into(),
         class: class.into(),
         object: "aa".into(),
         part: None,
-        until,
-        send_by: until,
-        over: Default::default(),
-        via: None,
-        keep: 0,
+        deadline: until,
+        send_deadline: until,
+        cancellation: Default::default(),
+        fill_source: None,
+        cache_rank: 0,
         max_age_ms: 0,
-        join: false,
-        held_only: false,
-        renew: false,
-        known: None,
-        token: None,
+        collapse: false,
+        only_if_cached: false,
+        revalidate: false,
+        if_none_match: None,
+        idempotency_key: None,
         body: body.into(),
     }
 }
 
 /// A director's core, whose servers are real sockets.
-pub fn start(settings: Settings, clock: Clock, members: Vec<Listing>) -> Core {
-    let known = vec![Message::Members { full: true, members }];
-    let servers = Servers::new(transport(), 100);
-    dispatch::start(settings, 7, clock, servers, known).expect("good settings").core
+pub fn start(settings: Settings, clock: Clock, members: Vec<Endpoint>) -> Dispatcher {
+    let known = vec![DispatcherMessage::Members { full: true, members }];
+    let servers = UpstreamConnector::new(transport(), 100);
+    dispatch::start(settings, 7, clock, servers, known).expect("good settings").dispatcher
 }
 
 /// Serves a front on a port of its own and returns its address.
-pub async fn serve<F: Front>(core: &Core, front: F) -> String {
-    let (close, closing) = watch::channel(serve::Closing::No);
+pub async fn serve<F: Frontend>(core: &Dispatcher, front: F) -> String {
+    let (close, closing) = watch::channel(serve::ShutdownPhase::Running);
     std::mem::forget(close); // the front stays open for as long as the test runs
     serve_until(core, front, closing).await
 }
 
 /// The same until it is told to close.
-pub async fn serve_until<F: Front>(
-    core: &Core,
+pub async fn serve_until<F: Frontend>(
+    core: &Dispatcher,
     front: F,
-    closing: watch::Receiver<serve::Closing>,
+    closing: watch::Receiver<serve::ShutdownPhase>,
 ) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let places = Places::new(100, 120);
-    let shared = Shared { core: core.clone(), places, closing, open: Rc::new(Cell::new(0)) };
+    let places = ConnectionSlots::new(100, 120);
+    let shared = ListenerContext {
+        dispatcher: core.clone(),
+        slots: places,
+        shutdown: closing,
+        requests_in_flight: Rc::new(Cell::new(0)),
+    };
     tokio::task::spawn_local(serve::accept(listener, shared, front));
     address
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -108,6 +108,6 @@
 fn settings_are_read_and_unknown_keys_skipped() {
     let settings = parse_settings(PARAMS).expect("good settings");
     assert_eq!((settings.parent_kind, settings.origin_kind, settings.zone), (Some(1), 2, 1));
-    assert_eq!((settings.purge_done, settings.max_attempts), (6_000_000, 4));
+    assert_eq!((settings.purge_complete_within, settings.max_attempts), (6_000_000, 4));
     assert!(parse_settings("[]").is_err());
 }
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -4,14 +4,14 @@
 mod standin;
 
 use bytes::BytesMut;
-use foxhold::config::settings::{decode_transport, parse_settings};
+use foxhold::config::settings::{decode_connection_settings, parse_settings};
 use foxhold::discovery::client;
-use foxhold::dispatch::{Clock, Listing, Message, Ticket, Verdict, Want};
-use foxhold::frontend::admin::{self, Door, Reloads};
+use foxhold::dispatch::{AttemptId, Clock, DispatcherMessage, Endpoint, ResponseStatus, UpstreamRequest};
+use foxhold::frontend::admin::{self, AdminEndpoint, Reloads};
 use foxhold::frontend::platform::Platform;
-use foxhold::frontend::serve::Closing;
+use foxhold::frontend::serve::ShutdownPhase;
 use foxhold::upstream::line_codec;
-use foxhold::{Effect, KeyScope, Notes, Siblings};
+use foxhold::{CacheStatusLevel, Idempotency, KeyScope, Siblings};
 use standin::*;
 use std::cell::Cell;
 use std::path::Path;
@@ -44,8 +44,8 @@
 
 // ---- the line protocol ----
 
-fn plain(id: &str, now: Instant) -> Want {
-    let ticket = Ticket { request: 1, attempt: 0 };
+fn plain(id: &str, now: Instant) -> UpstreamRequest {
+    let ticket = AttemptId { request: 1, attempt: 0 };
     standin::want(ticket, id, "videos", Vec::new(), now + Duration::from_millis(1500))
 }
 
@@ -53,48 +53,58 @@
 fn requests_to_servers_are_written_byte_by_byte_as_before() {
     let now = Instant::now();
     let source: Arc<str> = "s-parent".into();
-    let full = Want {
+    let full = UpstreamRequest {
         part: Some(3),
-        via: Some(source.clone()),
-        keep: 2,
+        fill_source: Some(source.clone()),
+        cache_rank: 2,
         max_age_ms: 750,
-        join: true,
-        held_only: true,
-        renew: true,
-        known: Some("tag-1".into()),
-        token: Some("token-1".into()),
+        collapse: true,
+        only_if_cached: true,
+        revalidate: true,
+        if_none_match: Some("tag-1".into()),
+        idempotency_key: Some("token-1".into()),
         body: "bytes".into(),
         ..plain("0000000000000002", now)
     };
     let flags = [(true, false, false), (false, true, false), (false, false, true), (true, true, false)];
     let mut out = BytesMut::new();
-    line_codec::write_want(&plain("0000000000000001", now), now, &mut out);
-    line_codec::write_want(&full, now, &mut out);
+    line_codec::write_request(&plain("0000000000000001", now), now, &mut out);
+    line_codec::write_request(&full, now, &mut out);
     for (join, held_only, renew) in flags {
-        let want = Want { via: Some(source.clone()), keep: 1, join, held_only, renew, ..plain("a", now) };
-        line_codec::write_want(&want, now, &mut out);
+        let want = UpstreamRequest {
+            fill_source: Some(source.clone()),
+            cache_rank: 1,
+            collapse: join,
+            only_if_cached: held_only,
+            revalidate: renew,
+            ..plain("a", now)
+        };
+        line_codec::write_request(&want, now, &mut out);
     }
-    line_codec::write_want(&Want { until: now, ..plain("late", now) }, now, &mut out);
-    line_codec::write_forget("0000000000000001", &mut out);
-    line_codec::write_probe("p7", &mut out);
+    line_codec::write_request(&UpstreamRequest { deadline: now, ..plain("late", now) }, now, &mut out);
+    line_codec::write_cancel("0000000000000001", &mut out);
+    line_codec::write_health_check("p7", &mut out);
     same_as_fixture("line-requests.txt", &visible(&out));
 }
 
 /// What an answer was read as; notes by their number.
 fn answer(content: &line_codec::Content) -> String {
     let reply = match content {
-        line_codec::Content::Probe(healthy, load) => return format!("health {healthy} {load:?}"),
-        line_codec::Content::Reply(reply) => reply,
+        line_codec::Content::Health(healthy, load) => return format!("health {healthy} {load:?}"),
+        line_codec::Content::Response(reply) => reply,
     };
-    let verdict = match &reply.verdict {
-        Verdict::Copy(copy) => format!("copy {:?} {:?}", copy.tag, copy.body),
-        Verdict::Unchanged(tag) => format!("unchanged {tag:?}"),
-        Verdict::Miss => "miss".into(),
-        Verdict::Full => "full".into(),
-        Verdict::Error => "error".into(),
-        Verdict::Stale => "too late".into(),
+    let verdict = match &reply.status {
+        ResponseStatus::Ok(copy) => format!("copy {:?} {:?}", copy.etag, copy.body),
+        ResponseStatus::NotModified(tag) => format!("unchanged {tag:?}"),
+        ResponseStatus::Miss => "miss".into(),
+        ResponseStatus::Rejected => "full".into(),
+        ResponseStatus::Error => "error".into(),
+        ResponseStatus::Expired => "too late".into(),
     };
-    format!("{verdict}, note {}, waited {}, load {:?}", reply.note as u8, reply.waited, reply.gauges)
+    format!(
+        "{verdict}, note {}, waited {}, load {:?}",
+        reply.cache_status as u8, reply.source_wait, reply.load_report
+    )
 }
 
 #[test]
@@ -121,7 +131,7 @@
     }
     text += "p1 READY - 0\r\n\r\np2 READY\r\np3 AILING gauges=x0:0.25\r\np4 AILING - 0\r\n\r\n";
     let mut buffer = BytesMut::from(text.as_bytes());
-    let (mut reader, mut read) = (line_codec::Reader::default(), String::new());
+    let (mut reader, mut read) = (line_codec::LineDecoder::default(), String::new());
     while let Some(message) = reader.next(&mut buffer).expect("good lines") {
         read += &format!("{} {}\n", message.id, answer(&message.content));
     }
@@ -130,24 +140,24 @@
     for bad in ["a ACK - x\r\n", "a WHAT - 0\r\n", "a ACK lag=x 0\r\n", " ACK - 0\r\n", "a\r\n", "a ACK -\n"]
     {
         let mut buffer = BytesMut::from(bad.as_bytes());
-        assert!(line_codec::Reader::default().next(&mut buffer).is_err(), "{bad:?}");
+        assert!(line_codec::LineDecoder::default().next(&mut buffer).is_err(), "{bad:?}");
     }
 }
 
 // ---- discovery ----
 
 /// What an event was read as; states by their number.
-fn event(news: &client::News) -> String {
-    let member = |listing: &Listing| {
-        let Listing { name, address, zone, kind, cell, state, size, since } = listing;
+fn event(news: &client::WatchChange) -> String {
+    let member = |listing: &Endpoint| {
+        let Endpoint { name, address, zone, kind, cell, state, size, started_at: since } = listing;
         format!(" {name} {address} {zone} {kind} {cell} {} {size} {since}", *state as u8)
     };
     match news {
-        client::News::Members { full, members } => {
+        client::WatchChange::Members { full, members } => {
             format!("members {full}{}", members.iter().map(member).collect::<String>())
         }
-        client::News::Purge { object, group, ms } => format!("purge {object:?} {group} {ms}"),
-        client::News::Other => "other".into(),
+        client::WatchChange::Purge { object, group, ms } => format!("purge {object:?} {group} {ms}"),
+        client::WatchChange::Unknown => "other".into(),
     }
 }
 
@@ -182,8 +192,8 @@
     for line in lines {
         let line = client::parse_line(line.as_bytes()).expect("a good line");
         read += &match line {
-            client::Line::Last(rev) => format!("last {rev}\n"),
-            client::Line::Notice(notice) => format!("{} {}\n", notice.rev, event(&notice.news)),
+            client::WatchLine::Heartbeat(rev) => format!("last {rev}\n"),
+            client::WatchLine::Event(notice) => format!("{} {}\n", notice.revision, event(&notice.change)),
         };
     }
     same_as_fixture("discovery.txt", &read);
@@ -222,12 +232,12 @@
         let ([cache, parent, origin], members) = trio(COPY).await;
         let core = start(settings(), Clock::system(), members);
         let front = serve(&core, Platform(core.clone())).await;
-        let (close, closing) = watch::channel(Closing::No);
+        let (close, closing) = watch::channel(ShutdownPhase::Running);
         let reloads = Rc::new(Reloads::default());
-        let door = Door {
-            core: core.clone(),
-            open: Rc::new(Cell::new(2)),
-            closing,
+        let door = AdminEndpoint {
+            dispatcher: core.clone(),
+            requests_in_flight: Rc::new(Cell::new(2)),
+            shutdown: closing,
             reloads: reloads.clone(),
             #[cfg(feature = "peers")]
             peers: None,
@@ -273,13 +283,13 @@
                 "want 0000000000000002 kind=videos,obj=7f3a9c21e0b4d655,seg=3,",
             ]
         );
-        core.reports().send(Message::Members { full: true, members: Vec::new() }).await;
+        core.sender().send(DispatcherMessage::Members { full: true, members: Vec::new() }).await;
         reloads.failed.set(1);
         let mut calls = String::new();
         for call in ["check\n", "vars\r\n", "reboot\n", &"x".repeat(300)] {
             calls += &visible(without_attempts(&admin_call(&admin, call).await).as_bytes());
         }
-        close.send(Closing::AfterAnswer).expect("an admin endpoint");
+        close.send(ShutdownPhase::CloseAfterResponse).expect("an admin endpoint");
         calls += &visible(admin_call(&admin, "check\n").await.as_bytes());
         same_as_fixture("admin-answers.txt", &calls);
     });
@@ -322,61 +332,64 @@
     let text = fixture("settings.json");
     let settings = parse_settings(&text).expect("good settings");
     let value = miniserde::json::from_str(&text).expect("JSON");
-    let transport = decode_transport(&value).expect("good settings");
+    let transport = decode_connection_settings(&value).expect("good settings");
     let mut read = String::new();
     let mut line = |name: &str, value: &dyn std::fmt::Debug| read += &format!("{name}: {}\n", values(value));
     line("balancers", &settings.routers);
     line("zone", &settings.zone);
     line("zones", &settings.zones);
     line("kinds", &settings.kinds);
-    line("weights", &u8::from(settings.sizes_told));
-    line("discovery", &u8::from(settings.must_ask));
-    line("report.names", &settings.report);
+    line("weights", &u8::from(settings.sizes_known));
+    line("discovery", &u8::from(settings.poll_members));
+    line("report.names", &settings.load_report);
     line("familyInfo.midKind", &settings.parent_kind);
     line("familyInfo.storeKind", &settings.origin_kind);
     line("familyInfo.instancesByZone", &settings.routers_by_zone);
-    line("familyInfo.inletKbPerS", &settings.zone_link);
-    line("familyInfo.flowKbPerS", &settings.flow);
-    line("familyInfo.passThroughOk", &u8::from(settings.direct));
-    line("familyInfo.collapses", &u8::from(settings.joins));
+    line("familyInfo.inletKbPerS", &settings.zone_link_kb_per_s);
+    line("familyInfo.flowKbPerS", &settings.transfer_kb_per_s);
+    line("familyInfo.passThroughOk", &u8::from(settings.direct_requests));
+    line("familyInfo.collapses", &u8::from(settings.request_collapsing));
     line("familyInfo.peersFill", &u8::from(settings.siblings == Siblings::Zone));
-    line("familyInfo.noteLevel", &u8::from(settings.notes == Notes::Hit));
+    line("familyInfo.noteLevel", &u8::from(settings.cache_status_level == CacheStatusLevel::Hit));
     line("familyInfo.purgeGraceMs", &settings.purge_grace);
-    line("familyInfo.purgeDoneMs", &settings.purge_done);
-    line("familyInfo.parentFloor", &settings.cold_parent.floor);
-    line("familyInfo.parentWarmsInMs", &settings.cold_parent.warm_within);
-    line("familyInfo.parentLimitFactor", &settings.cold_parent.multiple);
-    line("bounds.cancel", &u8::from(settings.cancel));
-    line("bounds.secondCopies", &u8::from(settings.second_copies));
-    line("bounds.retryAfter", &u8::from(settings.retry_advice));
-    line("bounds.maxRetryAfterMs", &settings.max_advice);
+    line("familyInfo.purgeDoneMs", &settings.purge_complete_within);
+    line("familyInfo.parentFloor", &settings.parent_slow_start.initial_capacity_share);
+    line("familyInfo.parentWarmsInMs", &settings.parent_slow_start.warm_up_time);
+    line("familyInfo.parentLimitFactor", &settings.parent_slow_start.overload_multiple);
+    line("bounds.cancel", &u8::from(settings.can_cancel));
+    line("bounds.secondCopies", &u8::from(settings.hedging));
+    line("bounds.retryAfter", &u8::from(settings.retry_after));
+    line("bounds.maxRetryAfterMs", &settings.max_retry_after);
     line("bounds.maxAttempts", &settings.max_attempts);
-    line("bounds.probes", &u8::from(settings.probes));
-    line("bounds.peers", &u8::from(settings.peers));
+    line("bounds.probes", &u8::from(settings.health_checks));
+    line("bounds.peers", &u8::from(settings.peer_messages));
     line("rules.stopSendingWithinMs", &settings.drain_grace);
-    line("rules.coldFrom", &settings.cold_cache.floor);
-    line("rules.warmWithinMs", &settings.cold_cache.warm_within);
-    line("rules.fallMultiple", &settings.cold_cache.multiple);
-    line("rules.overloadForMs", &[settings.cold_cache.window, settings.cold_parent.window]);
+    line("rules.coldFrom", &settings.cache_slow_start.initial_capacity_share);
+    line("rules.warmWithinMs", &settings.cache_slow_start.warm_up_time);
+    line("rules.fallMultiple", &settings.cache_slow_start.overload_multiple);
+    line(
+        "rules.overloadForMs",
+        &[settings.cache_slow_start.overload_window, settings.parent_slow_start.overload_window],
+    );
     line("bounds.connectTimeoutMs", &transport.connect_timeout.as_millis());
-    line("bounds.connIdleMs", &transport.idle.as_millis());
-    line("bounds.streamsPerConn", &transport.streams);
+    line("bounds.connIdleMs", &transport.idle_timeout.as_millis());
+    line("bounds.streamsPerConn", &transport.max_streams);
     for class in &settings.classes {
-        let keyed = match class.effect {
-            Effect::Safe => (0, 0, 0),
-            Effect::Keyed { scope, window } => (1, window, u8::from(scope == KeyScope::Cell)),
-            Effect::Unsafe => (2, 0, 0),
+        let keyed = match class.idempotency {
+            Idempotency::Idempotent => (0, 0, 0),
+            Idempotency::IdempotencyKey { scope, window } => (1, window, u8::from(scope == KeyScope::Cell)),
+            Idempotency::AtMostOnce => (2, 0, 0),
         };
         line("services[].name", &class.name);
-        line("services[].aimMs", &class.aim);
-        line("services[].aimStretch", &class.aim_stretch);
+        line("services[].aimMs", &class.latency_objective);
+        line("services[].aimStretch", &class.objective_stretch);
         line("services[].deadlineMs", &class.deadline);
-        line("services[].worth", &class.worth);
-        line("services[].lateShare", &class.late_share);
+        line("services[].worth", &class.priority_weight);
+        line("services[].lateShare", &class.late_weight_share);
         line("services[].effect, windowMs, keyScope", &keyed);
-        line("familyInfo.lifetimeByClassMs", &class.fresh);
-        line("familyInfo.classGraceMs", &class.grace);
-        line("familyInfo.worthWhenOld", &class.stale_share);
+        line("familyInfo.lifetimeByClassMs", &class.freshness_lifetime);
+        line("familyInfo.classGraceMs", &class.stale_grace);
+        line("familyInfo.worthWhenOld", &class.stale_weight_share);
         line("familyInfo.passOn", &u8::from(class.write));
     }
     same_as_fixture("settings.txt", &read);
@@ -391,32 +404,35 @@
     use foxhold::cluster::members::Member;
     use foxhold::cluster::store;
     use foxhold::replication::digest::Node;
-    use foxhold::replication::entry::{Key, Place, Run, Word, Words};
-    use foxhold::replication::gossip::Say;
+    use foxhold::replication::entry::{DrainRecord, EndpointRecord, Incarnation, Key, Value};
+    use foxhold::replication::gossip::GossipMessage;
     use std::time::Duration;
 
     const UNIX: u64 = 1_764_576_000_000_000;
 
-    fn place() -> Place {
-        Place {
+    fn place() -> EndpointRecord {
+        EndpointRecord {
             address: "127.0.0.1:7".into(),
             zone: "edge".into(),
             kind: "cache".into(),
             cell: 3,
             state: 1,
             size: 8.5,
-            since: UNIX,
+            started_at: UNIX,
         }
     }
 
-    fn entries() -> Vec<(Key, Word)> {
-        let words =
-            Words { since: UNIX, told: [(Run(1), 2), (Run(7), 1)].into(), undone: [(Run(1), 1)].into() };
+    fn entries() -> Vec<(Key, Value)> {
+        let words = DrainRecord {
+            started_at: UNIX,
+            drains_by_incarnation: [(Incarnation(1), 2), (Incarnation(7), 1)].into(),
+            undrains_by_incarnation: [(Incarnation(1), 1)].into(),
+        };
         vec![
-            (Key::Object("aa".into()), Word::Purged(UNIX)),
-            (Key::Group(5), Word::Purged(UNIX + 1)),
-            (Key::Drain("s-1".into()), Word::Drain(words)),
-            (Key::Listed("s-1".into()), Word::Listed(9, place())),
+            (Key::Object("aa".into()), Value::Purged(UNIX)),
+            (Key::Group(5), Value::Purged(UNIX + 1)),
+            (Key::Drain("s-1".into()), Value::Drain(words)),
+            (Key::Endpoint("s-1".into()), Value::Endpoint(9, place())),
         ]
     }
 
@@ -433,19 +449,19 @@
     fn frames_among_directors_are_byte_by_byte_as_before() {
         let bodies = [
             Body::Swim(vec![1, 2, 3]),
-            Body::Say(Say::Words(entries())),
-            Body::Say(Say::Root(5)),
-            Body::Say(Say::Sums(vec![(Node { level: 1, number: 2 }, vec![7; 16])])),
-            Body::Say(Say::Have(1, 2, vec![(3, 4)])),
-            Body::Say(Say::Send(vec![1, 2])),
-            Body::Say(Say::Pull(1, 2, 3)),
-            Body::Say(Say::Chunk(1, 2, entries(), Some(3), true)),
+            Body::Gossip(GossipMessage::Updates(entries())),
+            Body::Gossip(GossipMessage::RootDigest(5)),
+            Body::Gossip(GossipMessage::ChildDigests(vec![(Node { level: 1, number: 2 }, vec![7; 16])])),
+            Body::Gossip(GossipMessage::RangeSummary(1, 2, vec![(3, 4)])),
+            Body::Gossip(GossipMessage::RequestEntries(vec![1, 2])),
+            Body::Gossip(GossipMessage::TransferRequest(1, 2, 3)),
+            Body::Gossip(GossipMessage::TransferChunk(1, 2, entries(), Some(3), true)),
         ];
         let seal = Seal::new("toy", &[vec![7; 32]]).expect("a key");
         let from = Member::new("a", "127.0.0.1:1".parse().expect("an address"), 9);
         let messages: Vec<Message> = bodies
             .into_iter()
-            .map(|body| Message { from: from.clone(), run: 7, number: 300, body })
+            .map(|body| Message { from: from.clone(), incarnation: 7, number: 300, body })
             .collect();
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| seal.seal(m).expect("small")).collect();
         same_as_fixture("frames.txt", &frames.iter().map(|f| hex(f) + "\n").collect::<String>());
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -3,8 +3,8 @@
 mod standin;
 
 use foxhold::discovery::xds;
-use foxhold::discovery::{follow_file, watched_file::Watched};
-use foxhold::dispatch::{Listing, Message, Reports};
+use foxhold::discovery::{follow_file, watched_file::WatchedFile};
+use foxhold::dispatch::{DispatcherMessage, DispatcherSender, Endpoint};
 use foxhold::policy::types::MemberState;
 use standin::{listing, paused};
 use std::time::Duration;
@@ -26,14 +26,14 @@
 fn both_spellings_read_the_same() {
     let update = xds::parse(SNAKE).expect("a good response");
     assert_eq!((update.version.as_str(), update.members.len()), ("7", 2));
-    let first = Listing {
+    let first = Endpoint {
         cell: 2,
         size: 4.0,
-        since: 1_764_576_000_123_000,
+        started_at: 1_764_576_000_123_000,
         ..listing("s-1", "10.1.0.9:9090", "edge", "cache")
     };
     let second =
-        Listing { size: 1.0, state: MemberState::Draining, ..listing("s-2", "[::1]:9091", "edge", "cache") };
+        Endpoint { size: 1.0, state: MemberState::Draining, ..listing("s-2", "[::1]:9091", "edge", "cache") };
     assert_eq!(update.members, [first, second]);
     let pairs = [
         ("version_info", "versionInfo"),
@@ -103,16 +103,16 @@
     std::fs::write(&path, SNAKE).expect("a file");
     paused(async {
         let (mailbox, mut inbox) = mpsc::channel(8);
-        let (file, first) = Watched::open(path.clone(), xds::parse).expect("a good file");
+        let (file, first) = WatchedFile::open(path.clone(), xds::parse).expect("a good file");
         assert_eq!(first.members.len(), 2);
-        tokio::task::spawn_local(follow_file(file, Reports::new(mailbox)));
+        tokio::task::spawn_local(follow_file(file, DispatcherSender::new(mailbox)));
         std::fs::write(&path, SNAKE.replace("9090", "0")).expect("a file");
         assert!(
             timeout(Duration::from_secs(5), inbox.recv()).await.is_err(),
             "a bad update, and one unchanged"
         );
         std::fs::write(&path, SNAKE.replace("\"HEALTHY\"", "\"DRAINING\"")).expect("a file");
-        let Some(Message::Members { members, .. }) = inbox.recv().await else { panic!("no list") };
+        let Some(DispatcherMessage::Members { members, .. }) = inbox.recv().await else { panic!("no list") };
         assert_eq!(members[0].state, MemberState::Draining);
         sleep(Duration::from_secs(2)).await;
         assert!(inbox.try_recv().is_err(), "told once");
