--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -4,7 +4,7 @@
 use super::duplicates::DuplicateNames;
 use super::members::{Member, Members, ProtocolOutput, Timer};
 use super::timers::Timers;
-use crate::policy::estimators::hash::unit;
+use crate::policy::estimators::hash::unit_interval;
 use crate::policy::types::Micros;
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -107,7 +107,7 @@
         if now < self.next_seeds {
             return None;
         }
-        self.next_seeds = now + SEED_INTERVAL.mul_f64(0.5 + unit(draw()));
+        self.next_seeds = now + SEED_INTERVAL.mul_f64(0.5 + unit_interval(draw()));
         let members: BTreeSet<SocketAddr> = self.members.peers().iter().map(|m| m.address).collect();
         let missing = |seed: &&SocketAddr| **seed != self.own_address && !members.contains(seed);
         Some(self.seeds.iter().filter(missing).copied().collect())
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -131,7 +131,7 @@
 
     fn read(self, core: &Dispatcher) -> Result<ClientRequest, SendError> {
         let (settings, mut ask) = (core.settings(), self.ask);
-        let class = settings.class(&self.class).ok_or(SendError::UnknownClass(self.class))?;
+        let class = settings.class_index(&self.class).ok_or(SendError::UnknownClass(self.class))?;
         let facts = &settings.classes[class];
         if [Some(&ask.object), ask.if_none_match.as_ref(), ask.idempotency_key.as_ref()]
             .iter()
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -2,7 +2,7 @@
 
 use crate::config::settings::micros;
 use crate::dispatch::{DispatcherMessage, DispatcherSender, Endpoint};
-use crate::policy::estimators::hash::unit;
+use crate::policy::estimators::hash::unit_interval;
 use crate::policy::types::MemberState;
 use bytes::BytesMut;
 use miniserde::{json, Deserialize};
@@ -184,7 +184,7 @@
 /// at once, and nobody waits longer than without.
 fn apart(wait: Duration) -> Duration {
     let drawn = RandomState::new().build_hasher().finish();
-    wait.mul_f64(0.5 + 0.5 * unit(drawn))
+    wait.mul_f64(0.5 + 0.5 * unit_interval(drawn))
 }
 
 /// Follows the board for as long as the program runs, from the event after `last` on. A new address is turned
--- a/src/dispatch/actor.rs
+++ b/src/dispatch/actor.rs
@@ -248,7 +248,7 @@
             kinds: old.kinds.clone(),
             parent_kind: old.parent_kind,
             origin_kind: old.origin_kind,
-            ..old.renewed(later, in_use)
+            ..old.updated_to(later, in_use)
         };
         self.classes = settings.classes.iter().map(|c| c.name.as_str().into()).collect();
         // The counts of a class end with the last of its places, so that these stay few too.
@@ -291,7 +291,7 @@
             requests,
             attempts: self.written,
             endpoints_known: known,
-            endpoints_excluded: self.router.excluded(),
+            endpoints_excluded: self.router.excluded_endpoints(),
             tables,
         }
     }
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -30,7 +30,7 @@
         let (class, object) =
             path.strip_prefix("/ops/").and_then(|p| p.split_once('/')).ok_or_else(|| Response::empty(404))?;
         let settings = self.0.settings();
-        let class = settings.class(class).ok_or_else(|| Response::empty(404))?;
+        let class = settings.class_index(class).ok_or_else(|| Response::empty(404))?;
         let facts = &settings.classes[class];
         let method = if facts.write { "PUT" } else { "GET" };
         if head.method != method {
--- /dev/null
+++ b/src/policy/estimators/decaying_counter.rs
@@ -0,0 +1,27 @@
+//! An exponentially decaying counter.
+
+/// A sum whose parts lose weight with time: `e^(-age / time_constant)`.
+///
+/// In a steady stream of `r` events a second the sum stands at `r * time_constant`, with a relative error
+/// (standard deviation over mean) of `1 / sqrt(2 * r * time_constant)`.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct DecayingCounter {
+    value: f64,
+    updated_at: u64,
+}
+
+impl DecayingCounter {
+    /// Adds `amount` and returns the sum. `time_constant` is in microseconds, above 0.
+    pub fn add(&mut self, now: u64, amount: f64, time_constant: f64) -> f64 {
+        *self = DecayingCounter {
+            value: self.value(now, time_constant) + amount,
+            updated_at: now.max(self.updated_at),
+        };
+        self.value
+    }
+
+    /// The sum as it stands at `now`. A time before the last addition counts as that of the addition.
+    pub fn value(&self, now: u64, time_constant: f64) -> f64 {
+        self.value * (-(now.saturating_sub(self.updated_at) as f64) / time_constant).exp()
+    }
+}
--- a/src/policy/estimators/mod.rs
+++ b/src/policy/estimators/mod.rs
@@ -1,27 +1,29 @@
-//! What is reckoned from what one director sees: pure numbers, no clock, no I/O, in bounded memory.
+//! Statistical estimators over what one director observes: pure, without clock or I/O, bounded in memory.
 //!
-//! The lowest part of the program: it imports nothing of it, and decides nothing. Times are microseconds and
-//! are given by whoever asks.
+//! The lowest layer of the program: it imports no other module and takes no decision. Times are microseconds
+//! and are given by the caller.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`admission`] | the share of work that a crowded resource is still given |
-//! | [`fade`] | counts that fade |
-//! | [`gamma`] | rates and shares from few events, with their error |
-//! | [`hash`] | a hash that is the same at every director |
-//! | [`pace`] | what requests of a class take |
-//! | [`purged`] | purges that servers may not have heeded yet |
-//! | [`recent`] | a map that forgets what was not met lately, bounded in entries |
-//! | [`crowd`] | how crowded servers are, by what their answers took |
+//! | [`admitted_share`] | the share of work admitted to a congested resource (AIMD) |
+//! | [`congestion`] | congestion of servers, estimated from response times |
+//! | [`decaying_counter`] | an exponentially decaying counter |
+//! | [`gamma_prior`] | rates and shares from few events, with their error |
+//! | [`generational_cache`] | a bounded map that forgets entries not used lately |
+//! | [`hash`] | a hash function that gives the same values in every director |
+//! | [`load_sharing`] | how independent routers split a load |
+//! | [`pending_purges`] | purges that servers may not have completed yet |
+//! | [`service_time`] | the service time of one class of requests |
 //!
-//! One director of three hundred sees a three hundredth of what happens. Every estimate here is therefore a
-//! mean that leans on what is usual (the prior) until it has seen enough, and says how far off it may be.
+//! One director of three hundred observes a three-hundredth of all events. Each estimate therefore starts
+//! from a prior and moves away from it as observations arrive.
 
-pub mod admission;
-pub mod crowd;
-pub mod fade;
-pub mod gamma;
+pub mod admitted_share;
+pub mod congestion;
+pub mod decaying_counter;
+pub mod gamma_prior;
+pub mod generational_cache;
 pub mod hash;
-pub mod pace;
-pub mod purged;
-pub mod recent;
+pub mod load_sharing;
+pub mod pending_purges;
+pub mod service_time;
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -6,14 +6,16 @@
 //! believed held by the second, the second wins when the first's tally of our fills under way is over half
 //! higher. All else is guard or exception.
 
-use crate::policy::estimators::admission::{AdmittedShare, Steps};
-use crate::policy::estimators::crowd::Crowds;
-use crate::policy::estimators::fade::Fading;
-use crate::policy::estimators::gamma::{excess, whole, Prior};
-use crate::policy::estimators::hash::{mix, unit};
-use crate::policy::estimators::pace::Pace;
-use crate::policy::estimators::purged::{Purge, Purges};
-use crate::policy::estimators::recent::Recent;
+use crate::policy::estimators::admitted_share::{AdmittedShare, AimdSteps};
+use crate::policy::estimators::congestion::CongestionEstimator;
+use crate::policy::estimators::decaying_counter::DecayingCounter;
+use crate::policy::estimators::gamma_prior::GammaPrior;
+use crate::policy::estimators::generational_cache::GenerationalCache;
+use crate::policy::estimators::hash::{mix, unit_interval};
+use crate::policy::estimators::load_sharing::{excess_share, stochastic_round};
+use crate::policy::estimators::pending_purges::{PendingPurges, Purge};
+use crate::policy::estimators::service_time::ServiceTime;
+use crate::policy::rendezvous::{first_few, FEW};
 use crate::policy::types::*;
 use std::collections::BTreeMap;
 
@@ -31,13 +33,11 @@
 const USUAL: f64 = 0.01;
 const SURE: f64 = 2.2;
 /// What all but hot objects ask of a cache over its fair share, unseen; past the bound some go on.
-const FAIR: Prior = Prior { mean: 1.0, shape: 2.0 };
+const FAIR: GammaPrior = GammaPrior { mean: 1.0, shape: 2.0 };
 const BOUND: f64 = 1.25;
 /// Most objects remembered in each of two generations, and how long one lasts unless it fills up.
 const OBJECTS: usize = 20_000;
 const GENERATION: Micros = 30_000_000;
-/// Servers of a role looked at for a request: an object's own two or three and the next in the hash.
-const FEW: usize = 6;
 /// The roles: the zone's caches, and all parents.
 const CACHES: usize = 0;
 const PARENTS: usize = 1;
@@ -68,7 +68,7 @@
 /// Size of a server whose size is not told, in transfers at full pace; reckoned low.
 const UNTOLD_SIZE: f64 = 4.0;
 /// Of a class of which nothing was seen yet a mean sending time is assumed.
-const FRESH: Pace = Pace { work: 200_000.0, told: false, extra: 0.0 };
+const FRESH: ServiceTime = ServiceTime { transfer_time: 200_000.0, size_known: false, overhead: 0.0 };
 /// Weight of a new observation in a running mean.
 const BLEND: f64 = 0.02;
 /// An answer is late when this share of the time to its aim is over.
@@ -97,7 +97,7 @@
 /// The zone's link is crowded where a fill's bytes take over this multiple of its sending time.
 const ADMIT_SLOW: f64 = 1.75;
 /// What a sign of crowding, or of room, does to a share admitted; both pull alike at one in four.
-const ADMISSION: Steps = Steps { cut: 0.7, grow: 0.12, least: 0.05 };
+const ADMISSION: AimdSteps = AimdSteps { decrease_factor: 0.7, increase: 0.12, min_share: 0.05 };
 /// So many transfers over what the zone's link carries at full pace are right, where caches report them, and
 /// how far a report pulls the share towards what that takes.
 const LINK_FULL: f64 = 1.2;
@@ -122,35 +122,14 @@
 const TIMER_LATE: TimerToken = 2 << 64;
 const TIMER_RELIST: TimerToken = 3 << 64;
 
-/// The first few servers of a role in an object's hash order (rendezvous; a larger server wins in proportion
-/// to its size). As -ln u >= 1 - u, one compared number tells of nearly all that they can't be among these.
-fn first_few(object: ObjectId, role: &[(ServerId, f64)], largest: f64) -> [ServerId; FEW] {
-    let (mut best, mut least) = ([(0.0, ServerId(0)); FEW], 0);
-    for (id, size) in role {
-        let hash = mix(object.0, u64::from(id.0));
-        if hash < least {
-            continue;
-        }
-        let score = size / -unit(hash).max(1e-18).ln();
-        let place = best.partition_point(|b| b.0 >= score);
-        if place < FEW {
-            best[place..].rotate_right(1);
-            best[place] = (score, *id);
-            // A hundredth of a thousandth less, for the rounding of all this.
-            least = ((1.0 - 1.000_01 * largest / best[FEW - 1].0).max(0.0) * u64::MAX as f64) as u64;
-        }
-    }
-    best.map(|b| b.1)
-}
-
 /// What is known of one listed server.
 #[derive(Default)]
 struct Server {
     member: Member,
     /// Our attempts out there, and requests whose objects come first here, those for hot ones apart.
     out: u32,
-    first: Fading,
-    hot: Fading,
+    first: DecayingCounter,
+    hot: DecayingCounter,
     /// Our fills under way that name it as source.
     fills: u32,
     /// Fills that failed and were not followed by one that succeeded.
@@ -182,7 +161,7 @@
 /// What is known of one object.
 #[derive(Default)]
 struct Object {
-    count: Fading,
+    count: DecayingCounter,
     /// Requests for its first part asked for, or for any part of a single one, and the most parts met.
     asked: u32,
     parts: u32,
@@ -261,13 +240,13 @@
     origin: Option<ServerId>,
     /// Counts the member lists taken, which hash orders are remembered by.
     listed: u32,
-    objects: Recent<Object, OBJECTS, GENERATION>,
+    objects: GenerationalCache<Object, OBJECTS, GENERATION>,
     /// All requests lately.
-    all: Fading,
+    all: DecayingCounter,
     /// What the zone's caches' hits took.
-    crowds: Crowds,
-    paces: Vec<Pace>,
-    purges: Purges,
+    crowds: CongestionEstimator,
+    paces: Vec<ServiceTime>,
+    purges: PendingPurges,
     held: BTreeMap<RequestId, Held>,
     extra: f64,
     /// Share of our attempts lately whose answers were lost by caches that go on answering.
@@ -311,7 +290,10 @@
                 let at = now.saturating_sub(age);
                 let until =
                     at.saturating_add(self.settings.purge_complete_within).saturating_add(PURGE_EXTRA);
-                self.purges.add(Purge { object: object.map(|o| o.0), group, at, until }, now);
+                self.purges.add(
+                    Purge { object: object.map(|o| o.0), group, purged_at: at, complete_at: until },
+                    now,
+                );
             }
             Event::HealthChecked { server, outcome, load_report: report, .. } => {
                 self.probed(now, server, outcome, &report, out)
@@ -325,7 +307,7 @@
     }
 
     /// Listed servers to which nothing goes now: those that drain, and those suspected.
-    pub fn excluded(&self) -> usize {
+    pub fn excluded_endpoints(&self) -> usize {
         let out =
             |s: &&Server| s.member.state == MemberState::Draining || s.running() && s.trial_at.is_some();
         self.servers.values().filter(out).count()
@@ -354,7 +336,7 @@
             self.servers.values_mut().for_each(|s| s.member.state = MemberState::Gone);
         }
         for member in members {
-            let start = -self.lump() * unit(self.draw());
+            let start = -self.lump() * unit_interval(self.draw());
             match self.servers.get_mut(&member.server) {
                 Some(known) => {
                     if member.started_at > known.member.started_at {
@@ -384,7 +366,7 @@
                 caches.push((*id, self.size(s)));
             }
         }
-        self.crowds.keep(|id| caches.binary_search_by_key(&id, |c| c.0 .0).is_ok());
+        self.crowds.retain(|id| caches.binary_search_by_key(&id, |c| c.0 .0).is_ok());
         self.weights = [&caches, &parents].map(|role| role.iter().map(|r| r.1).sum());
         self.largest = [&caches, &parents].map(|role| role.iter().map(|r| r.1).fold(0.0, f64::max));
         (self.caches, self.parents, self.origin, self.listed) = (caches, parents, origin, self.listed + 1);
@@ -440,7 +422,8 @@
         }
         let new = s.trial_at.is_none();
         s.gap = if new { TRIAL_GAP } else { (2 * s.gap).min(TRIAL_MOST) };
-        s.trial_at = Some(now + (s.gap as f64 * (0.5 + unit(mix(self.random, id.0.into())))) as Micros);
+        s.trial_at =
+            Some(now + (s.gap as f64 * (0.5 + unit_interval(mix(self.random, id.0.into())))) as Micros);
         if new {
             out.push(Action::Log(format!("server {} suspected", id.0)));
             let stuck = |h: &&Held| {
@@ -469,7 +452,7 @@
 
     /// Mean sending time of the largest class: what one turn at a cold server is good for.
     fn lump(&self) -> f64 {
-        self.paces.iter().map(|p| p.work).fold(1.0, f64::max)
+        self.paces.iter().map(|p| p.transfer_time).fold(1.0, f64::max)
     }
 
     /// Takes `work` from what a server that started lately may be asked for by this gateway: its share of a
@@ -581,7 +564,11 @@
         let (asked, parts) = (object.asked, f64::from(object.parts));
         let pace = &mut self.paces[request.class];
         let told = request.size_kb / self.settings.transfer_kb_per_s * 1e6;
-        let work = if told > 0.0 && told.is_finite() { pace.tell(told, BLEND) } else { pace.work };
+        let work = if told > 0.0 && told.is_finite() {
+            pace.record_known_size(told, BLEND)
+        } else {
+            pace.transfer_time
+        };
         let aim = now.saturating_add(aim).saturating_add((stretch * work) as Micros).min(request.deadline);
         self.extra = (self.extra + EXTRA_EARN + self.lost).min(EXTRA_SAVED);
         let (id, deadline, most) = (request.id, request.deadline, self.settings.max_attempts);
@@ -598,7 +585,7 @@
     /// drawn from as many of them as its share asks for, so that the fleet spreads it right though no
     /// gateway can be sure. Suspected, busy, tried or too cold ones are passed over.
     fn pick_cache(&mut self, now: Micros, held: &Held) -> Option<ServerId> {
-        let (object, class_work) = (held.request.object, self.paces[held.request.class].work);
+        let (object, class_work) = (held.request.object, self.paces[held.request.class].transfer_time);
         let mut usable = self.hashed(object, CACHES, now);
         let few = usable.len().min(SPREAD);
         let part = u64::from(held.request.part) + 1;
@@ -613,7 +600,7 @@
         let first = *usable.first()?;
         let wants = self.wants(held, first, self.weights[0]);
         let draws = if wants > 1.0 { self.draw() } else { 0 };
-        let width = whole(wants, usable.len().min(SPREAD), unit(draws));
+        let width = stochastic_round(wants, usable.len().min(SPREAD), unit_interval(draws));
         if width > 1 {
             let one = (draws >> 8) as usize % width;
             let two = (one + 1 + (draws >> 16) as usize % (width - 1)) % width;
@@ -624,8 +611,8 @@
         }
         if held.attempts.is_empty() {
             // The same objects at every gateway, each to the next in its own order.
-            let over = excess(self.asks(first, now, held.seen.0), BOUND);
-            let over = width == 1 && unit(mix(object.0, !u64::from(first.0))) < over;
+            let over = excess_share(self.asks(first, now, held.seen.0), BOUND);
+            let over = width == 1 && unit_interval(mix(object.0, !u64::from(first.0))) < over;
             let count =
                 |s: &mut Server| if width > 1 { &mut s.hot } else { &mut s.first }.add(now, 1.0, FADE);
             self.servers.get_mut(&usable[0]).map(count);
@@ -640,15 +627,15 @@
     /// How many servers of a role one part of an object asks for: one for each `HOT_PART` of a fair share.
     fn wants(&self, held: &Held, id: ServerId, weight: f64) -> f64 {
         let part = HOT_PART * self.size(&self.servers[&id]) / weight;
-        let usual = Prior::new(USUAL.min(part / 2.0), SURE * part);
-        usual.after(held.seen.0, held.seen.1).mean / held.parts / part
+        let usual = GammaPrior::new(USUAL.min(part / 2.0), SURE * part);
+        usual.posterior(held.seen.0, held.seen.1).mean / held.parts / part
     }
 
     /// What objects ask of a cache over its fair share, as estimated, but for one's own.
     fn asks(&self, id: ServerId, now: Micros, own: f64) -> f64 {
         let Some(s) = self.servers.get(&id) else { return 0.0 };
         let (all, part) = (self.all.value(now, FADE), self.size(s) / self.weights[0]);
-        let others = FAIR.after((s.first.value(now, FADE) - own).max(0.0), all * part).mean;
+        let others = FAIR.posterior((s.first.value(now, FADE) - own).max(0.0), all * part).mean;
         others + s.hot.value(now, FADE) / ((all + 2.0 * SURE) * part)
     }
 
@@ -662,7 +649,7 @@
     /// How many times as long as at full pace a cache takes to send, by our transfers there and what hits
     /// took lately. Guards against one that answers all and sends slowly.
     fn crowd(&self, id: ServerId) -> f64 {
-        let (load, times) = (self.load(id), self.crowds.over_quickest(id.0));
+        let (load, times) = (self.load(id), self.crowds.relative_to_quickest(id.0));
         times.filter(|times| *times >= LIMPS).map_or(load, |times| times * load.max(1.0))
     }
 
@@ -702,7 +689,7 @@
     /// Whether a source has room for one more of our fills. The window's fraction is drawn for: among many
     /// gateways one fill each may be too much.
     fn room(&mut self, id: ServerId, now: Micros) -> bool {
-        let part = unit(self.draw());
+        let part = unit_interval(self.draw());
         self.servers.get(&id).is_some_and(|s| s.busy_until <= now && f64::from(s.fills) + part < s.window)
     }
 
@@ -761,7 +748,7 @@
             let fill = self.fill(now, &held, choice);
             let direct = source == Some(server);
             let mut booked = 0.0;
-            let asked = if direct { held.work } else { self.paces[held.request.class].work };
+            let asked = if direct { held.work } else { self.paces[held.request.class].transfer_time };
             self.cold_take(server, asked, now, true);
             if let Some(s) = self.servers.get_mut(&server) {
                 s.out += 1;
@@ -800,7 +787,7 @@
         } else {
             class.freshness_lifetime
         };
-        let purged = self.purges.oldest(held.request.object.0, held.request.group, now);
+        let purged = self.purges.max_age(held.request.object.0, held.request.group, now);
         Some(Fill {
             source: source.unwrap_or(server),
             cache_rank: if passing { 0 } else { 1 + u8::from(held.asked > 1) },
@@ -826,11 +813,11 @@
             }
             // Guards the zone's link, which all fills share. Classes that take little of it go on longest;
             // within a class no size goes before another.
-            let heavy = self.paces[held.request.class].work / self.lump();
+            let heavy = self.paces[held.request.class].transfer_time / self.lump();
             // A write is kept nowhere: without a source it is sent for nothing.
-            let admitted = write || unit(self.draw()) <= self.admit.value().powf(heavy);
-            let fetched =
-                write || admitted && (self.fetch.is_full() || unit(self.draw()) <= self.fetch.value());
+            let admitted = write || unit_interval(self.draw()) <= self.admit.value().powf(heavy);
+            let fetched = write
+                || admitted && (self.fetch.is_full() || unit_interval(self.draw()) <= self.fetch.value());
             let source = if fetched { self.pick_source(now, held) } else { None };
             // Without a source it is looked for at two caches: parts and hot objects lie at several.
             let (held_only, missed) = (source.is_none(), held.attempts.iter().filter(|a| a.missed).count());
@@ -853,7 +840,7 @@
         if load <= 1.0 {
             return held.work > left;
         }
-        pace.extra.min(held.work) + held.work * load > SHED * left
+        pace.overhead.min(held.work) + held.work * load > SHED * left
     }
 
     /// A further attempt beside or after the earlier ones, within the budget.
@@ -932,11 +919,11 @@
                 } else if let Some(s) = source.and_then(|s| self.servers.get_mut(&s)) {
                     s.cold_level += booked; // a hit: the source was not asked
                 }
-                self.paces[class].took(end.elapsed as f64, work, BLEND);
+                self.paces[class].record_response(end.elapsed as f64, work, BLEND);
                 if end.cache_status == CacheStatus::Hit
                     && self.caches.binary_search_by_key(&server, |c| c.0).is_ok()
                 {
-                    self.crowds.told(server.0, end.elapsed as f64, work + HIT_EXTRA, HIT_BLEND);
+                    self.crowds.record(server.0, end.elapsed as f64, work + HIT_EXTRA, HIT_BLEND);
                 }
             }
             Outcome::Rejected if end.cache_status != CacheStatus::SourceUnreachable => {
--- a/src/policy/types.rs
+++ b/src/policy/types.rs
@@ -179,7 +179,7 @@
 
 impl Settings {
     /// The place of a class that is configured now.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| !c.retired && c.name == name)
     }
 
@@ -187,7 +187,7 @@
     /// that stayed as it was keeps its place, one with other rules gets a new one, and those not configured
     /// any more are retired. A retired place that no request has any more is used again, so that the table
     /// stays small.
-    pub fn renewed(&self, mut later: Settings, in_use: impl Fn(usize) -> bool) -> Settings {
+    pub fn updated_to(&self, mut later: Settings, in_use: impl Fn(usize) -> bool) -> Settings {
         let mut classes: Vec<Class> =
             self.classes.iter().map(|c| Class { retired: true, ..c.clone() }).collect();
         let mut fresh = Vec::new();
--- a/src/replication/gossip.rs
+++ b/src/replication/gossip.rs
@@ -20,7 +20,7 @@
 use super::digest::Node;
 use super::entry::{encode, Key, MergeOutcome, Value};
 use super::state::{leaf_places, ClockReading, MergeError, ReplicatedState};
-use crate::policy::estimators::hash::{mix, unit};
+use crate::policy::estimators::hash::{mix, unit_interval};
 use crate::policy::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -168,7 +168,7 @@
 
     fn draw(&mut self, below: usize) -> usize {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        (unit(mix(self.random, 0)) * below as f64) as usize
+        (unit_interval(mix(self.random, 0)) * below as f64) as usize
     }
 
     /// How far it has come.
--- a/src/signed/request.rs
+++ b/src/signed/request.rs
@@ -34,7 +34,7 @@
 ) -> Result<ClientRequest, InvalidRequest> {
     let (path, query) = grant.target.split_once('?').unwrap_or((&grant.target, ""));
     let (class, object) = path.strip_prefix('/').and_then(|p| p.split_once('/')).ok_or(unfit(404))?;
-    let class = settings.class(class).ok_or(unfit(404))?;
+    let class = settings.class_index(class).ok_or(unfit(404))?;
     let facts = &settings.classes[class];
     let needed = if facts.write { "PUT" } else { "GET" };
     if method != needed {
--- a/tests/estimate.rs
+++ b/tests/estimate.rs
@@ -1,9 +1,10 @@
 //! The estimates, against what they say of themselves.
 
-use foxhold::policy::estimators::crowd::Crowds;
-use foxhold::policy::estimators::fade::Fading;
-use foxhold::policy::estimators::gamma::{excess, whole, Prior};
-use foxhold::policy::estimators::recent::Recent;
+use foxhold::policy::estimators::congestion::CongestionEstimator;
+use foxhold::policy::estimators::decaying_counter::DecayingCounter;
+use foxhold::policy::estimators::gamma_prior::GammaPrior;
+use foxhold::policy::estimators::generational_cache::GenerationalCache;
+use foxhold::policy::estimators::load_sharing::{excess_share, stochastic_round};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
 fn check<A: quickcheck::Testable>(property: A) {
@@ -23,7 +24,7 @@
     let (mut draw, span) = (uniform(3), 20e6);
     // Forty events a span: the count stands at 40, off by 1 / sqrt(80) of it.
     let (mut now, mut sum, mut squares, mut n) = (0.0, 0.0, 0.0, 0.0);
-    let mut count = Fading::default();
+    let mut count = DecayingCounter::default();
     for event in 0..400_000 {
         now += -draw().max(1e-12).ln() * span / 40.0;
         let before = count.value(now as u64, span);
@@ -41,7 +42,7 @@
 #[test]
 fn a_count_never_grows_by_itself_nor_by_a_clock_that_steps_back() {
     fn property(at: u32, add: u16, later: u32) -> bool {
-        let mut count = Fading::default();
+        let mut count = DecayingCounter::default();
         let value = count.add(u64::from(at), f64::from(add), 1e6);
         count.value(u64::from(at) + u64::from(later), 1e6) <= value
             && count.value(u64::from(at.saturating_sub(later)), 1e6) <= value
@@ -56,14 +57,14 @@
         if exposure == 0 || shape == 0 {
             return TestResult::discard();
         }
-        let prior = Prior { mean: 0.3, shape: f64::from(shape) / 16.0 };
+        let prior = GammaPrior { mean: 0.3, shape: f64::from(shape) / 16.0 };
         let (events, exposure) = (f64::from(events), f64::from(exposure));
-        let rate = prior.after(events, exposure);
+        let rate = prior.posterior(events, exposure);
         let seen = events / exposure;
         let between = rate.mean >= seen.min(0.3) - 1e-9 && rate.mean <= seen.max(0.3) + 1e-9;
-        let more = prior.after(events * 10.0, exposure * 10.0);
-        let surer = more.deviation / more.mean <= rate.deviation / rate.mean + 1e-12;
-        TestResult::from_bool(between && surer && (prior.after(0.0, 0.0).mean - 0.3).abs() < 1e-9)
+        let more = prior.posterior(events * 10.0, exposure * 10.0);
+        let surer = more.standard_deviation / more.mean <= rate.standard_deviation / rate.mean + 1e-12;
+        TestResult::from_bool(between && surer && (prior.posterior(0.0, 0.0).mean - 0.3).abs() < 1e-9)
     }
     check(property as fn(u16, u16, u8) -> TestResult);
 }
@@ -71,7 +72,7 @@
 /// The stated error holds: over rates drawn from the prior, the estimate is off by its deviation on average.
 #[test]
 fn the_stated_error_of_a_rate_is_its_error() {
-    let (mut draw, prior) = (uniform(11), Prior { mean: 2.0, shape: 1.0 });
+    let (mut draw, prior) = (uniform(11), GammaPrior { mean: 2.0, shape: 1.0 });
     let (mut squares, mut stated) = (0.0, 0.0);
     for _ in 0..40_000 {
         // Shape 1 is exponential; a Poisson count by its gaps.
@@ -84,9 +85,9 @@
             }
             events += 1.0;
         }
-        let held = prior.after(events, 3.0);
+        let held = prior.posterior(events, 3.0);
         squares += (held.mean - rate).powi(2);
-        stated += held.deviation.powi(2);
+        stated += held.standard_deviation.powi(2);
     }
     assert!((squares / stated - 1.0).abs() < 0.05, "{}", squares / stated);
 }
@@ -95,25 +96,25 @@
 fn whole_numbers_drawn_have_the_mean_that_is_wanted() {
     let mut draw = uniform(5);
     for want in [0.2, 1.0, 1.3, 2.0, 2.75, 3.0, 9.0] {
-        let mean = (0..40_000).map(|_| whole(want, 3, draw()) as f64).sum::<f64>() / 40_000.0;
+        let mean = (0..40_000).map(|_| stochastic_round(want, 3, draw()) as f64).sum::<f64>() / 40_000.0;
         assert!((mean - f64::clamp(want, 1.0, 3.0)).abs() < 0.02, "{want}: {mean}");
     }
-    assert_eq!(whole(f64::MAX, 3, 0.5), 3);
+    assert_eq!(stochastic_round(f64::MAX, 3, 0.5), 3);
 }
 
 #[test]
 fn what_is_left_after_the_excess_is_the_bound() {
     fn property(load: u16) -> bool {
         let load = f64::from(load) / 100.0;
-        let left = load * (1.0 - excess(load, 1.2));
-        (0.0..1.0).contains(&excess(load, 1.2)) && (left - load.min(1.2)).abs() < 1e-9
+        let left = load * (1.0 - excess_share(load, 1.2));
+        (0.0..1.0).contains(&excess_share(load, 1.2)) && (left - load.min(1.2)).abs() < 1e-9
     }
     check(property as fn(u16) -> bool);
 }
 
 #[test]
 fn a_recent_map_is_bounded_and_keeps_what_is_met_again() {
-    let mut map: Recent<u32, 100, 1_000> = Recent::default();
+    let mut map: GenerationalCache<u32, 100, 1_000> = GenerationalCache::default();
     assert!(map.is_empty());
     *map.entry(1, 0) = 7;
     for key in 2..10_000 {
@@ -135,7 +136,8 @@
 /// The least stretch stands at hand; it is the same as one found by a walk over all.
 #[test]
 fn the_quickest_of_many_is_found_as_by_a_walk() {
-    let (mut draw, mut crowds, mut plain) = (uniform(9), Crowds::default(), std::collections::HashMap::new());
+    let (mut draw, mut crowds, mut plain) =
+        (uniform(9), CongestionEstimator::default(), std::collections::HashMap::new());
     for step in 0..20_000 {
         let server = (draw() * 40.0) as u32;
         if step % 97 == 0 {
@@ -143,15 +145,15 @@
             plain.remove(&server);
         } else {
             let (took, usual) = (1.0 + draw() * 100.0, 10.0 + draw());
-            crowds.told(server, took, usual, 0.1);
+            crowds.record(server, took, usual, 0.1);
             let (t, u): &mut (f64, f64) = plain.entry(server).or_insert((0.0, 0.0));
             let kept = if *u > 0.0 { 0.9 } else { 0.0 };
             (*t, *u) = (*t * kept + took, *u * kept + usual);
         }
         let least = plain.values().map(|(t, u)| t / u).min_by(f64::total_cmp);
         let over = |s: u32| Some(plain.get(&s)?.0 / plain[&s].1 / least?);
-        assert_eq!(crowds.over_quickest(server), over(server));
+        assert_eq!(crowds.relative_to_quickest(server), over(server));
     }
-    crowds.keep(|server| server < 3);
-    assert!(crowds.over_quickest(5).is_none());
+    crowds.retain(|server| server < 3);
+    assert!(crowds.relative_to_quickest(5).is_none());
 }
--- a/tests/library.rs
+++ b/tests/library.rs
@@ -488,7 +488,7 @@
         let mut later = settings();
         later.classes[0].name = "pages".into();
         director.reload(later).await.expect("a director");
-        until("it is taken over", async || director.settings().class("pages").is_some()).await;
+        until("it is taken over", async || director.settings().class_index("pages").is_some()).await;
         assert!(matches!(
             director.send(CacheRequest::new("pages", "a")).await,
             Ok(ClientResponse::Served(_))
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -132,21 +132,27 @@
         Settings { classes: names.iter().map(class).collect(), ..Settings::default() }
     };
     let first = with(&["a", "b"]);
-    let second = first.renewed(with(&["b", "c"]), |_| false);
-    assert_eq!((second.class("a"), second.class("b"), second.class("c")), (None, Some(1), Some(2)));
+    let second = first.updated_to(with(&["b", "c"]), |_| false);
+    assert_eq!(
+        (second.class_index("a"), second.class_index("b"), second.class_index("c")),
+        (None, Some(1), Some(2))
+    );
     assert_eq!(second.classes[0], Class { retired: true, ..first.classes[0].clone() });
-    let in_use = second.renewed(with(&["b", "c", "d"]), |place| place == 0);
-    assert_eq!(in_use.class("d"), Some(3), "an open request has place 0");
-    let free = second.renewed(with(&["b", "c", "d"]), |_| false);
-    assert_eq!((free.class("d"), free.classes.len()), (Some(0), 3));
+    let in_use = second.updated_to(with(&["b", "c", "d"]), |place| place == 0);
+    assert_eq!(in_use.class_index("d"), Some(3), "an open request has place 0");
+    let free = second.updated_to(with(&["b", "c", "d"]), |_| false);
+    assert_eq!((free.class_index("d"), free.classes.len()), (Some(0), 3));
     let mut other = with(&["b", "c"]);
     other.classes[0].idempotency = Idempotency::AtMostOnce;
-    let changed = second.renewed(other, |_| true);
+    let changed = second.updated_to(other, |_| true);
     assert_eq!(changed.classes[1].idempotency, Idempotency::Idempotent, "what is open keeps the old rules");
-    assert_eq!(changed.classes[changed.class("b").expect("a class")].idempotency, Idempotency::AtMostOnce);
+    assert_eq!(
+        changed.classes[changed.class_index("b").expect("a class")].idempotency,
+        Idempotency::AtMostOnce
+    );
     let mut grown = first;
     for n in 0..1000 {
-        grown = grown.renewed(with(&[&format!("n{n}")]), |_| false);
+        grown = grown.updated_to(with(&[&format!("n{n}")]), |_| false);
     }
     assert!(grown.classes.len() <= 5, "{}", grown.classes.len());
 }
