--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -1,4 +1,4 @@
-//! All decisions of the router. The interface (settings, events, actions, ids) is in `src/policy/types.rs`.
+//! All decisions of the router. The interface (settings, events, actions, ids) is in `src/policy/types`.
 //!
 //! Ordinary path: an object has its first three caches of the zone in a rendezvous hash; the part picks
 //! which of them comes first (once the object is hot, the less busy of two of them). A miss is filled from
@@ -261,14 +261,7 @@
 impl Router {
     /// A router with nothing but its settings; the member list comes as its first event.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let wrong = [
-            (settings.classes.is_empty(), "no classes"),
-            (settings.zone >= settings.zones.len(), "own zone is not among the zones"),
-            (settings.parent_kind >= Some(settings.kinds.len()), "parents' kind is not among the kinds"),
-        ];
-        if let Some((_, what)) = wrong.iter().find(|w| w.0) {
-            return Err(SettingsError((*what).into()));
-        }
+        settings.validate()?;
         let paces = settings.classes.iter().map(|_| FRESH).collect();
         let (random, extra) = (mix(seed, 1), EXTRA_SAVED / 2.0);
         Ok(Router { settings, random, paces, extra, relist_wait: RELIST, ..Router::default() })
