--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -1,7 +1,7 @@
 //! Delivers operators' drains to the core, again until it has taken them.
 
 use super::LOG_TARGET;
-use crate::dispatch::{DispatcherMessage as CoreMessage, DispatcherSender};
+use crate::dispatch::{DispatcherMessage as CoreMessage, DispatcherSender, DrainCommand};
 use crate::replication::entry::{Key, Kind, Value};
 use crate::replication::gossip::Update;
 use crate::replication::state::ReplicatedState;
@@ -71,7 +71,8 @@
                 continue;
             }
             let (reply, answer) = oneshot::channel();
-            if !core.try_send(CoreMessage::Drain(name.as_str().into(), on, reply)) {
+            let command = if on { DrainCommand::Drain } else { DrainCommand::Undrain };
+            if !core.try_send(CoreMessage::Drain { name: name.as_str().into(), command, listed: reply }) {
                 self.due.insert(name, now);
                 break;
             }
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -48,8 +48,8 @@
 
 use crate::config::platform::PlatformConfig;
 use crate::dispatch::{
-    is_name, ClientRequest, ClientResponse, Dispatcher, DispatcherMessage, DispatcherMetrics, Endpoint,
-    FailureReason, MAX_WRITE_BYTES,
+    is_name, ClientRequest, ClientResponse, Dispatcher, DispatcherMessage, DispatcherMetrics, DrainCommand,
+    Endpoint, FailureReason, MAX_WRITE_BYTES,
 };
 use crate::policy::types::{Micros, Settings};
 use bytes::Bytes;
@@ -235,12 +235,12 @@
     /// whether it is listed. Nothing new goes there, as request or as source, from 1 s after the call at the
     /// latest.
     pub async fn drain(&self, name: &str) -> Result<bool, Stopped> {
-        self.0.core.drain(name, true).await.ok_or(Stopped)
+        self.0.core.drain(name, DrainCommand::Drain).await.ok_or(Stopped)
     }
 
     /// Takes a drain back; returns whether the server is listed.
     pub async fn undrain(&self, name: &str) -> Result<bool, Stopped> {
-        self.0.core.drain(name, false).await.ok_or(Stopped)
+        self.0.core.drain(name, DrainCommand::Undrain).await.ok_or(Stopped)
     }
 
     /// Takes other settings over, for questions to come; open ones keep theirs. Zones and kinds stay as they
--- a/src/dispatch/actor.rs
+++ b/src/dispatch/actor.rs
@@ -1,6 +1,7 @@
 //! The actor: live requests, their attempts and timers, and the list, round the decision module.
 
 use super::cancellation_log::{CancellationLog, ExecutionProof};
+use super::handle::OVERLOAD_RETRY_AFTER;
 use super::purge_records::Kept;
 use super::*;
 use crate::dispatch::membership::DrainOverrides;
@@ -9,7 +10,13 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use tokio::time::sleep_until;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::{sleep_until, Instant};
+
+/// Messages that wait for the actor; a sender that finds the mailbox full is notified at once.
+const MAILBOX_CAPACITY: usize = 4096;
 
 /// The answer leaves this much before the client gives up, for it has a way to go, as the request had: a
 /// share of the wait, within bounds. Guards short waits against being eaten up by it; on loopback clients
@@ -159,7 +166,7 @@
         settings,
         clock,
         peers,
-        reports: DispatcherSender(mailbox.clone()),
+        reports: DispatcherSender::new(mailbox.clone()),
         servers: HashMap::new(),
         names: HashMap::new(),
         live: HashMap::new(),
@@ -179,10 +186,7 @@
         actor.take(message);
     }
     let task = tokio::task::spawn_local(actor.run(inbox));
-    Ok(RunningDispatcher {
-        dispatcher: Dispatcher { mailbox, next: Arc::new(AtomicU64::new(1)), seed, settings: told },
-        task,
-    })
+    Ok(RunningDispatcher { dispatcher: Dispatcher::new(mailbox, seed, told), task })
 }
 
 impl<P: EndpointConnector> Actor<P> {
@@ -201,8 +205,8 @@
 
     fn take(&mut self, message: DispatcherMessage) {
         match message {
-            DispatcherMessage::Request(number, ask, reply, over) => self.ask(number, *ask, reply, over),
-            DispatcherMessage::ClientCancelled(number) => self.left(number),
+            DispatcherMessage::Request(submitted) => self.ask(*submitted),
+            DispatcherMessage::ClientCancelled(RequestId(number)) => self.left(number),
             DispatcherMessage::AttemptEnded(ticket, end) => self.ended(ticket, end),
             DispatcherMessage::HealthChecked(number, result) => self.probed(number, result),
             DispatcherMessage::Members { full, members } => self.members(full, members),
@@ -212,8 +216,8 @@
                 self.attempts.entry(ticket).and_modify(|out| out.written = Some(now));
             }
             DispatcherMessage::AttemptCancelled(ticket, how) => self.told(ticket.request, how.never_ran()),
-            DispatcherMessage::Drain(name, on, reply) => {
-                let _ = reply.send(self.drain(&name, on)); // who has gone wants none
+            DispatcherMessage::Drain { name, command, listed } => {
+                let _ = listed.send(self.drain(&name, command)); // who has gone wants none
             }
             DispatcherMessage::Settings(settings) => self.renew(*settings),
             DispatcherMessage::Metrics(reply) => {
@@ -284,7 +288,7 @@
             health_checks: self.probes.len(),
             cancelled_requests: self.let_go.waiting(),
             servers: self.servers.len().max(self.names.len()),
-            mailbox: self.reports.0.max_capacity() - self.reports.0.capacity(),
+            mailbox: self.reports.queued(),
             classes: self.classes.len(),
         };
         DispatcherMetrics {
@@ -365,13 +369,9 @@
 
     // ---- requests ----
 
-    fn ask(
-        &mut self,
-        number: u64,
-        ask: ClientRequest,
-        reply: oneshot::Sender<ClientResponse>,
-        over: CancellationToken,
-    ) {
+    fn ask(&mut self, submitted: SubmittedRequest) {
+        let SubmittedRequest { id: RequestId(number), request: ask, responder: reply, cancellation: over } =
+            submitted;
         let now = self.clock.now();
         let allow = ask.timeout.min(LONGEST_ALLOW).as_micros() as Micros;
         let deadline = now + allow.saturating_sub((allow / WAY_BACK_SHARE).clamp(WAY_BACK.0, WAY_BACK.1));
@@ -750,10 +750,10 @@
     // ---- the list ----
 
     /// Has a listed server drain by another word than its source's, or no longer.
-    fn drain(&mut self, name: &Arc<str>, on: bool) -> bool {
+    fn drain(&mut self, name: &Arc<str>, command: DrainCommand) -> bool {
         let listing = self.names.get(name).and_then(|id| self.servers.get(id)).map(|s| s.listing.clone());
         let Some(mut listing) = listing.filter(|l| l.state != MemberState::Gone) else { return false };
-        if on {
+        if command == DrainCommand::Drain {
             self.drains.begin(&listing);
         } else if self.drains.end(name) {
             // What its source last said is not kept: it runs until that says otherwise.
--- /dev/null
+++ b/src/dispatch/handle.rs
@@ -0,0 +1,145 @@
+//! The handle that frontends and middleware hold, and the future of a request's response.
+
+use super::naming::mix;
+use crate::dispatch::request::{ClientRequest, ClientResponse, FailureReason};
+use crate::dispatch::{
+    CancellationToken, Client, DispatcherMessage, DispatcherMetrics, DispatcherSender, DrainCommand,
+    SubmittedRequest,
+};
+use crate::policy::types::{RequestId, Settings};
+use std::future::Future;
+use std::pin::Pin;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, watch};
+
+/// When a client that found the dispatcher at capacity should come back.
+pub(super) const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// 2^64 over the golden ratio: consecutive request numbers give ids that look unrelated.
+const ID_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// The handle that frontends and middleware hold.
+#[derive(Clone, Debug)]
+pub struct Dispatcher {
+    mailbox: mpsc::Sender<DispatcherMessage>,
+    next_number: Arc<AtomicU64>,
+    seed: u64,
+    settings: watch::Receiver<Arc<Settings>>,
+}
+
+impl Dispatcher {
+    pub(super) fn new(
+        mailbox: mpsc::Sender<DispatcherMessage>,
+        seed: u64,
+        settings: watch::Receiver<Arc<Settings>>,
+    ) -> Self {
+        Dispatcher { mailbox, next_number: Arc::new(AtomicU64::new(1)), seed, settings }
+    }
+
+    /// The settings in force.
+    pub fn settings(&self) -> Arc<Settings> {
+        self.settings.borrow().clone()
+    }
+
+    /// The metrics; none where the actor has ended.
+    pub async fn metrics(&self) -> Option<DispatcherMetrics> {
+        let (reply, metrics) = oneshot::channel();
+        self.mailbox.send(DispatcherMessage::Metrics(reply)).await.ok()?;
+        metrics.await.ok()
+    }
+
+    /// A new id, of 16 hex digits, for a request that came without one.
+    pub fn generate_request_id(&self) -> Arc<str> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        format!("{:016x}", mix(self.seed.wrapping_add(number.wrapping_mul(ID_INCREMENT)))).into()
+    }
+
+    /// Submits a request. Dropping the [`PendingResponse`] cancels it.
+    pub fn submit(&self, request: ClientRequest) -> PendingResponse {
+        self.submit_with(request, CancellationToken::default())
+    }
+
+    /// Submits a request whose client can be looked at: it counts as cancelled as soon as the client has
+    /// disconnected, even before the [`PendingResponse`] is dropped.
+    pub fn submit_for_client(
+        &self,
+        request: ClientRequest,
+        client: impl Client + 'static,
+    ) -> PendingResponse {
+        self.submit_with(request, CancellationToken::for_client(client))
+    }
+
+    fn submit_with(&self, request: ClientRequest, cancellation: CancellationToken) -> PendingResponse {
+        let id = RequestId(self.next_number.fetch_add(1, Ordering::Relaxed));
+        let (responder, response) = oneshot::channel();
+        let submitted = SubmittedRequest { id, request, responder, cancellation: cancellation.clone() };
+        // Full: the request is rejected at once, which is harmless as nothing ran.
+        let sent = self.mailbox.try_send(DispatcherMessage::Request(Box::new(submitted)));
+        let not_accepted = match &sent {
+            Err(mpsc::error::TrySendError::Closed(_)) => FailureReason::ShuttingDown,
+            _ => FailureReason::Overloaded,
+        };
+        let response = sent.is_ok().then_some(response);
+        PendingResponse { id, response, cancellation, not_accepted, mailbox: self.mailbox.clone() }
+    }
+
+    /// Whether the actor has ended.
+    pub fn has_ended(&self) -> bool {
+        self.mailbox.is_closed()
+    }
+
+    /// Drains a server, or ends its drain, whatever its source says; whether it is listed. None where the
+    /// actor has ended.
+    pub async fn drain(&self, name: &str, command: DrainCommand) -> Option<bool> {
+        let (reply, listed) = oneshot::channel();
+        let message = DispatcherMessage::Drain { name: name.into(), command, listed: reply };
+        self.mailbox.send(message).await.ok()?;
+        listed.await.ok()
+    }
+
+    /// The mailbox for reports of connection actors and discovery.
+    pub fn sender(&self) -> DispatcherSender {
+        DispatcherSender::new(self.mailbox.clone())
+    }
+}
+
+/// A request whose response is awaited; dropping it cancels the request.
+#[derive(Debug)]
+pub struct PendingResponse {
+    id: RequestId,
+    /// None once the response was taken, or where the request was not accepted.
+    response: Option<oneshot::Receiver<ClientResponse>>,
+    cancellation: CancellationToken,
+    /// Why the request was not accepted, where it was not.
+    not_accepted: FailureReason,
+    mailbox: mpsc::Sender<DispatcherMessage>,
+}
+
+impl Future for PendingResponse {
+    type Output = ClientResponse;
+
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<ClientResponse> {
+        let Some(response) = self.response.as_mut() else {
+            let overloaded = self.not_accepted == FailureReason::Overloaded;
+            let retry_after = overloaded.then_some(OVERLOAD_RETRY_AFTER);
+            return Poll::Ready(ClientResponse::Rejected { retry_after, reason: self.not_accepted });
+        };
+        let response = std::task::ready!(Pin::new(response).poll(cx));
+        self.response = None;
+        // An actor that has ended can't tell what ran.
+        Poll::Ready(response.unwrap_or(ClientResponse::Failed(FailureReason::ShuttingDown)))
+    }
+}
+
+impl Drop for PendingResponse {
+    fn drop(&mut self) {
+        if self.response.is_some() {
+            self.cancellation.cancel();
+            // Full: the actor learns of it when it would send again, has a response, or the deadline passes.
+            let _ = self.mailbox.try_send(DispatcherMessage::ClientCancelled(self.id));
+        }
+    }
+}
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -12,7 +12,7 @@
 };
 use foxhold::frontend::platform::Platform;
 use foxhold::frontend::stream::ClientStream;
-use foxhold::policy::types::{CacheStatus, ServerId};
+use foxhold::policy::types::{CacheStatus, RequestId, ServerId};
 use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
 use standin::*;
 use std::io::{ErrorKind, Write};
@@ -351,7 +351,7 @@
         let (reports, mut news) = mpsc::channel(1);
         let reports = DispatcherSender::new(reports);
         let ticket = AttemptId { request: 1, attempt: 0 };
-        assert!(reports.try_send(DispatcherMessage::ClientCancelled(9)));
+        assert!(reports.try_send(DispatcherMessage::ClientCancelled(RequestId(9))));
         let listing = listing("s-1", "", "edge", "cache");
         let orders = HostTransport::new(Counting(begun.clone())).connect(ServerId(1), &listing, reports);
         let want = want(ticket, "a", "videos", Vec::new(), Instant::now() + SOON);
