--- /dev/null
+++ b/src/dispatch/actor/members.rs
@@ -0,0 +1,27 @@
+//! Updates of the endpoint list.
+
+use super::Actor;
+use crate::dispatch::{DrainCommand, Endpoint, EndpointConnector};
+use crate::policy::types::{Event, MemberUpdate, Outcome};
+use std::sync::Arc;
+
+impl<C: EndpointConnector> Actor<C> {
+    /// Drains a listed server, or ends its drain, whatever its source says; whether it is listed.
+    pub(super) fn override_drain(&mut self, name: &Arc<str>, command: DrainCommand) -> bool {
+        let Some(listing) = self.endpoints.override_drain(name, command) else { return false };
+        self.update_members(false, vec![listing]);
+        true
+    }
+
+    /// Applies an update of the endpoint list. What was sent to a process before its successor started will
+    /// not be answered any more.
+    pub(super) fn update_members(&mut self, full: bool, listings: Vec<Endpoint>) {
+        let update = self.endpoints.apply_update(full, listings, &self.settings);
+        let kind = if full { MemberUpdate::Full } else { MemberUpdate::Incremental };
+        self.events.push_back(Event::Members { kind, members: update.members });
+        for attempt in self.attempts.lost_by(&update.restarted) {
+            self.complete_attempt(attempt, Outcome::Reset, None);
+        }
+        self.endpoints.remove_gone(|server| self.attempts.any_at(server));
+    }
+}
--- /dev/null
+++ b/src/dispatch/actor/requests.rs
@@ -0,0 +1,195 @@
+//! Requests from submission to their one response, or to their cancellation.
+
+use super::Actor;
+use crate::dispatch::cancellation_log::{ExecutionProof, ProvenCancellation};
+use crate::dispatch::handle::OVERLOAD_RETRY_AFTER;
+use crate::dispatch::pending_requests::{response_deadline, PendingRequest};
+use crate::dispatch::timers::Timer;
+use crate::dispatch::{ClientResponse, EndpointConnector, FailureReason, SubmittedRequest};
+use crate::policy::types::{Event, Idempotency, Micros, RequestId};
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// A connection actor that was told to cancel an attempt reports how far it had come within this time, in
+/// microseconds, or the attempt counts as having run.
+const CANCELLATION_REPORT_TIMEOUT: Micros = 1_000_000;
+
+impl<C: EndpointConnector> Actor<C> {
+    // ---- submission ----
+
+    /// Takes a request on, or answers it at once.
+    pub(super) fn accept_request(&mut self, submitted: SubmittedRequest) {
+        let now = self.clock.now();
+        let class = submitted.request.class;
+        if self.requests.is_full() {
+            // Rejected at once, which is harmless as nothing ran.
+            let retry_after = Some(OVERLOAD_RETRY_AFTER);
+            let rejected = ClientResponse::Rejected { retry_after, reason: FailureReason::Overloaded };
+            return self.respond(class, submitted.responder, rejected);
+        }
+        if submitted.responder.is_closed() || submitted.cancellation.is_cancelled() {
+            // Its client disconnected while it waited in the mailbox: nothing is sent for nobody.
+            let class = self.counters.class_name(class).clone();
+            let proof = ExecutionProof::NeverRan;
+            return self.record_cancellation(Some(ProvenCancellation { class, proof }));
+        }
+        // Guards the first of two with one id: servers would take the second for it, or give either the
+        // other's response.
+        if self.requests.contains_forwarded_id(&submitted.request.id) {
+            let failed = ClientResponse::Failed(FailureReason::DuplicateRequest);
+            return self.respond(class, submitted.responder, failed);
+        }
+        self.add_request(submitted, now);
+    }
+
+    fn add_request(&mut self, submitted: SubmittedRequest, now: Micros) {
+        let id = submitted.id;
+        let deadline = response_deadline(now, submitted.request.timeout);
+        let span = tracing::debug_span!(
+            "request",
+            id = &*submitted.request.id,
+            class = &**self.counters.class_name(submitted.request.class)
+        );
+        let pending = PendingRequest::new(submitted, deadline, span);
+        let policy_request = pending.policy_request(id);
+        self.requests.insert(id, pending);
+        if self.credential_has_expired(id) {
+            self.expire_request(id);
+        } else {
+            self.schedule_credential_expiry(id);
+            self.events.push_back(Event::Request(policy_request));
+        }
+    }
+
+    // ---- expiry of credentials ----
+
+    /// Ends a request whose credential has expired. The Unix clock decides; it may have been set back since
+    /// the timer was set.
+    pub(super) fn check_credential(&mut self, id: RequestId) {
+        if self.credential_has_expired(id) {
+            self.expire_request(id);
+        } else {
+            self.schedule_credential_expiry(id);
+        }
+    }
+
+    /// Sets the timer for the expiry of a request's credential, where it has one and is not yet answered.
+    fn schedule_credential_expiry(&mut self, id: RequestId) {
+        let expiry = self.requests.waiting(id).and_then(|pending| pending.request.credential_expires_at);
+        if let Some(expires_at) = expiry {
+            let at = self.clock.steady(expires_at).max(self.clock.now() + 1);
+            self.timers.schedule(at, Timer::CredentialExpiry(id));
+        }
+    }
+
+    /// Whether the credential of a pending request has expired.
+    pub(super) fn credential_has_expired(&self, id: RequestId) -> bool {
+        let unix = self.clock.unix();
+        self.requests.get(id).is_some_and(|pending| pending.credential_has_expired(unix))
+    }
+
+    /// Ends a request whose credential has expired before its response began. What may have run of a class
+    /// that must not run twice is not called harmless to repeat.
+    pub(super) fn expire_request(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.waiting(id) else { return };
+        let class = self.settings.classes.get(pending.request.class);
+        let idempotency = class.map_or(Idempotency::AtMostOnce, |c| c.idempotency);
+        let reason = FailureReason::CredentialExpired;
+        let response = if pending.is_safe_to_retry(idempotency) {
+            ClientResponse::Rejected { retry_after: None, reason }
+        } else {
+            ClientResponse::Failed(reason)
+        };
+        self.end_before_policy(id, Some(response));
+    }
+
+    // ---- cancellation by the client ----
+
+    /// The client has disconnected: nothing new is sent for it, and what was sent is counted by what it
+    /// proves.
+    pub(super) fn cancel_request(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get_mut(id).filter(|pending| pending.is_waiting()) else { return };
+        pending.responder = None;
+        pending.cancellation.cancel();
+        let class = self.counters.class_name(pending.request.class);
+        let (ended_attempts, in_flight) = (pending.proof_of_ended_attempts(), pending.attempts_in_flight());
+        match self.cancellations.request_cancelled(id, class, ended_attempts, in_flight) {
+            Some(proven) => self.record_cancellation(Some(proven)),
+            None => {
+                let at = self.clock.now() + CANCELLATION_REPORT_TIMEOUT;
+                self.timers.schedule(at, Timer::CancellationTimeout(id));
+            }
+        }
+        self.end_before_policy(id, None);
+    }
+
+    /// Whether an attempt of a request that may have been cancelled certainly never ran.
+    pub(super) fn record_attempt_report(&mut self, id: RequestId, never_ran: bool) {
+        let proven = self.cancellations.attempt_reported(id, ExecutionProof::from_never_ran(never_ran));
+        self.record_cancellation(proven);
+    }
+
+    /// Counts a cancelled request once it is settled what it proves.
+    pub(super) fn record_cancellation(&mut self, proven: Option<ProvenCancellation>) {
+        if let Some(proven) = proven {
+            self.counters.record_cancellation(proven);
+        }
+    }
+
+    // ---- responses ----
+
+    /// The policy rejects a request; the client is to come back after this time (microseconds), where it is
+    /// known.
+    pub(super) fn reject_request(&mut self, id: RequestId, retry_after: Micros) {
+        let retry_after = (retry_after > 0).then(|| Duration::from_micros(retry_after));
+        let reason = self.failure_reason(id);
+        self.complete_request(id, ClientResponse::Rejected { retry_after, reason });
+    }
+
+    /// The policy has nothing left to try for a request.
+    pub(super) fn fail_request(&mut self, id: RequestId) {
+        let reason = self.failure_reason(id);
+        self.complete_request(id, ClientResponse::Failed(reason));
+    }
+
+    fn failure_reason(&self, id: RequestId) -> FailureReason {
+        let now = self.clock.now();
+        self.requests.get(id).map_or(FailureReason::Overloaded, |pending| pending.failure_reason(now))
+    }
+
+    /// Gives a request its one final response as the policy wants it; one that has been answered gets none.
+    fn complete_request(&mut self, id: RequestId, response: ClientResponse) {
+        if let Some(pending) = self.requests.get_mut(id) {
+            let class = pending.request.class;
+            if let Some(responder) = pending.responder.take() {
+                pending.cancellation.cancel();
+                self.respond(class, responder, response);
+            }
+        }
+        self.requests.remove_if_complete(id);
+    }
+
+    /// Ends a request that the policy has not ended, with a response or by its client's cancellation, and
+    /// notifies the policy.
+    fn end_before_policy(&mut self, id: RequestId, response: Option<ClientResponse>) {
+        let Some(pending) = self.requests.get_mut(id) else { return };
+        let class = pending.request.class;
+        pending.cancellation.cancel();
+        if let (Some(responder), Some(response)) = (pending.responder.take(), response) {
+            self.respond(class, responder, response);
+        }
+        self.events.push_back(Event::ClientCancelled(id));
+        self.requests.remove_if_complete(id);
+    }
+
+    /// Sends a response to the client and counts it.
+    pub(super) fn respond(
+        &mut self,
+        class: usize,
+        responder: oneshot::Sender<ClientResponse>,
+        response: ClientResponse,
+    ) {
+        self.counters.record_response(class, &response);
+        let _ = responder.send(response); // a client that has disconnected needs none
+    }
+}
--- a/src/dispatch/cancellation.rs
+++ b/src/dispatch/cancellation.rs
@@ -53,7 +53,8 @@
         self.0.cancelled.load(Ordering::Relaxed)
     }
 
-    /// The same after a look at the client itself, where its frontend reaches it: right before the first byte.
+    /// The same after a look at the client itself, where its frontend reaches it: right before the first
+    /// byte.
     pub fn check_client(&self) -> bool {
         if !self.is_cancelled() && self.0.client.as_ref().is_some_and(|client| client.has_disconnected()) {
             self.cancel();
--- a/src/dispatch/cancellation_log.rs
+++ b/src/dispatch/cancellation_log.rs
@@ -1,135 +1,107 @@
-//! What became of requests whose clients let go of them: a state machine without clock or I/O.
+//! What became of requests that their clients cancelled: a state machine without clock or I/O.
 //!
-//! A client may leave at any point. Nothing new is sent for it from then on, but what was sent may have run,
-//! and that is told only by those who carry the attempts: whether one was taken out of a queue, or was on the
-//! wire. The ledger waits for their word and keeps to the safe side where none comes.
+//! A client may disconnect at any point. Nothing new is sent for it from then on, but what was sent may have
+//! run, and that is known only by those who carry the attempts: whether one was taken out of a queue, or was
+//! on the wire. The log waits for their reports, and assumes that an attempt ran where none comes.
 
+use crate::policy::types::RequestId;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Requests that wait for word at a time; beyond that one counts as having run.
-const MOST: usize = 4096;
+/// Requests that wait for reports at a time; beyond that one counts as having run.
+pub const MAX_WAITING_REQUESTS: usize = 4096;
 
-/// What is proven of a request that was let go.
+/// What is proven of a cancelled request or of one of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionProof {
     /// Nothing of it ran anywhere.
     NeverRan,
-    /// It may have run; a class that must not run twice is not to be asked for again.
+    /// It may have run; a class that must not run twice is not to be retried.
     MayHaveRun,
 }
 
-/// Requests that were let go and whose attempts have not all been told of.
+impl ExecutionProof {
+    /// The proof that something certainly never ran, or the want of it.
+    pub fn from_never_ran(never_ran: bool) -> Self {
+        if never_ran {
+            ExecutionProof::NeverRan
+        } else {
+            ExecutionProof::MayHaveRun
+        }
+    }
+}
+
+/// A cancelled request of which it is settled whether it may have run.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ProvenCancellation {
+    /// The request's class.
+    pub class: Arc<str>,
+    /// What is proven of it.
+    pub proof: ExecutionProof,
+}
+
+/// Cancelled requests whose attempts have not all been reported.
 #[derive(Debug, Default)]
-pub struct CancellationLog(HashMap<u64, Waiting>);
+pub struct CancellationLog(HashMap<RequestId, WaitingRequest>);
 
 #[derive(Debug)]
-struct Waiting {
+struct WaitingRequest {
     class: Arc<str>,
-    /// Attempts that nothing was told of yet.
-    out: usize,
+    /// Attempts that were not reported yet.
+    unreported: usize,
 }
 
 impl CancellationLog {
-    /// A client let go of a request with so many attempts out, after others that may have run or not. Returns
-    /// what is proven already; none: the ledger waits for [`told`](Self::told) or [`overdue`](Self::overdue).
-    pub fn left(
+    /// A client cancelled a request that has so many attempts in flight, after others that prove this.
+    /// Returns what is proven already; none: the log waits for [`attempt_reported`](Self::attempt_reported)
+    /// or [`report_timed_out`](Self::report_timed_out).
+    pub fn request_cancelled(
         &mut self,
-        request: u64,
+        request: RequestId,
         class: &Arc<str>,
-        ran_before: bool,
-        out: usize,
-    ) -> Option<ExecutionProof> {
-        if ran_before {
-            return Some(ExecutionProof::MayHaveRun);
+        ended_attempts: ExecutionProof,
+        in_flight: usize,
+    ) -> Option<ProvenCancellation> {
+        let proven = |proof| Some(ProvenCancellation { class: class.clone(), proof });
+        if ended_attempts == ExecutionProof::MayHaveRun {
+            return proven(ExecutionProof::MayHaveRun);
         }
-        if out == 0 {
-            return Some(ExecutionProof::NeverRan);
+        if in_flight == 0 {
+            return proven(ExecutionProof::NeverRan);
         }
-        if self.0.len() >= MOST {
-            return Some(ExecutionProof::MayHaveRun);
+        if self.0.len() >= MAX_WAITING_REQUESTS {
+            return proven(ExecutionProof::MayHaveRun);
         }
-        self.0.insert(request, Waiting { class: class.clone(), out });
+        self.0.insert(request, WaitingRequest { class: class.clone(), unreported: in_flight });
         None
     }
 
-    /// Whether one of its attempts, which ended or was called off, surely never ran. Returns the request's
-    /// class and proof once that is settled.
-    pub fn told(&mut self, request: u64, never_ran: bool) -> Option<(Arc<str>, ExecutionProof)> {
+    /// What the end or the cancellation of one of the attempts proves. Returns what is proven of the request
+    /// once that is settled.
+    pub fn attempt_reported(
+        &mut self,
+        request: RequestId,
+        attempt: ExecutionProof,
+    ) -> Option<ProvenCancellation> {
         let waiting = self.0.get_mut(&request)?;
-        waiting.out -= 1;
-        let proof = match never_ran {
-            false => ExecutionProof::MayHaveRun,
-            true if waiting.out == 0 => ExecutionProof::NeverRan,
-            true => return None,
-        };
-        self.0.remove(&request).map(|w| (w.class, proof))
-    }
-
-    /// No word came in time: a peer that says nothing proves nothing.
-    pub fn overdue(&mut self, request: u64) -> Option<(Arc<str>, ExecutionProof)> {
-        self.0.remove(&request).map(|w| (w.class, ExecutionProof::MayHaveRun))
-    }
-
-    /// Requests that wait for word.
-    pub fn waiting(&self) -> usize {
-        self.0.len()
+        waiting.unreported -= 1;
+        if attempt == ExecutionProof::NeverRan && waiting.unreported > 0 {
+            return None;
+        }
+        self.resolve(request, attempt)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::dispatch::AttemptError;
-    use quickcheck::quickcheck;
 
-    const HOW: [AttemptError; 5] = [
-        AttemptError::NotConnected,
-        AttemptError::NotWritten,
-        AttemptError::PartiallyWritten,
-        AttemptError::Unanswered,
-        AttemptError::ResponseInterrupted,
-    ];
-
-    #[test]
-    fn what_is_known_at_once_is_told_at_once() {
-        let (mut ledger, class) = (CancellationLog::default(), "filing".into());
-        assert_eq!(ledger.left(1, &class, false, 0), Some(ExecutionProof::NeverRan));
-        assert_eq!(ledger.left(2, &class, true, 1), Some(ExecutionProof::MayHaveRun));
-        assert_eq!(
-            ledger.told(2, AttemptError::NotWritten.never_ran()),
-            None,
-            "what comes later changes nothing"
-        );
-        assert_eq!(ledger.waiting(), 0);
+    /// Not all reports came in time: without a report nothing is proven.
+    pub fn report_timed_out(&mut self, request: RequestId) -> Option<ProvenCancellation> {
+        self.resolve(request, ExecutionProof::MayHaveRun)
     }
 
-    #[test]
-    fn silence_counts_as_having_run_and_a_full_ledger_too() {
-        let (mut ledger, class): (_, Arc<str>) = (CancellationLog::default(), "filing".into());
-        assert_eq!(ledger.left(0, &class, false, 1), None);
-        assert_eq!(ledger.overdue(0), Some((class.clone(), ExecutionProof::MayHaveRun)));
-        assert_eq!(ledger.overdue(0), None);
-        for request in 0..MOST as u64 {
-            assert_eq!(ledger.left(request, &class, false, 1), None);
-        }
-        assert_eq!(ledger.left(MOST as u64, &class, false, 1), Some(ExecutionProof::MayHaveRun));
+    fn resolve(&mut self, request: RequestId, proof: ExecutionProof) -> Option<ProvenCancellation> {
+        self.0.remove(&request).map(|waiting| ProvenCancellation { class: waiting.class, proof })
     }
 
-    quickcheck! {
-        /// Never ran is said only where every attempt proves it, and exactly one verdict is given.
-        fn the_verdict_is_the_worst_of_all_attempts(ends: Vec<u8>) -> bool {
-            let (mut ledger, class) = (CancellationLog::default(), "filing".into());
-            if ends.is_empty() {
-                return ledger.left(7, &class, false, 0) == Some(ExecutionProof::NeverRan);
-            }
-            let ends: Vec<AttemptError> = ends.iter().map(|n| HOW[usize::from(*n) % HOW.len()]).collect();
-            let none = ledger.left(7, &class, false, ends.len()).is_none();
-            let told = ends.iter().filter_map(|how| ledger.told(7, how.never_ran()));
-            let told: Vec<ExecutionProof> = told.map(|t| t.1).collect();
-            let never_ran = ends.iter().all(|e| e.never_ran());
-            let worst = if never_ran { ExecutionProof::NeverRan } else { ExecutionProof::MayHaveRun };
-            none && told == [worst] && ledger.waiting() == 0
-        }
+    /// Requests that wait for reports.
+    pub fn waiting(&self) -> usize {
+        self.0.len()
     }
 }
--- /dev/null
+++ b/src/dispatch/endpoint_registry.rs
@@ -0,0 +1,245 @@
+//! The endpoint registry: the servers of the endpoint list, their numbers and their connection actors.
+
+use super::naming::server_number;
+use crate::dispatch::membership::{DrainOverrides, Endpoint};
+use crate::dispatch::{Clock, DispatcherSender, DrainCommand, EndpointCommand, EndpointConnector};
+use crate::policy::types::{Member, MemberState, Micros, ServerId, Settings};
+use std::collections::HashMap;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+/// A server of the list, or one gone that still has attempts in flight.
+struct RegisteredEndpoint {
+    listing: Endpoint,
+    /// Start of its process by the monotonic clock.
+    started_at: Micros,
+    mailbox: mpsc::Sender<EndpointCommand>,
+}
+
+impl RegisteredEndpoint {
+    fn is_gone(&self) -> bool {
+        self.listing.state == MemberState::Gone
+    }
+
+    /// Whether the listing is of the process that it is connected to.
+    fn is_same_process(&self, listing: &Endpoint) -> bool {
+        self.listing.address == listing.address && self.listing.started_at == listing.started_at
+    }
+}
+
+/// An endpoint whose process was replaced by another.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RestartedEndpoint {
+    pub(super) server: ServerId,
+    /// Start of the new process by the monotonic clock.
+    pub(super) started_at: Micros,
+}
+
+/// What an update of the endpoint list comes to.
+#[derive(Debug, Default)]
+pub(super) struct RegistryUpdate {
+    /// The entries as the policy sees them.
+    pub(super) members: Vec<Member>,
+    /// Endpoints whose process was replaced.
+    pub(super) restarted: Vec<RestartedEndpoint>,
+}
+
+/// The servers by number and name, and the connector that starts their connection actors.
+pub(super) struct EndpointRegistry<C> {
+    connector: C,
+    reports: DispatcherSender,
+    clock: Clock,
+    endpoints: HashMap<ServerId, RegisteredEndpoint>,
+    numbers: HashMap<Arc<str>, ServerId>,
+    drains: DrainOverrides,
+}
+
+impl<C: EndpointConnector> EndpointRegistry<C> {
+    /// An empty registry, whose connection actors report to this mailbox.
+    pub(super) fn new(connector: C, reports: DispatcherSender, clock: Clock) -> Self {
+        EndpointRegistry {
+            connector,
+            reports,
+            clock,
+            endpoints: HashMap::new(),
+            numbers: HashMap::new(),
+            drains: DrainOverrides::default(),
+        }
+    }
+
+    /// A server's name.
+    pub(super) fn name(&self, server: ServerId) -> Option<&Arc<str>> {
+        self.endpoints.get(&server).map(|endpoint| &endpoint.listing.name)
+    }
+
+    /// Servers of the list.
+    pub(super) fn listed(&self) -> usize {
+        self.endpoints.values().filter(|endpoint| !endpoint.is_gone()).count()
+    }
+
+    /// Servers of the list, and those gone that still have attempts in flight.
+    pub(super) fn len(&self) -> usize {
+        self.endpoints.len().max(self.numbers.len())
+    }
+
+    /// Messages that wait in the mailbox to which the connection actors report.
+    pub(super) fn queued_reports(&self) -> usize {
+        self.reports.queued()
+    }
+
+    /// Sends a command to a server's connection actor; whether it was taken.
+    pub(super) fn try_send(&self, server: ServerId, command: EndpointCommand) -> bool {
+        self.endpoints.get(&server).is_some_and(|endpoint| endpoint.mailbox.try_send(command).is_ok())
+    }
+
+    /// Starts a server's connection actor anew if it has ended, which only a panic does while the server is
+    /// listed.
+    pub(super) fn reconnect_if_ended(&mut self, server: ServerId) {
+        let Some(endpoint) = self.endpoints.get_mut(&server) else { return };
+        if endpoint.mailbox.is_closed() && !endpoint.is_gone() {
+            tracing::warn!(server = %endpoint.listing.name, "connection actor had ended, starting it anew");
+            endpoint.mailbox = connect(&mut self.connector, server, &endpoint.listing, &self.reports);
+        }
+    }
+
+    /// Records that a server is to drain, or no longer. Returns its listing, which is to be applied again;
+    /// none: the server is not listed.
+    pub(super) fn override_drain(&mut self, name: &Arc<str>, command: DrainCommand) -> Option<Endpoint> {
+        let endpoint = self.numbers.get(name).and_then(|server| self.endpoints.get(server))?;
+        if endpoint.is_gone() {
+            return None;
+        }
+        let mut listing = endpoint.listing.clone();
+        match command {
+            DrainCommand::Drain => self.drains.begin(&listing),
+            DrainCommand::Undrain => {
+                if self.drains.end(name) {
+                    // What its source last said is not cached: it runs until that says otherwise.
+                    listing.state = MemberState::Running;
+                }
+            }
+        }
+        Some(listing)
+    }
+
+    /// Applies an update of the endpoint list; a full one leaves all servers gone that it does not name.
+    pub(super) fn apply_update(
+        &mut self,
+        full: bool,
+        mut listings: Vec<Endpoint>,
+        settings: &Settings,
+    ) -> RegistryUpdate {
+        listings.iter_mut().for_each(|listing| self.drains.apply(listing));
+        if full {
+            self.endpoints.values_mut().for_each(|e| e.listing.state = MemberState::Gone);
+        }
+        let mut update = RegistryUpdate::default();
+        for listing in listings {
+            self.apply_listing(listing, settings, &mut update);
+        }
+        update
+    }
+
+    fn apply_listing(&mut self, listing: Endpoint, settings: &Settings, update: &mut RegistryUpdate) {
+        let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        let zone = position(&settings.zones, &listing.zone);
+        let kind = position(&settings.kinds, &listing.kind);
+        let (Some(zone), Some(kind)) = (zone, kind) else {
+            tracing::info!(
+                server = %listing.name,
+                zone = %listing.zone,
+                kind = %listing.kind,
+                "endpoint of unknown zone or kind ignored"
+            );
+            return;
+        };
+        let server = self.assign_number(&listing.name);
+        let started_at = self.monotonic_start(server, &listing);
+        let (cell, state, size) = (listing.cell, listing.state, listing.size);
+        if self.register(server, listing, started_at) == Registration::Restarted {
+            update.restarted.push(RestartedEndpoint { server, started_at });
+        }
+        update.members.push(Member { server, zone, kind, cell, state, size, started_at });
+    }
+
+    /// The start of a listed process by the monotonic clock. It is converted once: a second conversion could
+    /// differ by a little and pass for another start.
+    fn monotonic_start(&self, server: ServerId, listing: &Endpoint) -> Micros {
+        match self.endpoints.get(&server) {
+            Some(known) if known.listing.started_at == listing.started_at => known.started_at,
+            _ => self.clock.steady(listing.started_at),
+        }
+    }
+
+    /// Registers a listing, and connects to it where it is new or of another process. Connections to an old
+    /// process are worth nothing, and on a machine that vanished they would stay open and silent.
+    fn register(&mut self, server: ServerId, listing: Endpoint, started_at: Micros) -> Registration {
+        let is_gone = listing.state == MemberState::Gone;
+        let registration = match self.endpoints.get_mut(&server) {
+            None if is_gone => return Registration::Unchanged,
+            None => Registration::Added,
+            Some(known) => {
+                let is_same = known.is_same_process(&listing);
+                let has_restarted = !is_same && listing.started_at > 0;
+                let registration =
+                    if has_restarted { Registration::Restarted } else { Registration::Unchanged };
+                if is_same || is_gone {
+                    known.listing = listing;
+                    return registration;
+                }
+                registration
+            }
+        };
+        let mailbox = connect(&mut self.connector, server, &listing, &self.reports);
+        self.endpoints.insert(server, RegisteredEndpoint { listing, started_at, mailbox });
+        registration
+    }
+
+    /// The number by which the policy knows a server. It goes by the name alone, so that all directors agree;
+    /// where two names share one, the later goes by the next that is free.
+    fn assign_number(&mut self, name: &Arc<str>) -> ServerId {
+        if let Some(server) = self.numbers.get(name) {
+            return *server;
+        }
+        let mut number = server_number(name);
+        while self.endpoints.contains_key(&ServerId(number)) {
+            number = number.wrapping_add(1);
+        }
+        self.numbers.insert(name.clone(), ServerId(number));
+        ServerId(number)
+    }
+
+    /// Removes the servers that are gone and have no attempt in flight, with all that is known of them.
+    pub(super) fn remove_gone(&mut self, has_attempts: impl Fn(ServerId) -> bool) {
+        self.endpoints.retain(|server, endpoint| !endpoint.is_gone() || has_attempts(*server));
+        let endpoints = &self.endpoints;
+        self.numbers.retain(|_, server| endpoints.contains_key(server));
+        let numbers = &self.numbers;
+        self.drains.retain(|name| numbers.contains_key(name));
+    }
+}
+
+/// What registering a listing has changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Registration {
+    /// A server that was not registered.
+    Added,
+    /// A new process in place of one that was registered.
+    Restarted,
+    /// No other process.
+    Unchanged,
+}
+
+/// Starts a connection actor. Guards the dispatcher against a connector of a host application that panics:
+/// its server then has a mailbox that nobody reads, attempts there end unsent, and each tries to start the
+/// actor anew.
+fn connect<C: EndpointConnector>(
+    connector: &mut C,
+    server: ServerId,
+    listing: &Endpoint,
+    reports: &DispatcherSender,
+) -> mpsc::Sender<EndpointCommand> {
+    let connected = catch_unwind(AssertUnwindSafe(|| connector.connect(server, listing, reports.clone())));
+    connected.unwrap_or_else(|_| mpsc::channel(1).0)
+}
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -9,22 +9,31 @@
 //! | `actor` | the actor: receives messages, fires timers, puts events to the policy, performs its actions |
 //! | `attempt`, `cancellation`, `endpoint`, `message`, `request` | the types of the messages |
 //! | `handle` | what frontends and middleware hold |
+//! | `pending_requests`, `attempts_in_flight`, `endpoint_registry` | the actor's main tables |
+//! | `timers`, `health_checks`, `purge_records`, `counters`, `published_settings` | the others |
 //! | [`cancellation_log`] | what is proven of requests that their clients cancelled |
 //! | [`membership`] | endpoints and the drain overrides that stand above their sources |
 
 mod actor;
 mod attempt;
+mod attempts_in_flight;
 mod cancellation;
 pub mod cancellation_log;
 mod clock;
+mod counters;
 mod endpoint;
+mod endpoint_registry;
 mod handle;
+mod health_checks;
 pub mod membership;
 mod message;
 mod metrics;
 mod naming;
+mod pending_requests;
+mod published_settings;
 mod purge_records;
 pub mod request;
+mod timers;
 
 pub use actor::{start, RunningDispatcher};
 pub use attempt::{AttemptError, AttemptId, AttemptResult};
--- /dev/null
+++ b/src/dispatch/published_settings.rs
@@ -0,0 +1,36 @@
+//! The settings in force, published to the dispatcher's handles.
+
+use crate::policy::types::Settings;
+use std::ops::Deref;
+use std::sync::Arc;
+use tokio::sync::watch;
+
+/// The settings in force. A handle's receiver has them as soon as they are replaced.
+#[derive(Debug)]
+pub(super) struct PublishedSettings {
+    current: Arc<Settings>,
+    publisher: watch::Sender<Arc<Settings>>,
+}
+
+impl PublishedSettings {
+    /// The first settings, and the receiver for handles.
+    pub(super) fn new(settings: Settings) -> (Self, watch::Receiver<Arc<Settings>>) {
+        let current = Arc::new(settings);
+        let (publisher, receiver) = watch::channel(current.clone());
+        (PublishedSettings { current, publisher }, receiver)
+    }
+
+    /// Replaces the settings.
+    pub(super) fn replace(&mut self, settings: Settings) {
+        self.current = Arc::new(settings);
+        self.publisher.send_replace(self.current.clone());
+    }
+}
+
+impl Deref for PublishedSettings {
+    type Target = Settings;
+
+    fn deref(&self) -> &Settings {
+        &self.current
+    }
+}
