--- a/src/dispatch/actor/requests.rs
+++ b/src/dispatch/actor/requests.rs
@@ -77,7 +77,7 @@
     fn schedule_credential_expiry(&mut self, id: RequestId) {
         let expiry = self.requests.waiting(id).and_then(|pending| pending.request.credential_expires_at);
         if let Some(expires_at) = expiry {
-            let at = self.clock.steady(expires_at).max(self.clock.now() + 1);
+            let at = self.clock.unix_to_monotonic(expires_at).max(self.clock.now() + 1);
             self.timers.schedule(at, Timer::CredentialExpiry(id));
         }
     }
--- a/src/dispatch/endpoint_registry.rs
+++ b/src/dispatch/endpoint_registry.rs
@@ -168,7 +168,7 @@
     fn monotonic_start(&self, server: ServerId, listing: &Endpoint) -> Micros {
         match self.endpoints.get(&server) {
             Some(known) if known.listing.started_at == listing.started_at => known.started_at,
-            _ => self.clock.steady(listing.started_at),
+            _ => self.clock.unix_to_monotonic(listing.started_at),
         }
     }
 
