--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -28,8 +28,6 @@
 const LONG_FILES: &[(&str, usize)] = &[
     ("crates/foxhold-testbed/src/scenarios/runner.rs", 865),
     ("crates/foxhold-testbed/src/servers/emulated.rs", 744),
-    ("src/dispatch/actor.rs", 859),
-    ("src/dispatch/mod.rs", 552),
     ("src/frontend/serve.rs", 471),
     ("src/policy/router.rs", 994),
     ("src/replication/gossip.rs", 524),
