--- a/crates/foxhold-testbed/src/hollow/director.rs
+++ b/crates/foxhold-testbed/src/hollow/director.rs
@@ -1,7 +1,7 @@
 //! One hollow director: the real membership, conversation, replay window and seal, put together as the actor in
 //! [`foxhold::cluster`] does it, without its socket, its disk and its core.
 
-use foxhold::cluster::frame::{Body, Message, Seal};
+use foxhold::cluster::frame::{Body, FrameCodec, Message};
 use foxhold::cluster::members::{Member, Members, ProtocolOutput, Timer};
 use foxhold::cluster::{
     DISCOVERY_FANOUT, DISCOVERY_INTERVAL, GREETING_INTERVAL, REMEMBERED_SENDERS, SEED_INTERVAL,
@@ -56,7 +56,7 @@
     me: usize,
     run: u64,
     sent: u64,
-    seal: Rc<Seal>,
+    seal: Rc<FrameCodec>,
     members: Members,
     talk: GossipProtocol<SocketAddr>,
     fresh: ReplayWindow<SocketAddr>,
@@ -71,7 +71,7 @@
 
 impl Director {
     /// One of so many directors, at its start.
-    pub fn new(me: usize, directors: usize, seal: Rc<Seal>, seed: u64, now: ClockReading) -> Director {
+    pub fn new(me: usize, directors: usize, seal: Rc<FrameCodec>, seed: u64, now: ClockReading) -> Director {
         let mut random = StdRng::seed_from_u64(seed ^ (me as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let run: u64 = random.random();
         let members = Members::new(member(me, now.unix), directors as u32, run);
@@ -191,7 +191,7 @@
     /// A datagram came.
     pub fn datagram(&mut self, bytes: &[u8], now: ClockReading) -> Output {
         let mut output = Output::default();
-        let Ok(message) = self.seal.open(bytes) else { return output };
+        let Ok(message) = self.seal.decode(bytes) else { return output };
         let from = message.from.address;
         if from == address(self.me) || !self.fresh.accept(&from, message.incarnation, message.number) {
             return output;
@@ -243,7 +243,7 @@
         self.sent += 1;
         let from = self.members.local().clone();
         let message = Message { from, incarnation: self.run, number: self.sent, body };
-        if let (Some(datagram), Some(to)) = (self.seal.seal(&message), number(&to)) {
+        if let (Some(datagram), Some(to)) = (self.seal.encode(&message), number(&to)) {
             output.datagrams.push((to, datagram));
         }
     }
--- a/crates/foxhold-testbed/src/hollow/simulation.rs
+++ b/crates/foxhold-testbed/src/hollow/simulation.rs
@@ -6,7 +6,7 @@
 use super::network::{Fate, Network, HEADERS};
 use super::scenario::Fault;
 use super::{Host, Options, Size};
-use foxhold::cluster::frame::Seal;
+use foxhold::cluster::frame::FrameCodec;
 use foxhold::cluster::members::Timer;
 use foxhold::cluster::TICK;
 use foxhold::policy::types::Micros;
@@ -79,7 +79,7 @@
     clock: Clock<Event>,
     network: Network,
     slots: Vec<Slot>,
-    seal: Rc<Seal>,
+    seal: Rc<FrameCodec>,
     random: StdRng,
     notes: Notes,
     begun: Instant,
@@ -114,7 +114,7 @@
             clock: Clock::new(options.bounds.most_events),
             network: Network::new(&options.topology, directors, options.lost, options.seed),
             slots: (0..directors).map(|_| Slot { director: None, start: 0, started: 0 }).collect(),
-            seal: Rc::new(Seal::new("hollow", &[KEY.to_vec()]).expect("a key that is long enough")),
+            seal: Rc::new(FrameCodec::new("hollow", &[KEY.to_vec()]).expect("a key that is long enough")),
             random: StdRng::seed_from_u64(options.seed ^ 0x686f_6c6c_6f77),
             notes,
             begun: Instant::now(),
--- a/crates/foxhold-testbed/src/test_client.rs
+++ b/crates/foxhold-testbed/src/test_client.rs
@@ -10,9 +10,9 @@
 use crate::replay::Failure;
 use crate::standin::unix_ms;
 use crate::talk::Fleet;
-use foxhold::cluster::frame::{Body, Message, Seal};
+use foxhold::cluster::frame::{Body, FrameCodec, Message};
 use foxhold::cluster::members::Member;
-use foxhold::replication::digest::hash;
+use foxhold::replication::digest::stable_hash;
 use foxhold::replication::entry::{encode, Key, MergeOutcome, Value};
 use foxhold::replication::gossip::GossipMessage;
 use std::collections::VecDeque;
@@ -86,7 +86,7 @@
 
 impl Update {
     fn new(key: Key, word: Value) -> Update {
-        Update { place: hash(&encode(&key)), key, word }
+        Update { place: stable_hash(&encode(&key)), key, word }
     }
 
     /// Whether a director that holds this word of the key has heard of the update.
@@ -198,7 +198,7 @@
 /// A sender with a fleet's key that is no member of it.
 pub struct TestClient {
     socket: UdpSocket,
-    seal: Seal,
+    seal: FrameCodec,
     from: Member,
     number: u64,
 }
@@ -208,7 +208,7 @@
     pub async fn open(fleet: &Fleet) -> Result<TestClient, Failure> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let from = Member::new("test-client", socket.local_addr()?, 1);
-        let seal = Seal::new("lab", &fleet.keys()?).ok_or("no key")?;
+        let seal = FrameCodec::new("lab", &fleet.keys()?).ok_or("no key")?;
         Ok(TestClient { socket, seal, from, number: 0 })
     }
 
@@ -217,7 +217,7 @@
         self.number += 1;
         let message =
             Message { from: self.from.clone(), incarnation: 1, number: self.number, body: Body::Gossip(say) };
-        self.seal.seal(&message).ok_or(DeliveryError::TooLarge)
+        self.seal.encode(&message).ok_or(DeliveryError::TooLarge)
     }
 
     /// Sends bytes as they are.
@@ -280,7 +280,7 @@
     /// The entries that a director answers a request to read with, and the place that they begin at; none: it is
     /// another message, or from somebody else.
     fn chunk(&self, director: SocketAddr, datagram: &[u8]) -> Option<(u64, Vec<(Key, Value)>)> {
-        let message = self.seal.open(datagram).ok()?;
+        let message = self.seal.decode(datagram).ok()?;
         match message.body {
             Body::Gossip(GossipMessage::TransferChunk(_, first, held, ..))
                 if message.from.address == director =>
--- a/crates/foxhold-testbed/tests/talk.rs
+++ b/crates/foxhold-testbed/tests/talk.rs
@@ -1,7 +1,7 @@
 //! Directors that share state: five to eight real processes, faults between them, and what all of them hold afterwards.
 //! The large form of these is `foxhold-testbed talk`.
 
-use foxhold::cluster::frame::{Body, Message, Seal};
+use foxhold::cluster::frame::{Body, FrameCodec, Message};
 use foxhold::cluster::members::Member;
 use foxhold::replication::entry::{Key, Value};
 use foxhold::replication::gossip::GossipMessage;
@@ -84,7 +84,7 @@
 fn sealed(fleet: &str, key: &[u8], say: GossipMessage) -> Vec<u8> {
     let from = Member::new("outsider", "127.0.0.1:9".parse().expect("an address"), 1);
     let message = Message { from, incarnation: 1, number: 1, body: Body::Gossip(say) };
-    Seal::new(fleet, &[key.to_vec()]).expect("a key").seal(&message).expect("small")
+    FrameCodec::new(fleet, &[key.to_vec()]).expect("a key").encode(&message).expect("small")
 }
 
 /// Waits, for 300 ms at most, until each director's own module leaves so many servers out.
--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -77,7 +77,7 @@
             commands: parts.commands,
             notices: parts.notices,
         };
-        let stored = Kind::ALL.into_iter().flat_map(|kind| actor.replication.state.of(kind));
+        let stored = Kind::ALL.into_iter().flat_map(|kind| actor.replication.state.entries_of_kind(kind));
         let stored: Vec<Update> =
             stored.map(|(key, entry)| Update { key: key.clone(), value: entry.clone() }).collect();
         stored.into_iter().for_each(|update| actor.accept(update));
@@ -172,7 +172,7 @@
         let now = self.now();
         match command {
             ClusterCommand::Drain(name, on, reply) => {
-                let change = self.replication.state.drain(&name, on, now);
+                let change = self.replication.state.set_drain(&name, on, now);
                 self.finish_change(change, reply);
             }
             ClusterCommand::Purge(key, reply) => {
--- a/src/cluster/core_feed.rs
+++ b/src/cluster/core_feed.rs
@@ -27,7 +27,7 @@
     /// Takes an update of the replicated state.
     pub(super) fn accept(&mut self, update: Update, state: &ReplicatedState) {
         match (&update.key, &update.value) {
-            (Key::Drain(name), Value::Drain(drain)) => self.drains.changed(name, drain.drains()),
+            (Key::Drain(name), Value::Drain(drain)) => self.drains.changed(name, drain.is_draining()),
             (Key::Endpoint(name), Value::Endpoint(..)) => {
                 self.recheck_drain(name, state);
                 self.updates.push_back(update);
@@ -95,7 +95,7 @@
                 Some(CoreMessage::Purged { object: None, group: *group, at: *at, retention: keep })
             }
             (Key::Endpoint(name), Value::Endpoint(_, place)) => {
-                Some(CoreMessage::Members { full: false, members: vec![place.endpoint(name)] })
+                Some(CoreMessage::Members { full: false, members: vec![place.to_endpoint(name)] })
             }
             _ => None,
         }
--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -97,6 +97,6 @@
         Some(Value::Endpoint(_, place)) if place.started_at > drain.started_at => Some(false),
         // Sent once the server is listed. Without a replicated list the core has it from its own source.
         None if state.count(Kind::Members) > 0 => None,
-        _ => Some(drain.drains()),
+        _ => Some(drain.is_draining()),
     }
 }
--- a/src/cluster/frame.rs
+++ b/src/cluster/frame.rs
@@ -9,7 +9,7 @@
 //! | 16 | HMAC-SHA256 of all before, truncated to its first half |
 
 use super::members::Member;
-use crate::replication::digest::hash;
+use crate::replication::digest::stable_hash;
 use crate::replication::gossip::GossipMessage;
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
@@ -58,9 +58,9 @@
     /// Of another fleet.
     Fleet,
     /// Authenticated with no key that is known here, or damaged.
-    Seal,
+    Unauthenticated,
     /// Authentic, but it can't be decoded.
-    Form,
+    Malformed,
     /// Received a second time, or of a run that has ended.
     Replayed,
 }
@@ -72,30 +72,30 @@
             Rejection::Size => "size",
             Rejection::Version => "version",
             Rejection::Fleet => "fleet",
-            Rejection::Seal => "seal",
-            Rejection::Form => "form",
+            Rejection::Unauthenticated => "seal",
+            Rejection::Malformed => "form",
             Rejection::Replayed => "replayed",
         }
     }
 }
 
 /// Encodes and authenticates the messages of one fleet, and verifies and decodes them.
-pub struct Seal {
+pub struct FrameCodec {
     fleet: [u8; 4],
     keys: Vec<Hmac<Sha256>>,
 }
 
-impl Seal {
+impl FrameCodec {
     /// By the fleet's name and its keys: the first authenticates, each is accepted. None without a key, or if
     /// one is shorter than [`MIN_KEY_BYTES`].
-    pub fn new(fleet: &str, keys: &[Vec<u8>]) -> Option<Seal> {
+    pub fn new(fleet: &str, keys: &[Vec<u8>]) -> Option<FrameCodec> {
         let valid = !keys.is_empty() && keys.iter().all(|k| k.len() >= MIN_KEY_BYTES);
         let keys = keys.iter().filter_map(|k| Hmac::<Sha256>::new_from_slice(k).ok()).collect();
-        valid.then(|| Seal { fleet: (hash(fleet.as_bytes()) as u32).to_be_bytes(), keys })
+        valid.then(|| FrameCodec { fleet: (stable_hash(fleet.as_bytes()) as u32).to_be_bytes(), keys })
     }
 
     /// The datagram of a message. None: it would be larger than [`MAX_DATAGRAM_BYTES`].
-    pub fn seal(&self, message: &Message) -> Option<Vec<u8>> {
+    pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
         let mut datagram = vec![VERSION];
         datagram.extend(self.fleet);
         let mut datagram = postcard::to_extend(message, datagram).ok()?;
@@ -106,7 +106,7 @@
     }
 
     /// The message of a datagram, or why it is rejected.
-    pub fn open(&self, datagram: &[u8]) -> Result<Message, Rejection> {
+    pub fn decode(&self, datagram: &[u8]) -> Result<Message, Rejection> {
         if datagram.len() < HEADER_BYTES + TAG_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(Rejection::Size);
         }
@@ -122,13 +122,13 @@
             mac.update(content);
             mac.verify_truncated_left(tag).is_ok()
         };
-        self.keys.iter().find(verifies).ok_or(Rejection::Seal)?;
+        self.keys.iter().find(verifies).ok_or(Rejection::Unauthenticated)?;
         let (message, rest) =
-            postcard::take_from_bytes(&content[HEADER_BYTES..]).map_err(|_| Rejection::Form)?;
+            postcard::take_from_bytes(&content[HEADER_BYTES..]).map_err(|_| Rejection::Malformed)?;
         if rest.is_empty() {
             Ok(message)
         } else {
-            Err(Rejection::Form)
+            Err(Rejection::Malformed)
         }
     }
 }
--- a/src/cluster/gossip.rs
+++ b/src/cluster/gossip.rs
@@ -27,23 +27,23 @@
     }
 
     fn handle_replication(&mut self, from: &Member, body: GossipMessage, now: ClockReading) {
-        let before = self.replication.counts().clone();
+        let before = self.replication.counters().clone();
         let mut replies = Vec::new();
         self.replication.handle_message(&from.address, body, now, &mut replies);
-        let after = self.replication.counts();
-        if after.differing > before.differing {
+        let after = self.replication.counters();
+        if after.conflicts > before.conflicts {
             tracing::warn!(
                 target: LOG_TARGET,
                 "peers: {} sent another copy of the same version",
                 from.name
             );
         }
-        if after.refused != before.refused {
+        if after.rejected != before.rejected {
             tracing::debug!(
                 target: LOG_TARGET,
                 "peers: entries of {} turned down: {:?}",
                 from.name,
-                after.refused
+                after.rejected
             );
         }
         self.send_replication(replies);
--- a/src/cluster/persistence.rs
+++ b/src/cluster/persistence.rs
@@ -67,7 +67,7 @@
         let keys = std::mem::take(&mut self.dirty);
         let batch = if whole {
             self.next_whole_write = now + WHOLE_WRITE_RETRY;
-            let all = Kind::ALL.into_iter().flat_map(|kind| state.of(kind));
+            let all = Kind::ALL.into_iter().flat_map(|kind| state.entries_of_kind(kind));
             all.map(|(key, entry)| (key.clone(), Some(entry.clone()))).collect()
         } else {
             keys.into_iter().map(|key| (key.clone(), state.get(&key).cloned())).collect()
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -12,7 +12,12 @@
 impl Actor {
     /// All entries of a kind, a line each.
     pub(super) fn list(&self, kind: Kind) -> Vec<String> {
-        self.replication.state.of(kind).into_iter().map(|(key, entry)| line(key, entry)).collect()
+        self.replication
+            .state
+            .entries_of_kind(kind)
+            .into_iter()
+            .map(|(key, entry)| line(key, entry))
+            .collect()
     }
 
     /// The status, as JSON.
@@ -49,16 +54,16 @@
     }
 
     fn counts(&self) -> BTreeMap<String, u64> {
-        let replication = self.replication.counts();
+        let replication = self.replication.counters();
         let transport = &self.transport.counts;
         let (disk_written, disk_failed) = self.persistence.counts();
         let counts = [
-            ("taken", replication.taken),
-            ("known", replication.known),
-            ("differing", replication.differing),
-            ("rumours_dropped", replication.rumours_dropped),
-            ("unlike", replication.unlike),
-            ("sources_turned", replication.turned),
+            ("taken", replication.merged),
+            ("known", replication.unchanged),
+            ("differing", replication.conflicts),
+            ("rumours_dropped", replication.updates_dropped),
+            ("unlike", replication.digest_mismatches),
+            ("sources_turned", replication.source_changes),
             ("sent", transport.sent),
             ("sent_bytes", transport.sent_bytes),
             ("received_bytes", transport.received_bytes),
@@ -73,7 +78,7 @@
     fn rejected(&self) -> BTreeMap<String, u64> {
         let datagrams = self.transport.counts.rejected.iter();
         let datagrams = datagrams.map(|(cause, n)| (cause.name().to_owned(), *n));
-        let entries = self.replication.counts().refused.iter();
+        let entries = self.replication.counters().rejected.iter();
         let entries = entries.map(|(cause, n)| (format!("entry_{}", cause.name()), *n));
         let membership = [("members".to_owned(), self.membership.members.rejected)];
         datagrams.chain(entries).chain(membership).collect()
@@ -84,11 +89,11 @@
     match entry {
         Value::Purged(at) => format!("{key} purged at {}.{:06}", at / 1_000_000, at % 1_000_000),
         Value::Drain(drain) => {
-            let verb = if drain.drains() { "drains" } else { "does not drain" };
+            let verb = if drain.is_draining() { "drains" } else { "does not drain" };
             let count = drain.drains_by_incarnation.len() + drain.undrains_by_incarnation.len();
             format!("{key} {verb}, process of {}, {count} words", drain.started_at)
         }
-        Value::Endpoint(rev, place) => match place.endpoint("").state {
+        Value::Endpoint(rev, place) => match place.to_endpoint("").state {
             MemberState::Running => format!("{key} in service at {}, event {rev}", place.address),
             MemberState::Draining => format!("{key} terminating at {}, event {rev}", place.address),
             MemberState::Gone => format!("{key} terminated, event {rev}"),
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -1,7 +1,7 @@
 //! Opens what the actor needs: the keys, the socket and the stored state.
 
 use super::actor::{Actor, Parts};
-use super::frame::{parse_keys, Seal};
+use super::frame::{parse_keys, FrameCodec};
 use super::handle::{ClusterHandle, COMMAND_QUEUE};
 use super::members::{Member, Members};
 use super::store::{self, Store};
@@ -59,11 +59,11 @@
     Ok((ClusterHandle(sender), actor))
 }
 
-fn read_keys(section: &PeersSection) -> Result<Seal, String> {
+fn read_keys(section: &PeersSection) -> Result<FrameCodec, String> {
     let file = section.key.display();
     let text = std::fs::read_to_string(&section.key).map_err(|e| format!("peers.key: {file}: {e}"))?;
     let keys = parse_keys(&text).map_err(|e| format!("peers.key: {file}: {e}"))?;
-    Seal::new(&section.fleet, &keys).ok_or("peers.key: no usable key".into())
+    FrameCodec::new(&section.fleet, &keys).ok_or("peers.key: no usable key".into())
 }
 
 /// Loads the stored entries into the state; returns the store and the incarnation to start with.
@@ -81,7 +81,7 @@
     // A clock that was set back makes the age unknown, which counts as too old.
     let age = now.unix.checked_sub(stored.saved_at);
     if stored.saved_at > 0 && age.is_none_or(|age| age > state.bounds().tombstone_retention) {
-        let forgotten = state.away();
+        let forgotten = state.forget_members();
         tracing::info!(
             target: LOG_TARGET,
             "peers: the state on the disk is older than the horizon: {forgotten} listings forgotten"
--- a/src/cluster/transport.rs
+++ b/src/cluster/transport.rs
@@ -1,6 +1,6 @@
 //! Authenticated datagrams over one UDP socket, without duplicates or replays.
 
-use super::frame::{Body, Message, Rejection, Seal};
+use super::frame::{Body, FrameCodec, Message, Rejection};
 use super::members::Member;
 use crate::replication::replay_window::ReplayWindow;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 /// The socket, and the state by which messages are sealed, numbered and checked.
 pub(super) struct Transport {
     socket: UdpSocket,
-    seal: Seal,
+    seal: FrameCodec,
     /// Where other directors reach this one; what claims to be from there is rejected.
     own_address: SocketAddr,
     /// Drawn anew at each start of the process.
@@ -43,7 +43,7 @@
 
 impl Transport {
     /// Over a bound socket.
-    pub(super) fn new(socket: UdpSocket, seal: Seal, own_address: SocketAddr, run: u64) -> Transport {
+    pub(super) fn new(socket: UdpSocket, seal: FrameCodec, own_address: SocketAddr, run: u64) -> Transport {
         Transport {
             socket,
             seal,
@@ -59,7 +59,7 @@
     pub(super) fn send(&mut self, from: &Member, to: SocketAddr, body: Body) {
         self.sequence += 1;
         let message = Message { from: from.clone(), incarnation: self.run, number: self.sequence, body };
-        let Some(datagram) = self.seal.seal(&message) else {
+        let Some(datagram) = self.seal.encode(&message) else {
             self.counts.unsent += 1;
             return;
         };
@@ -85,7 +85,7 @@
     /// Verifies and decodes a datagram. What is rejected is counted by its cause.
     pub(super) fn open(&mut self, datagram: &[u8]) -> Option<Message> {
         self.counts.received_bytes += datagram.len() as u64;
-        match self.seal.open(datagram).and_then(|message| self.first_time(message)) {
+        match self.seal.decode(datagram).and_then(|message| self.first_time(message)) {
             Ok(message) => Some(message),
             Err(cause) => {
                 *self.counts.rejected.entry(cause).or_default() += 1;
--- a/src/replication/digest.rs
+++ b/src/replication/digest.rs
@@ -7,26 +7,26 @@
 use crate::policy::estimators::hash::mix;
 
 /// Children of a node.
-pub const WIDE: usize = 16;
+pub const CHILDREN_PER_NODE: usize = 16;
 /// Levels below the root.
-pub const DEEP: u32 = 3;
+pub const TREE_DEPTH: u32 = 3;
 /// Ranges at the lowest level.
-pub const LEAVES: usize = WIDE.pow(DEEP);
+pub const LEAF_COUNT: usize = CHILDREN_PER_NODE.pow(TREE_DEPTH);
 
 /// A stable hash of bytes (FNV-1a, then mixed).
-pub fn hash(bytes: &[u8]) -> u64 {
+pub fn stable_hash(bytes: &[u8]) -> u64 {
     let step = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
     mix(bytes.iter().fold(0xcbf2_9ce4_8422_2325, step), bytes.len() as u64)
 }
 
 /// The leaf of a place.
-pub fn leaf(place: u64) -> usize {
-    (place >> (64 - 4 * DEEP)) as usize
+pub fn leaf_index(place: u64) -> usize {
+    (place >> (64 - 4 * TREE_DEPTH)) as usize
 }
 
 /// Sums of all ranges, 35 KB.
 #[derive(Clone, Debug)]
-pub struct Digest {
+pub struct DigestTree {
     /// The root, then its children, and so on, level by level.
     sums: Vec<u64>,
 }
@@ -37,48 +37,51 @@
     /// 0 to [`DEEP`].
     pub level: u8,
     /// From the left.
-    pub number: u16,
+    pub index: u16,
 }
 
 impl Node {
     /// The whole.
-    pub const ROOT: Node = Node { level: 0, number: 0 };
+    pub const ROOT: Node = Node { level: 0, index: 0 };
 
     /// Its children, none of a leaf's or of one that can't be.
     pub fn children(self) -> impl Iterator<Item = Node> {
-        let some = if self.exists() && u32::from(self.level) < DEEP { WIDE as u16 } else { 0 };
-        (0..some).map(move |n| Node { level: self.level + 1, number: self.number * WIDE as u16 + n })
+        let some =
+            if self.exists() && u32::from(self.level) < TREE_DEPTH { CHILDREN_PER_NODE as u16 } else { 0 };
+        (0..some)
+            .map(move |n| Node { level: self.level + 1, index: self.index * CHILDREN_PER_NODE as u16 + n })
     }
 
     /// Whether it is a leaf.
     pub fn is_leaf(self) -> bool {
-        u32::from(self.level) == DEEP && self.exists()
+        u32::from(self.level) == TREE_DEPTH && self.exists()
     }
 
     /// Whether there is such a node: what came from elsewhere may be anything.
     pub fn exists(self) -> bool {
-        u32::from(self.level) <= DEEP && usize::from(self.number) < WIDE.pow(self.level.into())
+        u32::from(self.level) <= TREE_DEPTH
+            && usize::from(self.index) < CHILDREN_PER_NODE.pow(self.level.into())
     }
 
     fn place(self) -> usize {
         // 1 + 16 + ... nodes stand before its level.
-        (WIDE.pow(self.level.into()) - 1) / (WIDE - 1) + usize::from(self.number)
+        (CHILDREN_PER_NODE.pow(self.level.into()) - 1) / (CHILDREN_PER_NODE - 1) + usize::from(self.index)
     }
 }
 
-impl Default for Digest {
-    fn default() -> Digest {
-        Digest { sums: vec![0; (LEAVES * WIDE - 1) / (WIDE - 1)] }
+impl Default for DigestTree {
+    fn default() -> DigestTree {
+        DigestTree { sums: vec![0; (LEAF_COUNT * CHILDREN_PER_NODE - 1) / (CHILDREN_PER_NODE - 1)] }
     }
 }
 
-impl Digest {
+impl DigestTree {
     /// An entry at a place changed from one hash to another; 0 stands for none.
-    pub fn change(&mut self, place: u64, from: u64, to: u64) {
+    pub fn replace_entry(&mut self, place: u64, from: u64, to: u64) {
         let by = to.wrapping_sub(from);
-        for level in 0..=DEEP {
-            let number = (leaf(place) >> (4 * (DEEP - level))) as u16;
-            let node = Node { level: level as u8, number };
+        for level in 0..=TREE_DEPTH {
+            let number = (leaf_index(place) >> (4 * (TREE_DEPTH - level))) as u16;
+            let node = Node { level: level as u8, index: number };
             let sum = &mut self.sums[node.place()];
             *sum = sum.wrapping_add(by);
         }
--- a/src/replication/entry.rs
+++ b/src/replication/entry.rs
@@ -87,12 +87,12 @@
 
 impl DrainRecord {
     /// Whether the server is to drain.
-    pub fn drains(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.drains_by_incarnation.iter().any(|(run, n)| self.undrains_by_incarnation.get(run) < Some(n))
     }
 
     /// A drain told to this run, for the process that runs there now.
-    pub fn drain(&self, run: Incarnation, since: Micros) -> DrainRecord {
+    pub fn with_drain(&self, run: Incarnation, since: Micros) -> DrainRecord {
         let mut words = self.of(since);
         let last = words
             .drains_by_incarnation
@@ -105,7 +105,7 @@
     }
 
     /// All drains that are known here taken back.
-    pub fn undrain(&self, since: Micros) -> DrainRecord {
+    pub fn with_undrain(&self, since: Micros) -> DrainRecord {
         let mut words = self.of(since);
         words.undrains_by_incarnation.extend(words.drains_by_incarnation.iter().map(|(run, n)| (*run, *n)));
         words
@@ -184,7 +184,7 @@
     }
 
     /// As the core takes it.
-    pub fn endpoint(&self, name: &str) -> Endpoint {
+    pub fn to_endpoint(&self, name: &str) -> Endpoint {
         Endpoint {
             name: name.into(),
             address: self.address.as_str().into(),
--- a/src/replication/gossip.rs
+++ b/src/replication/gossip.rs
@@ -19,7 +19,7 @@
 
 use super::digest::Node;
 use super::entry::{encode, Key, MergeOutcome, Value};
-use super::state::{leaf_places, ClockReading, MergeError, ReplicatedState};
+use super::state::{leaf_key_hashes, ClockReading, MergeError, ReplicatedState};
 use crate::policy::estimators::hash::{mix, unit};
 use crate::policy::types::Micros;
 use serde::{Deserialize, Serialize};
@@ -90,21 +90,21 @@
 
 /// What was counted since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct GossipCounters {
     /// Entries that changed what is held.
-    pub taken: u64,
+    pub merged: u64,
     /// Entries that told nothing new.
-    pub known: u64,
+    pub unchanged: u64,
     /// Copies of one version that differed.
-    pub differing: u64,
+    pub conflicts: u64,
     /// Entries turned down, by cause.
-    pub refused: BTreeMap<MergeError, u64>,
+    pub rejected: BTreeMap<MergeError, u64>,
     /// Rumours that found no room.
-    pub rumours_dropped: u64,
+    pub updates_dropped: u64,
     /// Digests that differed.
-    pub unlike: u64,
+    pub digest_mismatches: u64,
     /// Times that a lane of catching up went on with another source.
-    pub turned: u64,
+    pub source_changes: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -136,7 +136,7 @@
     /// When any member was last heard.
     heard: Micros,
     random: u64,
-    counts: Counts,
+    counts: GossipCounters,
     news: Vec<Update>,
     /// When a digest of this member was last the same as ours.
     alike: HashMap<P, Micros>,
@@ -158,7 +158,7 @@
             next_expiry: now.monotonic,
             heard: now.monotonic,
             random: mix(seed, 3),
-            counts: Counts::default(),
+            counts: GossipCounters::default(),
             news: Vec::new(),
             alike: HashMap::new(),
         };
@@ -177,7 +177,7 @@
     }
 
     /// What was counted.
-    pub fn counts(&self) -> &Counts {
+    pub fn counters(&self) -> &GossipCounters {
         &self.counts
     }
 
@@ -211,7 +211,7 @@
 
     fn rumour(&mut self, key: Key) {
         if self.rumours.len() >= MAX_PENDING_UPDATES && !self.rumours.contains_key(&key) {
-            self.counts.rumours_dropped += 1;
+            self.counts.updates_dropped += 1;
             return;
         }
         self.rumours.insert(key, ROUNDS);
@@ -305,7 +305,7 @@
                     self.answers.as_ref().filter(|p| silent != Some(p) && self.peers.contains(p)).cloned();
                 let any = self.draw(self.peers.len());
                 let peer = good.unwrap_or_else(|| self.peers[any].clone());
-                self.counts.turned += u64::from(self.lanes[n].asked.is_some());
+                self.counts.source_changes += u64::from(self.lanes[n].asked.is_some());
                 self.ask(n, next, peer, now, out);
             }
         }
@@ -330,7 +330,7 @@
         self.heard = now.monotonic;
         if silent > self.state.bounds().tombstone_retention && self.stage != Stage::CatchingUp {
             // Others may have let go of what this list still has.
-            self.state.away();
+            self.state.forget_members();
             self.catch_up(now);
         }
         match say {
@@ -343,7 +343,7 @@
                 if root == self.state.digest().sum(Node::ROOT) {
                     self.alike.insert(from.clone(), now.monotonic);
                 } else if self.stage != Stage::CatchingUp {
-                    self.counts.unlike += 1;
+                    self.counts.digest_mismatches += 1;
                     out.push((from.clone(), GossipMessage::ChildDigests(vec![self.children(Node::ROOT)])));
                 }
             }
@@ -367,13 +367,13 @@
 
     fn take(&mut self, key: Key, word: Value, now: ClockReading, tell: bool) {
         match self.state.merge(&key, &word, now) {
-            Ok(MergeOutcome::Unchanged) => self.counts.known += 1,
+            Ok(MergeOutcome::Unchanged) => self.counts.unchanged += 1,
             Ok(merged) => {
-                self.counts.differing += u64::from(merged != MergeOutcome::Changed);
+                self.counts.conflicts += u64::from(merged != MergeOutcome::Changed);
                 if merged == (MergeOutcome::Conflict { changed: false }) {
                     return;
                 }
-                self.counts.taken += 1;
+                self.counts.merged += 1;
                 if let Some(word) = self.state.get(&key).cloned() {
                     if tell {
                         self.rumour(key.clone());
@@ -381,7 +381,7 @@
                     self.news.push(Update { key, value: word });
                 }
             }
-            Err(cause) => *self.counts.refused.entry(cause).or_default() += 1,
+            Err(cause) => *self.counts.rejected.entry(cause).or_default() += 1,
         }
     }
 
@@ -407,8 +407,8 @@
             out.push((from.clone(), GossipMessage::ChildDigests(sums)));
         }
         for node in leaves {
-            let places = leaf_places(node.number);
-            let all: Vec<(u64, u64)> = self.state.sums(places.clone()).collect();
+            let places = leaf_key_hashes(node.index);
+            let all: Vec<(u64, u64)> = self.state.entry_sums(places.clone()).collect();
             // In pieces that cover the leaf without a gap.
             let mut first = *places.start();
             let mut pieces = all.chunks(MOST_SUMS).peekable();
@@ -436,7 +436,7 @@
         theirs: &[(u64, u64)],
         out: &mut Vec<(P, GossipMessage)>,
     ) {
-        let mine: Vec<(u64, u64)> = self.state.sums(first..=last).take(4 * MOST_SUMS).collect();
+        let mine: Vec<(u64, u64)> = self.state.entry_sums(first..=last).take(4 * MOST_SUMS).collect();
         let lacks = |all: &[(u64, u64)], one: &(u64, u64)| !all.contains(one);
         let places = mine.iter().filter(|one| lacks(theirs, one)).map(|one| one.0);
         let words = places.flat_map(|p| self.state.range(p..=p).map(|e| (e.1.clone(), e.2.clone())));
--- a/src/replication/replay_window.rs
+++ b/src/replication/replay_window.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Numbers behind the highest that are still told apart: what comes later than that counts as old.
-pub const SPAN: u64 = 1024;
+pub const WINDOW_MESSAGES: u64 = 1024;
 /// Runs of one sender that ended and are remembered as such.
 const PAST: usize = 8;
 
@@ -13,23 +13,23 @@
     run: u64,
     highest: u64,
     /// One bit a number, by its remainder.
-    seen: [u64; (SPAN / 64) as usize],
+    seen: [u64; (WINDOW_MESSAGES / 64) as usize],
     past: VecDeque<u64>,
 }
 
 impl Window {
     fn bit(number: u64) -> (usize, u64) {
-        let place = number % SPAN;
+        let place = number % WINDOW_MESSAGES;
         ((place / 64) as usize, 1 << (place % 64))
     }
 
     fn take(&mut self, number: u64) -> bool {
-        if number.saturating_add(SPAN) <= self.highest {
+        if number.saturating_add(WINDOW_MESSAGES) <= self.highest {
             return false;
         }
         if number > self.highest {
             // What lies between has not been seen; after a jump past the span nothing has.
-            for skipped in (self.highest + 1..=number).rev().take(SPAN as usize) {
+            for skipped in (self.highest + 1..=number).rev().take(WINDOW_MESSAGES as usize) {
                 let (word, bit) = Self::bit(skipped);
                 self.seen[word] &= !bit;
             }
--- a/src/replication/state.rs
+++ b/src/replication/state.rs
@@ -13,7 +13,7 @@
 //! higher number is turned down from then on). Purges, drains and servers that are there never go; new
 //! entries are turned down then, counted and logged.
 
-use super::digest::{hash, leaf, Digest};
+use super::digest::{leaf_index, stable_hash, DigestTree};
 use super::entry::{
     encode, matches_kind, DrainRecord, EndpointRecord, Incarnation, Key, Kind, MergeOutcome, Value,
 };
@@ -111,7 +111,7 @@
     run: Incarnation,
     bounds: Bounds,
     entries: BTreeMap<At, Entry>,
-    digest: Digest,
+    digest: DigestTree,
     bytes: usize,
     counts: [usize; Kind::ALL.len()],
     /// Gone servers up to this number may have been let go for want of room.
@@ -119,18 +119,18 @@
 }
 
 fn place(key: &Key) -> u64 {
-    hash(&encode(key))
+    stable_hash(&encode(key))
 }
 
 /// What digests compare of an entry; never 0.
 fn sum(key: &Key, word: &Value) -> u64 {
-    hash(&encode(&(key, word))) | 1
+    stable_hash(&encode(&(key, word))) | 1
 }
 
 impl ReplicatedState {
     /// With nothing.
     pub fn new(run: Incarnation, bounds: Bounds) -> ReplicatedState {
-        let (entries, digest) = (BTreeMap::new(), Digest::default());
+        let (entries, digest) = (BTreeMap::new(), DigestTree::default());
         ReplicatedState { run, bounds, entries, digest, bytes: 0, counts: [0; Kind::ALL.len()], let_go: 0 }
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// An operator's word told here: a server, by the process of it that is listed, drains or no longer does.
-    pub fn drain(
+    pub fn set_drain(
         &mut self,
         name: &str,
         on: bool,
@@ -163,12 +163,12 @@
             Some(Value::Drain(words)) => words,
             _ => &none,
         };
-        let words = if on { words.drain(self.run, since) } else { words.undrain(since) };
+        let words = if on { words.with_drain(self.run, since) } else { words.with_undrain(since) };
         self.put(key, Value::Drain(words), now)
     }
 
     /// An event of the list's source: what changed by it. A whole list ends all that stands in none as late.
-    pub fn listed(
+    pub fn apply_member_update(
         &mut self,
         rev: u64,
         full: bool,
@@ -268,7 +268,7 @@
         self.remove(&at);
         let size = encode(&at.1).len() + encode(&word).len() + OVERHEAD;
         let sum = sum(&at.1, &word);
-        self.digest.change(at.0, 0, sum);
+        self.digest.replace_entry(at.0, 0, sum);
         self.bytes += size;
         self.counts[at.1.kind() as usize] += 1;
         self.entries.insert(at, Entry { value: word, sum, changed: now.monotonic, size });
@@ -276,7 +276,7 @@
 
     fn remove(&mut self, at: &At) {
         if let Some(entry) = self.entries.remove(at) {
-            self.digest.change(at.0, entry.sum, 0);
+            self.digest.replace_entry(at.0, entry.sum, 0);
             self.bytes -= entry.size;
             self.counts[at.1.kind() as usize] -= 1;
         }
@@ -316,7 +316,7 @@
     /// This director was away for longer than the horizon, or its memory is that old: the list that it had
     /// may hold what others have let go of. Purges carry their time and words the process they are about:
     /// they stay.
-    pub fn away(&mut self) -> usize {
+    pub fn forget_members(&mut self) -> usize {
         let forgotten = |at: &&At| at.1.kind() == Kind::Members;
         let old: Vec<At> = self.entries.keys().filter(forgotten).cloned().collect();
         old.iter().for_each(|at| self.remove(at));
@@ -331,7 +331,7 @@
     }
 
     /// The run that this director is in.
-    pub fn run(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         self.run
     }
 
@@ -341,7 +341,7 @@
     }
 
     /// The digest of all entries.
-    pub fn digest(&self) -> &Digest {
+    pub fn digest(&self) -> &DigestTree {
         &self.digest
     }
 
@@ -373,13 +373,13 @@
     }
 
     /// Places and sums of what digests compare within a range.
-    pub fn sums(&self, places: RangeInclusive<u64>) -> impl Iterator<Item = (u64, u64)> + '_ {
+    pub fn entry_sums(&self, places: RangeInclusive<u64>) -> impl Iterator<Item = (u64, u64)> + '_ {
         let all = self.entries.range((*places.start(), Key::Object(String::new()))..);
         all.take_while(move |(at, _)| places.contains(&at.0)).map(|(at, e)| (at.0, e.sum))
     }
 
     /// All entries of a kind, by key.
-    pub fn of(&self, kind: Kind) -> Vec<(&Key, &Value)> {
+    pub fn entries_of_kind(&self, kind: Kind) -> Vec<(&Key, &Value)> {
         let of_kind = self.entries.iter().filter(|(at, _)| at.1.kind() == kind);
         let mut all: Vec<_> = of_kind.map(|(at, e)| (&at.1, &e.value)).collect();
         all.sort_by(|a, b| a.0.cmp(b.0));
@@ -387,17 +387,17 @@
     }
 
     /// Whether the server of this name is listed and not gone.
-    pub fn lists(&self, name: &str) -> Option<MemberState> {
+    pub fn endpoint_state(&self, name: &str) -> Option<MemberState> {
         match self.get(&Key::Endpoint(name.into())) {
-            Some(Value::Endpoint(_, place)) => Some(place.endpoint(name).state),
+            Some(Value::Endpoint(_, place)) => Some(place.to_endpoint(name).state),
             _ => None,
         }
     }
 }
 
 /// The places of a leaf.
-pub fn leaf_places(number: u16) -> RangeInclusive<u64> {
+pub fn leaf_key_hashes(number: u16) -> RangeInclusive<u64> {
     let first = u64::from(number) << 52;
-    debug_assert_eq!(leaf(first), usize::from(number));
+    debug_assert_eq!(leaf_index(first), usize::from(number));
     first..=first | ((1 << 52) - 1)
 }
--- a/tests/peers_frame.rs
+++ b/tests/peers_frame.rs
@@ -1,13 +1,13 @@
 //! The authenticated form of messages among directors, and the file of their keys.
 #![cfg(feature = "peers")]
 
-use foxhold::cluster::frame::{parse_keys, Body, Message, Rejection, Seal, VERSION};
+use foxhold::cluster::frame::{parse_keys, Body, FrameCodec, Message, Rejection, VERSION};
 use foxhold::cluster::members::Member;
 use foxhold::replication::gossip::GossipMessage;
 use proptest::prelude::*;
 
-fn seal(fleet: &str, byte: u8) -> Seal {
-    Seal::new(fleet, &[vec![byte; 32]]).expect("a key")
+fn seal(fleet: &str, byte: u8) -> FrameCodec {
+    FrameCodec::new(fleet, &[vec![byte; 32]]).expect("a key")
 }
 
 fn message() -> Message {
@@ -17,15 +17,15 @@
 
 #[test]
 fn what_is_foreign_is_turned_down_with_its_cause() {
-    let good = seal("one", 1).seal(&message()).expect("small");
-    assert_eq!(seal("one", 1).open(&good), Ok(message()));
-    assert_eq!(seal("two", 1).open(&good), Err(Rejection::Fleet));
-    assert_eq!(seal("one", 2).open(&good), Err(Rejection::Seal));
-    assert_eq!(seal("one", 1).open(&good[..10]), Err(Rejection::Size));
+    let good = seal("one", 1).encode(&message()).expect("small");
+    assert_eq!(seal("one", 1).decode(&good), Ok(message()));
+    assert_eq!(seal("two", 1).decode(&good), Err(Rejection::Fleet));
+    assert_eq!(seal("one", 2).decode(&good), Err(Rejection::Unauthenticated));
+    assert_eq!(seal("one", 1).decode(&good[..10]), Err(Rejection::Size));
     let later = [&[VERSION + 1], &good[1..]].concat();
-    assert_eq!(seal("one", 1).open(&later), Err(Rejection::Version));
-    let two = Seal::new("one", &[vec![2; 32], vec![1; 32]]).expect("keys");
-    assert_eq!(two.open(&good), Ok(message()), "an older key opens still");
+    assert_eq!(seal("one", 1).decode(&later), Err(Rejection::Version));
+    let two = FrameCodec::new("one", &[vec![2; 32], vec![1; 32]]).expect("keys");
+    assert_eq!(two.decode(&good), Ok(message()), "an older key opens still");
 }
 
 proptest! {
@@ -34,15 +34,15 @@
 
     #[test]
     fn whatever_is_changed_in_a_datagram_it_is_turned_down(place in 0usize..60, by in 1u8..=255) {
-        let mut datagram = seal("one", 1).seal(&message()).expect("small");
+        let mut datagram = seal("one", 1).encode(&message()).expect("small");
         let place = place % datagram.len();
         datagram[place] ^= by;
-        prop_assert!(seal("one", 1).open(&datagram).is_err());
+        prop_assert!(seal("one", 1).decode(&datagram).is_err());
     }
 
     #[test]
     fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        prop_assert!(seal("one", 1).open(&bytes).is_err());
+        prop_assert!(seal("one", 1).decode(&bytes).is_err());
     }
 }
 
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -4,7 +4,7 @@
 #![cfg(feature = "peers")]
 
 use foxhold::dispatch::Endpoint;
-use foxhold::replication::digest::{Digest, Node};
+use foxhold::replication::digest::{DigestTree, Node};
 use foxhold::replication::entry::{
     encode, DrainRecord, EndpointRecord, Incarnation, Key, Kind, MergeOutcome, Value,
 };
@@ -137,7 +137,7 @@
                 mail.extend(out.into_iter().map(|(_, say)| (!to_a, say)));
             }
         }
-        let all = |t: &GossipProtocol<u8>| encode(&t.state.of(Kind::Purges));
+        let all = |t: &GossipProtocol<u8>| encode(&t.state.entries_of_kind(Kind::Purges));
         prop_assert_eq!(all(&a), all(&b));
     }
 
@@ -153,28 +153,27 @@
 #[test]
 fn in_doubt_the_drain_wins_and_an_undrain_takes_back_what_it_had_heard_of() {
     let (mut a, mut b) = (state(1), state(2));
-    a.listed(1, true, &[listing("x", MemberState::Running, 0)], at(1));
-    b.listed(1, true, &[listing("x", MemberState::Running, 0)], at(1));
-    let (key, word) = a.drain("x", true, at(2)).expect("room").expect("news");
+    a.apply_member_update(1, true, &[listing("x", MemberState::Running, 0)], at(1));
+    b.apply_member_update(1, true, &[listing("x", MemberState::Running, 0)], at(1));
+    let (key, word) = a.set_drain("x", true, at(2)).expect("room").expect("news");
     b.merge(&key, &word, at(2)).expect("taken");
-    let drains =
-        |s: &ReplicatedState| matches!(s.get(&Key::Drain("x".into())), Some(Value::Drain(w)) if w.drains());
+    let drains = |s: &ReplicatedState| matches!(s.get(&Key::Drain("x".into())), Some(Value::Drain(w)) if w.is_draining());
     // At once: an undrain on one side, a drain on the other.
-    let (_, undone) = a.drain("x", false, at(3)).expect("room").expect("news");
-    let (_, again) = b.drain("x", true, at(3)).expect("room").expect("news");
+    let (_, undone) = a.set_drain("x", false, at(3)).expect("room").expect("news");
+    let (_, again) = b.set_drain("x", true, at(3)).expect("room").expect("news");
     assert!(!drains(&a) && drains(&b));
     a.merge(&key, &again, at(4)).expect("taken");
     b.merge(&key, &undone, at(4)).expect("taken");
     assert!(drains(&a) && drains(&b), "in doubt it drains");
-    let (_, undone) = b.drain("x", false, at(5)).expect("room").expect("news");
+    let (_, undone) = b.set_drain("x", false, at(5)).expect("room").expect("news");
     a.merge(&key, &undone, at(5)).expect("taken");
     a.merge(&key, &word, at(5)).expect("taken");
     assert!(!drains(&a) && !drains(&b), "the old word does not come back");
     // Another process runs there: words about the one before are void.
-    let (_, word) = a.drain("x", true, at(6)).expect("room").expect("news");
+    let (_, word) = a.set_drain("x", true, at(6)).expect("room").expect("news");
     b.merge(&key, &word, at(6)).expect("taken");
-    b.listed(2, false, &[listing("x", MemberState::Running, UNIX)], at(7));
-    let (_, later) = b.drain("x", false, at(8)).expect("room").expect("news");
+    b.apply_member_update(2, false, &[listing("x", MemberState::Running, UNIX)], at(7));
+    let (_, later) = b.set_drain("x", false, at(8)).expect("room").expect("news");
     a.merge(&key, &later, at(8)).expect("taken");
     assert!(!drains(&a) && !drains(&b));
     assert_eq!(a.merge(&key, &word, at(9)), Ok(MergeOutcome::Unchanged), "it names the process before");
@@ -185,13 +184,13 @@
     let (mut a, mut b) = (state(1), state(2));
     let two = [listing("x", MemberState::Running, 0), listing("y", MemberState::Running, 0)];
     for state in [&mut a, &mut b] {
-        state.listed(1, true, &two, at(1));
+        state.apply_member_update(1, true, &two, at(1));
     }
     let old = b.get(&Key::Endpoint("y".into())).cloned().expect("listed");
-    let news = a.listed(2, true, &two[..1], at(2));
-    assert_eq!(a.lists("y"), Some(MemberState::Gone));
+    let news = a.apply_member_update(2, true, &two[..1], at(2));
+    assert_eq!(a.endpoint_state("y"), Some(MemberState::Gone));
     assert_eq!(a.merge(&Key::Endpoint("y".into()), &old, at(3)), Ok(MergeOutcome::Unchanged));
-    assert_eq!(a.lists("y"), Some(MemberState::Gone), "the board's own word stands");
+    assert_eq!(a.endpoint_state("y"), Some(MemberState::Gone), "the board's own word stands");
     for (key, word) in news {
         b.merge(&key, &word, at(3)).expect("taken");
     }
@@ -254,18 +253,22 @@
 fn a_gone_server_is_let_go_past_the_horizon_and_who_was_away_so_long_forgets_its_list() {
     let (mut here, mut away) = (state(1), state(2));
     for state in [&mut here, &mut away] {
-        state.listed(1, true, &[listing("x", MemberState::Running, 0)], at(1));
+        state.apply_member_update(1, true, &[listing("x", MemberState::Running, 0)], at(1));
         state.purge(object("o"), UNIX + 1_000 * SECOND, at(1_000)).expect("room");
     }
-    here.drain("x", true, at(1)).expect("room");
-    here.listed(2, false, &[listing("x", MemberState::Gone, 0)], at(2));
+    here.set_drain("x", true, at(1)).expect("room");
+    here.apply_member_update(2, false, &[listing("x", MemberState::Gone, 0)], at(2));
     assert!(here.expire(at(602)).is_empty());
     let ended = here.expire(at(1_210));
     assert_eq!(ended.len(), 2, "the listing, and the word on the process: {ended:?}");
     // It still has the server that all others have let go of.
-    assert_eq!(away.lists("x"), Some(MemberState::Running));
-    assert_eq!(away.away(), 1);
-    assert_eq!((away.lists("x"), away.count(Kind::Purges)), (None, 1), "purges carry their time and stay");
+    assert_eq!(away.endpoint_state("x"), Some(MemberState::Running));
+    assert_eq!(away.forget_members(), 1);
+    assert_eq!(
+        (away.endpoint_state("x"), away.count(Kind::Purges)),
+        (None, 1),
+        "purges carry their time and stay"
+    );
 }
 
 #[test]
@@ -301,7 +304,7 @@
     assert_eq!(refused, 1_000 - 256);
     assert!(encode(&(&key, state.get(&key))).len() < 8_000, "it fits a message");
     assert_eq!(state.purge(object("y"), UNIX, at(1)), Err(MergeError::NoCapacity));
-    assert_eq!(state.drain("y", true, at(1)), Err(MergeError::NoCapacity));
+    assert_eq!(state.set_drain("y", true, at(1)), Err(MergeError::NoCapacity));
 }
 
 #[test]
@@ -313,7 +316,7 @@
     }
     assert_ne!(state.digest().sum(Node::ROOT), 0);
     state.expire(at(5_000));
-    assert_eq!(state.digest().sum(Node::ROOT), Digest::default().sum(Node::ROOT));
+    assert_eq!(state.digest().sum(Node::ROOT), DigestTree::default().sum(Node::ROOT));
     assert_eq!((state.len(), state.bytes()), (0, 0));
 }
 
@@ -380,7 +383,7 @@
 
     fn disk(&self, n: usize) -> Vec<(Key, Value)> {
         let Some(node) = &self.nodes[n] else { return Vec::new() };
-        let all = Kind::ALL.into_iter().flat_map(|kind| node.state.of(kind));
+        let all = Kind::ALL.into_iter().flat_map(|kind| node.state.entries_of_kind(kind));
         all.map(|(key, word)| (key.clone(), word.clone())).collect()
     }
 
@@ -465,7 +468,7 @@
                 }
                 x if x < 0.8 => {
                     let (on, name) = (sim.unit() < 0.5, server(step));
-                    sim.tell(n, |s, now| s.drain(&name, on, now).ok().flatten())
+                    sim.tell(n, |s, now| s.set_drain(&name, on, now).ok().flatten())
                 }
                 x if x < 0.9 => {
                     // The board's event is heard by some directors only.
@@ -473,8 +476,9 @@
                     let mut change = None;
                     for n in 0..6 {
                         if sim.unit() < 0.5 {
-                            change =
-                                sim.tell(n, |s, now| s.listed(step + 2, false, &list, now).pop()).or(change);
+                            change = sim
+                                .tell(n, |s, now| s.apply_member_update(step + 2, false, &list, now).pop())
+                                .or(change);
                         }
                     }
                     change
@@ -501,7 +505,7 @@
         sim.part.fill(0);
         sim.run(12.0);
         assert!(sim.alike(), "seed {seed}");
-        let all = Kind::ALL.into_iter().flat_map(|kind| join.of(kind));
+        let all = Kind::ALL.into_iter().flat_map(|kind| join.entries_of_kind(kind));
         let all: Vec<(Key, Value)> = all.map(|(k, w)| (k.clone(), w.clone())).collect();
         assert_eq!(sim.disk(0), all, "seed {seed}");
     }
@@ -524,7 +528,7 @@
     sim.run(3.0);
     let node = sim.nodes[3].as_ref().expect("running");
     assert_eq!((node.stage(), node.state.len()), (Stage::CaughtUp, 3_000));
-    assert!(node.counts().turned > 0, "some lanes went on with another");
+    assert!(node.counters().source_changes > 0, "some lanes went on with another");
 }
 
 #[test]
--- a/tests/replica_fresh.rs
+++ b/tests/replica_fresh.rs
@@ -1,7 +1,7 @@
 //! Which messages of a sender are new: no duplicates, no replays.
 #![cfg(feature = "peers")]
 
-use foxhold::replication::replay_window::{ReplayWindow, SPAN};
+use foxhold::replication::replay_window::{ReplayWindow, WINDOW_MESSAGES};
 
 #[test]
 fn each_number_of_a_run_counts_once_and_an_ended_run_no_more() {
@@ -19,7 +19,7 @@
 #[test]
 fn numbers_in_any_order_within_the_span_count_once_each() {
     let mut fresh = ReplayWindow::new(1);
-    let order = (0..SPAN / 2).map(|n| 1 + (n * 37) % (SPAN / 2));
+    let order = (0..WINDOW_MESSAGES / 2).map(|n| 1 + (n * 37) % (WINDOW_MESSAGES / 2));
     assert!(order.clone().all(|n| fresh.accept(&(), 1, n)));
     assert!(!order.into_iter().any(|n| fresh.accept(&(), 1, n)));
 }
--- a/tests/replica_model.rs
+++ b/tests/replica_model.rs
@@ -112,7 +112,7 @@
     if one != other {
         return wrong("the order of copies decides");
     }
-    if matches!(one, Value::Drain(_)) && world.last_drains && !words_of(&one).drains() {
+    if matches!(one, Value::Drain(_)) && world.last_drains && !words_of(&one).is_draining() {
         return wrong("the last word was a drain, nobody has taken it back, and it is lost");
     }
     if matches!(&one, Value::Endpoint(_, place) if world.latest > 0 && place.cell != world.latest) {
@@ -164,7 +164,10 @@
             let told: Vec<(Value, bool)> = match &held {
                 Value::Drain(words) => {
                     let run = (rules.run)(n, world.restarts[n]);
-                    vec![(Value::Drain(words.drain(run, 0)), true), (Value::Drain(words.undrain(0)), false)]
+                    vec![
+                        (Value::Drain(words.with_drain(run, 0)), true),
+                        (Value::Drain(words.with_undrain(0)), false),
+                    ]
                 }
                 Value::Endpoint(..) => {
                     let rev = u64::from(world.told) + 1;
@@ -260,7 +263,7 @@
                 name: "a tombstone dropped early",
                 keep: |word| {
                     if let Value::Drain(words) = word {
-                        if !words.drains() {
+                        if !words.is_draining() {
                             (words.drains_by_incarnation, words.undrains_by_incarnation) =
                                 (BTreeMap::new(), BTreeMap::new());
                         }
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -400,7 +400,7 @@
 #[cfg(feature = "peers")]
 mod directors {
     use super::{fixture, same_as_fixture};
-    use foxhold::cluster::frame::{Body, Message, Seal};
+    use foxhold::cluster::frame::{Body, FrameCodec, Message};
     use foxhold::cluster::members::Member;
     use foxhold::cluster::store;
     use foxhold::replication::digest::Node;
@@ -451,22 +451,22 @@
             Body::Swim(vec![1, 2, 3]),
             Body::Gossip(GossipMessage::Updates(entries())),
             Body::Gossip(GossipMessage::RootDigest(5)),
-            Body::Gossip(GossipMessage::ChildDigests(vec![(Node { level: 1, number: 2 }, vec![7; 16])])),
+            Body::Gossip(GossipMessage::ChildDigests(vec![(Node { level: 1, index: 2 }, vec![7; 16])])),
             Body::Gossip(GossipMessage::RangeSummary(1, 2, vec![(3, 4)])),
             Body::Gossip(GossipMessage::RequestEntries(vec![1, 2])),
             Body::Gossip(GossipMessage::TransferRequest(1, 2, 3)),
             Body::Gossip(GossipMessage::TransferChunk(1, 2, entries(), Some(3), true)),
         ];
-        let seal = Seal::new("toy", &[vec![7; 32]]).expect("a key");
+        let seal = FrameCodec::new("toy", &[vec![7; 32]]).expect("a key");
         let from = Member::new("a", "127.0.0.1:1".parse().expect("an address"), 9);
         let messages: Vec<Message> = bodies
             .into_iter()
             .map(|body| Message { from: from.clone(), incarnation: 7, number: 300, body })
             .collect();
-        let frames: Vec<Vec<u8>> = messages.iter().map(|m| seal.seal(m).expect("small")).collect();
+        let frames: Vec<Vec<u8>> = messages.iter().map(|m| seal.encode(m).expect("small")).collect();
         same_as_fixture("frames.txt", &frames.iter().map(|f| hex(f) + "\n").collect::<String>());
         for (line, message) in fixture("frames.txt").lines().zip(&messages) {
-            assert_eq!(seal.open(&unhex(line)).as_ref(), Ok(message));
+            assert_eq!(seal.decode(&unhex(line)).as_ref(), Ok(message));
         }
     }
 
