--- a/crates/foxhold-testbed/src/test_client.rs
+++ b/crates/foxhold-testbed/src/test_client.rs
@@ -14,7 +14,7 @@
 use foxhold::cluster::members::Member;
 use foxhold::replication::digest::stable_hash;
 use foxhold::replication::entry::{encode, Key, MergeOutcome, Value};
-use foxhold::replication::gossip::GossipMessage;
+use foxhold::replication::gossip::{GossipMessage, TransferRequest};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -268,7 +268,8 @@
             batch.attempt()?;
             let updates = batch.updates.iter().map(|update| (update.key.clone(), update.word.clone()));
             let update = self.sealed(GossipMessage::Updates(updates.collect()))?;
-            let read_back = self.sealed(GossipMessage::TransferRequest(0, first, last))?;
+            let read_back =
+                self.sealed(GossipMessage::TransferRequest(TransferRequest { lane: 0, first, last }))?;
             self.send(to, &update).await?;
             self.send(to, &read_back).await?;
             delivered.batches += u64::from(!retry);
@@ -282,10 +283,8 @@
     fn chunk(&self, director: SocketAddr, datagram: &[u8]) -> Option<(u64, Vec<(Key, Value)>)> {
         let message = self.seal.decode(datagram).ok()?;
         match message.body {
-            Body::Gossip(GossipMessage::TransferChunk(_, first, held, ..))
-                if message.from.address == director =>
-            {
-                Some((first, held))
+            Body::Gossip(GossipMessage::TransferChunk(chunk)) if message.from.address == director => {
+                Some((chunk.first, chunk.entries))
             }
             _ => None,
         }
--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -14,7 +14,7 @@
 use crate::discovery::client::WatchEvent;
 use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
-use crate::replication::entry::{Key, Kind, Value};
+use crate::replication::entry::{DrainCommand, Key, Kind, Value};
 use crate::replication::gossip::{GossipProtocol, Update};
 use crate::replication::state::{ClockReading, MergeError};
 use std::net::SocketAddr;
@@ -172,7 +172,8 @@
         let now = self.now();
         match command {
             ClusterCommand::Drain(name, on, reply) => {
-                let change = self.replication.state.set_drain(&name, on, now);
+                let drain = if on { DrainCommand::Drain } else { DrainCommand::Undrain };
+                let change = self.replication.state.set_drain(&name, drain, now);
                 self.finish_change(change, reply);
             }
             ClusterCommand::Purge(key, reply) => {
--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -12,8 +12,6 @@
 
 /// A drain that the core could not apply is sent again after this.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
-/// The state of a server that is gone, as entries hold it.
-const STATE_GONE: u8 = 2;
 
 /// Drains on their way to the core.
 #[derive(Default)]
@@ -93,7 +91,7 @@
 pub(super) fn wanted_drain(state: &ReplicatedState, name: &str) -> Option<bool> {
     let Some(Value::Drain(drain)) = state.get(&Key::Drain(name.into())) else { return None };
     match state.get(&Key::Endpoint(name.into())) {
-        Some(Value::Endpoint(_, place)) if place.state == STATE_GONE => None,
+        Some(Value::Endpoint(_, place)) if place.is_gone() => None,
         Some(Value::Endpoint(_, place)) if place.started_at > drain.started_at => Some(false),
         // Sent once the server is listed. Without a replicated list the core has it from its own source.
         None if state.count(Kind::Members) > 0 => None,
--- a/src/cluster/source.rs
+++ b/src/cluster/source.rs
@@ -3,7 +3,7 @@
 use crate::config::settings::micros;
 use crate::discovery::client::{WatchChange, WatchEvent};
 use crate::replication::entry::{Key, Value};
-use crate::replication::state::{ClockReading, ReplicatedState};
+use crate::replication::state::{ClockReading, ListScope, ReplicatedState};
 
 /// Applies an event, and returns the entries that changed by it.
 pub(super) fn apply(
@@ -13,7 +13,8 @@
 ) -> Vec<(Key, Value)> {
     match &notice.change {
         WatchChange::Members { full, members } => {
-            state.apply_member_update(notice.revision, *full, members, now)
+            let scope = if *full { ListScope::Full } else { ListScope::Incremental };
+            state.apply_member_update(notice.revision, scope, members, now)
         }
         WatchChange::Purge { object, group, ms } => {
             let key = object.clone().map_or(Key::Group(*group), Key::Object);
--- /dev/null
+++ b/src/replication/gossip/anti_entropy.rs
@@ -0,0 +1,150 @@
+//! Anti-entropy: two directors find the entries that differ by walking down their digest trees.
+//!
+//! One sends the sum of its root. Where it differs the other answers with the sums of the root's children, and
+//! so on down to the leaves that differ. For these they exchange summaries of entries, and each sends what the
+//! other lacks.
+
+use super::message::RangeSummary;
+use super::packing::pack_entries_at;
+use super::random::Random;
+use super::GossipMessage;
+use crate::policy::types::Micros;
+use crate::replication::digest::Node;
+use crate::replication::state::{leaf_key_hashes, ReplicatedState};
+use std::collections::HashMap;
+use std::hash::Hash;
+
+/// Nodes or leaves that one message leads to.
+const MAX_NODES_PER_STEP: usize = 16;
+/// Inner nodes in one message.
+const NODES_PER_MESSAGE: usize = 4;
+/// Sums of entries, or key hashes, in one message.
+const MAX_SUMS_PER_MESSAGE: usize = 50;
+/// Entries of a range that are compared with one summary.
+const MAX_COMPARED_ENTRIES: usize = 4 * MAX_SUMS_PER_MESSAGE;
+/// Mean time between two root digests, in microseconds.
+const DIGEST_INTERVAL: Micros = 500_000;
+
+/// When the next root digest is due, and which members were found to be in sync.
+#[derive(Debug)]
+pub(super) struct AntiEntropy<P> {
+    next_digest: Micros,
+    last_in_sync: HashMap<P, Micros>,
+}
+
+impl<P: Clone + Eq + Hash> AntiEntropy<P> {
+    /// With a digest due at once.
+    pub(super) fn new(now: Micros) -> AntiEntropy<P> {
+        AntiEntropy { next_digest: now, last_in_sync: HashMap::new() }
+    }
+
+    /// Whether a root digest is due now; schedules the next one if so.
+    pub(super) fn digest_due(&mut self, now: Micros, random: &mut Random) -> bool {
+        if now < self.next_digest {
+            return false;
+        }
+        // Drawn between half and one and a half of the mean, so that directors do not fall into step.
+        self.next_digest = now + DIGEST_INTERVAL / 2 + random.below(DIGEST_INTERVAL as usize) as Micros;
+        true
+    }
+
+    /// Records that a member's digest is the same as ours.
+    pub(super) fn record_in_sync(&mut self, peer: &P, now: Micros) {
+        self.last_in_sync.insert(peer.clone(), now);
+    }
+
+    /// When a member's digest was last the same as ours.
+    pub(super) fn last_in_sync(&self, peer: &P) -> Option<Micros> {
+        self.last_in_sync.get(peer).copied()
+    }
+
+    /// Forgets all but these members.
+    pub(super) fn retain(&mut self, peers: &[P]) {
+        self.last_in_sync.retain(|peer, _| peers.contains(peer));
+    }
+}
+
+/// The message that opens a walk.
+pub(super) fn root_digest(state: &ReplicatedState) -> GossipMessage {
+    GossipMessage::RootDigest(state.digest().sum(Node::ROOT))
+}
+
+/// The first step of a walk: the sums of the root's children.
+pub(super) fn root_children(state: &ReplicatedState) -> GossipMessage {
+    GossipMessage::ChildDigests(vec![child_sums(state, Node::ROOT)])
+}
+
+/// A further step of a walk: the messages that answer a member's sums of some nodes' children.
+pub(super) fn compare_children(
+    state: &ReplicatedState,
+    nodes: &[(Node, Vec<u64>)],
+    random: &mut Random,
+) -> Vec<GossipMessage> {
+    let mut differing = differing_children(state, nodes);
+    // Not always the first ones: a later walk finds what is left out now.
+    let start = random.below(differing.len());
+    differing.rotate_left(start);
+    differing.truncate(MAX_NODES_PER_STEP);
+    let (leaves, inner): (Vec<Node>, Vec<Node>) = differing.into_iter().partition(|node| node.is_leaf());
+    let mut messages = Vec::new();
+    for nodes in inner.chunks(NODES_PER_MESSAGE) {
+        let sums = nodes.iter().map(|node| child_sums(state, *node)).collect();
+        messages.push(GossipMessage::ChildDigests(sums));
+    }
+    messages.extend(leaves.into_iter().flat_map(|leaf| summarize_leaf(state, leaf)));
+    messages
+}
+
+/// The end of a walk: sends what a member lacks within a range, and asks for what is lacking here.
+pub(super) fn repair(state: &ReplicatedState, theirs: &RangeSummary) -> Vec<GossipMessage> {
+    let ours = state.entry_sums(theirs.first..=theirs.last);
+    let ours: Vec<(u64, u64)> = ours.take(MAX_COMPARED_ENTRIES).collect();
+    let missing_there = ours.iter().filter(|entry| !theirs.entries.contains(entry)).map(|entry| entry.0);
+    let mut messages = pack_entries_at(state, missing_there);
+    let missing_here = theirs.entries.iter().filter(|entry| !ours.contains(entry)).map(|entry| entry.0);
+    let missing_here: Vec<u64> = missing_here.collect();
+    for key_hashes in missing_here.chunks(MAX_SUMS_PER_MESSAGE) {
+        messages.push(GossipMessage::RequestEntries(key_hashes.to_vec()));
+    }
+    messages
+}
+
+/// The entries that a member asks for.
+pub(super) fn requested_entries(state: &ReplicatedState, key_hashes: Vec<u64>) -> Vec<GossipMessage> {
+    pack_entries_at(state, key_hashes.into_iter().take(MAX_SUMS_PER_MESSAGE))
+}
+
+fn child_sums(state: &ReplicatedState, node: Node) -> (Node, Vec<u64>) {
+    (node, node.children().map(|child| state.digest().sum(child)).collect())
+}
+
+fn differing_children(state: &ReplicatedState, nodes: &[(Node, Vec<u64>)]) -> Vec<Node> {
+    let digest = state.digest();
+    let mut differing = Vec::new();
+    for (node, sums) in nodes.iter().take(MAX_NODES_PER_STEP) {
+        let children = node.children().zip(sums);
+        differing.extend(children.filter(|(child, sum)| digest.sum(*child) != **sum).map(|(child, _)| child));
+    }
+    differing
+}
+
+/// Summaries that cover the range of a leaf without a gap.
+fn summarize_leaf(state: &ReplicatedState, leaf: Node) -> Vec<GossipMessage> {
+    let range = leaf_key_hashes(leaf.index);
+    let entries: Vec<(u64, u64)> = state.entry_sums(range.clone()).collect();
+    let mut first = *range.start();
+    let mut parts = entries.chunks(MAX_SUMS_PER_MESSAGE).peekable();
+    let mut summaries = Vec::new();
+    loop {
+        let part = parts.next().unwrap_or_default();
+        let last = match (parts.peek(), part.last()) {
+            (Some(_), Some(last_entry)) => last_entry.0,
+            _ => *range.end(),
+        };
+        summaries.push(GossipMessage::RangeSummary(RangeSummary { first, last, entries: part.to_vec() }));
+        if last == *range.end() {
+            return summaries;
+        }
+        first = last + 1;
+    }
+}
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -6,10 +6,11 @@
 use foxhold::dispatch::Endpoint;
 use foxhold::replication::digest::{DigestTree, Node};
 use foxhold::replication::entry::{
-    encode, DrainRecord, EndpointRecord, Incarnation, Key, Kind, MergeOutcome, Value,
+    encode, DrainCommand, DrainRecord, EndpointRecord, EndpointState, Incarnation, Key, Kind, MergeOutcome,
+    Value,
 };
 use foxhold::replication::gossip::{GossipMessage, GossipProtocol, Stage};
-use foxhold::replication::state::{Bounds, ClockReading, MergeError, ReplicatedState};
+use foxhold::replication::state::{Bounds, ClockReading, ListScope, MergeError, ReplicatedState};
 use foxhold::MemberState;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -65,7 +66,10 @@
             .boxed(),
         _ => (1u64..4, 0u8..3)
             .prop_map(|(rev, state)| {
-                Value::Endpoint(rev, EndpointRecord { state, ..EndpointRecord::default() })
+                Value::Endpoint(
+                    rev,
+                    EndpointRecord { state: EndpointState::from(state), ..EndpointRecord::default() },
+                )
             })
             .boxed(),
     }
@@ -153,27 +157,27 @@
 #[test]
 fn in_doubt_the_drain_wins_and_an_undrain_takes_back_what_it_had_heard_of() {
     let (mut a, mut b) = (state(1), state(2));
-    a.apply_member_update(1, true, &[listing("x", MemberState::Running, 0)], at(1));
-    b.apply_member_update(1, true, &[listing("x", MemberState::Running, 0)], at(1));
-    let (key, word) = a.set_drain("x", true, at(2)).expect("room").expect("news");
+    a.apply_member_update(1, ListScope::Full, &[listing("x", MemberState::Running, 0)], at(1));
+    b.apply_member_update(1, ListScope::Full, &[listing("x", MemberState::Running, 0)], at(1));
+    let (key, word) = a.set_drain("x", DrainCommand::Drain, at(2)).expect("room").expect("news");
     b.merge(&key, &word, at(2)).expect("taken");
     let drains = |s: &ReplicatedState| matches!(s.get(&Key::Drain("x".into())), Some(Value::Drain(w)) if w.is_draining());
     // At once: an undrain on one side, a drain on the other.
-    let (_, undone) = a.set_drain("x", false, at(3)).expect("room").expect("news");
-    let (_, again) = b.set_drain("x", true, at(3)).expect("room").expect("news");
+    let (_, undone) = a.set_drain("x", DrainCommand::Undrain, at(3)).expect("room").expect("news");
+    let (_, again) = b.set_drain("x", DrainCommand::Drain, at(3)).expect("room").expect("news");
     assert!(!drains(&a) && drains(&b));
     a.merge(&key, &again, at(4)).expect("taken");
     b.merge(&key, &undone, at(4)).expect("taken");
     assert!(drains(&a) && drains(&b), "in doubt it drains");
-    let (_, undone) = b.set_drain("x", false, at(5)).expect("room").expect("news");
+    let (_, undone) = b.set_drain("x", DrainCommand::Undrain, at(5)).expect("room").expect("news");
     a.merge(&key, &undone, at(5)).expect("taken");
     a.merge(&key, &word, at(5)).expect("taken");
     assert!(!drains(&a) && !drains(&b), "the old word does not come back");
     // Another process runs there: words about the one before are void.
-    let (_, word) = a.set_drain("x", true, at(6)).expect("room").expect("news");
+    let (_, word) = a.set_drain("x", DrainCommand::Drain, at(6)).expect("room").expect("news");
     b.merge(&key, &word, at(6)).expect("taken");
-    b.apply_member_update(2, false, &[listing("x", MemberState::Running, UNIX)], at(7));
-    let (_, later) = b.set_drain("x", false, at(8)).expect("room").expect("news");
+    b.apply_member_update(2, ListScope::Incremental, &[listing("x", MemberState::Running, UNIX)], at(7));
+    let (_, later) = b.set_drain("x", DrainCommand::Undrain, at(8)).expect("room").expect("news");
     a.merge(&key, &later, at(8)).expect("taken");
     assert!(!drains(&a) && !drains(&b));
     assert_eq!(a.merge(&key, &word, at(9)), Ok(MergeOutcome::Unchanged), "it names the process before");
@@ -184,10 +188,10 @@
     let (mut a, mut b) = (state(1), state(2));
     let two = [listing("x", MemberState::Running, 0), listing("y", MemberState::Running, 0)];
     for state in [&mut a, &mut b] {
-        state.apply_member_update(1, true, &two, at(1));
+        state.apply_member_update(1, ListScope::Full, &two, at(1));
     }
     let old = b.get(&Key::Endpoint("y".into())).cloned().expect("listed");
-    let news = a.apply_member_update(2, true, &two[..1], at(2));
+    let news = a.apply_member_update(2, ListScope::Full, &two[..1], at(2));
     assert_eq!(a.endpoint_state("y"), Some(MemberState::Gone));
     assert_eq!(a.merge(&Key::Endpoint("y".into()), &old, at(3)), Ok(MergeOutcome::Unchanged));
     assert_eq!(a.endpoint_state("y"), Some(MemberState::Gone), "the board's own word stands");
@@ -253,11 +257,11 @@
 fn a_gone_server_is_let_go_past_the_horizon_and_who_was_away_so_long_forgets_its_list() {
     let (mut here, mut away) = (state(1), state(2));
     for state in [&mut here, &mut away] {
-        state.apply_member_update(1, true, &[listing("x", MemberState::Running, 0)], at(1));
+        state.apply_member_update(1, ListScope::Full, &[listing("x", MemberState::Running, 0)], at(1));
         state.purge(object("o"), UNIX + 1_000 * SECOND, at(1_000)).expect("room");
     }
-    here.set_drain("x", true, at(1)).expect("room");
-    here.apply_member_update(2, false, &[listing("x", MemberState::Gone, 0)], at(2));
+    here.set_drain("x", DrainCommand::Drain, at(1)).expect("room");
+    here.apply_member_update(2, ListScope::Incremental, &[listing("x", MemberState::Gone, 0)], at(2));
     assert!(here.expire(at(602)).is_empty());
     let ended = here.expire(at(1_210));
     assert_eq!(ended.len(), 2, "the listing, and the word on the process: {ended:?}");
@@ -275,7 +279,7 @@
 fn where_room_is_short_gone_servers_go_first_and_purges_never() {
     let bounds = Bounds { entries: 10, ..Bounds::default() };
     let mut state = ReplicatedState::new(Incarnation(1), bounds);
-    let gone = |n: u64| (Key::Endpoint(format!("gone-{n}")), Value::Endpoint(n, EndpointRecord::gone()));
+    let gone = |n: u64| (Key::Endpoint(format!("gone-{n}")), Value::Endpoint(n, EndpointRecord::tombstone()));
     for n in 1..=5 {
         state.merge(&gone(n).0, &gone(n).1, at(1)).expect("room");
     }
@@ -304,7 +308,7 @@
     assert_eq!(refused, 1_000 - 256);
     assert!(encode(&(&key, state.get(&key))).len() < 8_000, "it fits a message");
     assert_eq!(state.purge(object("y"), UNIX, at(1)), Err(MergeError::NoCapacity));
-    assert_eq!(state.set_drain("y", true, at(1)), Err(MergeError::NoCapacity));
+    assert_eq!(state.set_drain("y", DrainCommand::Drain, at(1)), Err(MergeError::NoCapacity));
 }
 
 #[test]
@@ -468,7 +472,8 @@
                 }
                 x if x < 0.8 => {
                     let (on, name) = (sim.unit() < 0.5, server(step));
-                    sim.tell(n, |s, now| s.set_drain(&name, on, now).ok().flatten())
+                    let command = if on { DrainCommand::Drain } else { DrainCommand::Undrain };
+                    sim.tell(n, |s, now| s.set_drain(&name, command, now).ok().flatten())
                 }
                 x if x < 0.9 => {
                     // The board's event is heard by some directors only.
@@ -477,7 +482,9 @@
                     for n in 0..6 {
                         if sim.unit() < 0.5 {
                             change = sim
-                                .tell(n, |s, now| s.apply_member_update(step + 2, false, &list, now).pop())
+                                .tell(n, |s, now| {
+                                    s.apply_member_update(step + 2, ListScope::Incremental, &list, now).pop()
+                                })
                                 .or(change);
                         }
                     }
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -404,8 +404,8 @@
     use foxhold::cluster::members::Member;
     use foxhold::cluster::store;
     use foxhold::replication::digest::Node;
-    use foxhold::replication::entry::{DrainRecord, EndpointRecord, Incarnation, Key, Value};
-    use foxhold::replication::gossip::GossipMessage;
+    use foxhold::replication::entry::{DrainRecord, EndpointRecord, EndpointState, Incarnation, Key, Value};
+    use foxhold::replication::gossip::{GossipMessage, RangeSummary, TransferChunk, TransferRequest};
     use std::time::Duration;
 
     const UNIX: u64 = 1_764_576_000_000_000;
@@ -416,7 +416,7 @@
             zone: "edge".into(),
             kind: "cache".into(),
             cell: 3,
-            state: 1,
+            state: EndpointState::Draining,
             size: 8.5,
             started_at: UNIX,
         }
@@ -452,10 +452,20 @@
             Body::Gossip(GossipMessage::Updates(entries())),
             Body::Gossip(GossipMessage::RootDigest(5)),
             Body::Gossip(GossipMessage::ChildDigests(vec![(Node { level: 1, index: 2 }, vec![7; 16])])),
-            Body::Gossip(GossipMessage::RangeSummary(1, 2, vec![(3, 4)])),
+            Body::Gossip(GossipMessage::RangeSummary(RangeSummary {
+                first: 1,
+                last: 2,
+                entries: vec![(3, 4)],
+            })),
             Body::Gossip(GossipMessage::RequestEntries(vec![1, 2])),
-            Body::Gossip(GossipMessage::TransferRequest(1, 2, 3)),
-            Body::Gossip(GossipMessage::TransferChunk(1, 2, entries(), Some(3), true)),
+            Body::Gossip(GossipMessage::TransferRequest(TransferRequest { lane: 1, first: 2, last: 3 })),
+            Body::Gossip(GossipMessage::TransferChunk(TransferChunk {
+                lane: 1,
+                first: 2,
+                entries: entries(),
+                next: Some(3),
+                sender_caught_up: true,
+            })),
         ];
         let seal = FrameCodec::new("toy", &[vec![7; 32]]).expect("a key");
         let from = Member::new("a", "127.0.0.1:1".parse().expect("an address"), 9);
