--- a/crates/foxhold-testbed/src/replay.rs
+++ b/crates/foxhold-testbed/src/replay.rs
@@ -190,7 +190,7 @@
 async fn library(config: &Path, altered: Option<usize>) -> Result<(String, Running), Failure> {
     let mut builder = Director::from_file(config)?;
     if let Some(nth) = altered {
-        let servers = PlatformConfig::read(config)?.servers();
+        let servers = PlatformConfig::read(config)?.upstream_connector();
         builder = builder.connector(Altered { servers, left: Arc::new(AtomicUsize::new(nth)) });
     }
     let app = axum::Router::new()
--- a/src/bin/foxhold-adapter.rs
+++ b/src/bin/foxhold-adapter.rs
@@ -6,7 +6,7 @@
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
     let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match foxhold::simulator::Host::default().run(input, output) {
+    match foxhold::simulator::SimulatorHost::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("foxhold-adapter: {error}");
--- a/src/cluster/source.rs
+++ b/src/cluster/source.rs
@@ -12,8 +12,10 @@
     now: ClockReading,
 ) -> Vec<(Key, Value)> {
     match &notice.change {
-        WatchChange::Members { full, members } => state.listed(notice.revision, *full, members, now),
-        WatchChange::Purge { object, group, ms } => {
+        WatchChange::Members { complete: full, members } => {
+            state.listed(notice.revision, *full, members, now)
+        }
+        WatchChange::Purge { object, group, unix_ms: ms } => {
             let key = object.clone().map_or(Key::Group(*group), Key::Object);
             state.purge(key, micros(*ms), now).ok().flatten().into_iter().collect()
         }
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -36,7 +36,7 @@
         .map_err(|e| format!("peers.listen: {}: {e}", section.listen))?;
     let (now, run) = (ClockReading { monotonic: clock.now(), unix: clock.unix() }, draw());
     let mut state = ReplicatedState::new(Incarnation(run), bounds(&section));
-    let (store, incarnation) = match &section.folder {
+    let (store, incarnation) = match &section.state_folder {
         Some(folder) => restore(folder, &mut state, now).map(|(store, n)| (Some(store), n))?,
         None => (None, now.unix),
     };
@@ -47,7 +47,7 @@
     let (sender, commands) = mpsc::channel(COMMAND_QUEUE);
     let actor = Actor::new(Parts {
         replication: GossipProtocol::new(state, run, now),
-        members: Members::new(own, section.about, run),
+        members: Members::new(own, section.expected_directors, run),
         transport: Transport::new(socket, seal, section.advertise, run),
         store,
         core,
@@ -60,8 +60,8 @@
 }
 
 fn read_keys(section: &PeersSection) -> Result<Seal, String> {
-    let file = section.key.display();
-    let text = std::fs::read_to_string(&section.key).map_err(|e| format!("peers.key: {file}: {e}"))?;
+    let file = section.key_file.display();
+    let text = std::fs::read_to_string(&section.key_file).map_err(|e| format!("peers.key: {file}: {e}"))?;
     let keys = parse_keys(&text).map_err(|e| format!("peers.key: {file}: {e}"))?;
     Seal::new(&section.fleet, &keys).ok_or("peers.key: no usable key".into())
 }
@@ -93,9 +93,9 @@
 
 fn bounds(section: &PeersSection) -> Bounds {
     Bounds {
-        entries: section.entries,
-        bytes: section.entries.saturating_mul(BYTES_PER_ENTRY),
-        purge_retention: section.purges_kept.as_micros() as Micros,
-        tombstone_retention: section.horizon.as_micros() as Micros,
+        entries: section.max_entries,
+        bytes: section.max_entries.saturating_mul(BYTES_PER_ENTRY),
+        purge_retention: section.purge_retention.as_micros() as Micros,
+        tombstone_retention: section.tombstone_retention.as_micros() as Micros,
     }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -21,7 +21,7 @@
 /// Why the file can't be used; one line that names the file and, where there is one, the place in it.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
-pub enum OperatorError {
+pub enum OperatorConfigError {
     /// It can't be read.
     #[error("{file}: {source}")]
     Read {
@@ -46,9 +46,9 @@
     /// Where clients connect.
     pub listen: String,
     /// Where the counts can be read; none: nowhere.
-    pub metrics: Option<String>,
+    pub metrics_listen: Option<String>,
     /// The file that says how credentials are checked.
-    pub keys: PathBuf,
+    pub keys_file: PathBuf,
 }
 
 /// What embeds the director.
@@ -56,16 +56,18 @@
 #[serde(deny_unknown_fields, default)]
 pub struct LibrarySection {
     /// Descriptors that connections to servers may hold.
-    pub descriptors: usize,
+    #[serde(rename = "descriptors")]
+    pub max_descriptors: usize,
     /// KB of request bodies that the middleware holds at a time, of all requests together.
     pub body_budget_kb: usize,
     /// Requests that the middleware has open at a time.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub max_open_requests: usize,
 }
 
 impl Default for LibrarySection {
     fn default() -> Self {
-        LibrarySection { descriptors: 256, body_budget_kb: 8 * 1024, open: 1024 }
+        LibrarySection { max_descriptors: 256, body_budget_kb: 8 * 1024, max_open_requests: 1024 }
     }
 }
 
@@ -81,22 +83,22 @@
     /// The fleet's name: directors of another say nothing to it.
     pub fleet: String,
     /// The file with the fleet's keys.
-    pub key: PathBuf,
+    pub key_file: PathBuf,
     /// Some of the others, by which it joins.
     pub seeds: Vec<SocketAddr>,
     /// How many directors the fleet has, about: how often news of members is told on goes by it.
-    pub about: u32,
+    pub expected_directors: u32,
     /// None: it serves at once. Else until it has caught up, and for so long at most, it serves no copy that
     /// is older than its own start.
-    pub careful: Option<Duration>,
+    pub catch_up_timeout: Option<Duration>,
     /// The folder in which its state lasts; none: in memory only.
-    pub folder: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     /// Purges are kept for so long after their time.
-    pub purges_kept: Duration,
+    pub purge_retention: Duration,
     /// Who was away for longer forgets its list and fetches it anew.
-    pub horizon: Duration,
+    pub tombstone_retention: Duration,
     /// Entries held at most.
-    pub entries: usize,
+    pub max_entries: usize,
 }
 
 /// How the log is written.
@@ -129,11 +131,11 @@
 
 /// All of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// The signed front; none: off.
     pub signed: Option<SignedSection>,
     /// A file in xDS form to take the members from, instead of the board; none: off.
-    pub xds: Option<PathBuf>,
+    pub xds_file: Option<PathBuf>,
     /// What embeds the director.
     pub library: LibrarySection,
     /// How the log is written.
@@ -233,32 +235,34 @@
             listen,
             advertise,
             seeds: seeds.collect::<Result<_, _>>()?,
-            about: bounded("about", self.about.unwrap_or(100).into(), 1..=10_000)? as u32,
-            careful,
-            key: beside(self.key),
-            folder: self.folder.map(beside),
-            purges_kept: seconds("purges_kept_s", self.purges_kept_s)?,
-            horizon: seconds("horizon_s", self.horizon_s)?,
-            entries: bounded("entries", self.entries.unwrap_or(200_000) as u64, 100..=10_000_000)? as usize,
+            expected_directors: bounded("about", self.about.unwrap_or(100).into(), 1..=10_000)? as u32,
+            catch_up_timeout: careful,
+            key_file: beside(self.key),
+            state_folder: self.folder.map(beside),
+            purge_retention: seconds("purges_kept_s", self.purges_kept_s)?,
+            tombstone_retention: seconds("horizon_s", self.horizon_s)?,
+            max_entries: bounded("entries", self.entries.unwrap_or(200_000) as u64, 100..=10_000_000)?
+                as usize,
             name: self.name,
             fleet: self.fleet,
         })
     }
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Reads the file.
-    pub fn read(file: &Path) -> Result<Operator, OperatorError> {
+    pub fn read(file: &Path) -> Result<OperatorConfig, OperatorConfigError> {
         let text = std::fs::read_to_string(file)
-            .map_err(|source| OperatorError::Read { file: file.to_owned(), source })?;
+            .map_err(|source| OperatorConfigError::Read { file: file.to_owned(), source })?;
         let folder = file.parent().unwrap_or(Path::new(""));
-        Operator::parse(&text, folder).map_err(|what| OperatorError::Form { file: file.to_owned(), what })
+        OperatorConfig::parse(&text, folder)
+            .map_err(|what| OperatorConfigError::Form { file: file.to_owned(), what })
     }
 
     /// Reads a text whose relative paths are taken from this folder. The error is one line with its place.
-    pub fn parse(text: &str, folder: &Path) -> Result<Operator, String> {
+    pub fn parse(text: &str, folder: &Path) -> Result<OperatorConfig, String> {
         let raw: Option<Raw> = serde_saphyr::from_str(text).map_err(|e| place(&e))?;
-        let Some(raw) = raw else { return Ok(Operator::default()) };
+        let Some(raw) = raw else { return Ok(OperatorConfig::default()) };
         let beside = |path: String| folder.join(path);
         let flat = raw.listen.is_some() || raw.metrics.is_some() || raw.keys.is_some() || raw.xds.is_some();
         let sections = raw.signed.is_some()
@@ -281,16 +285,22 @@
         let signed = signed.map(|s| s.read(&beside)).transpose()?.flatten();
         let library = raw.library.unwrap_or_default();
         for (name, value) in [
-            ("descriptors", library.descriptors),
+            ("descriptors", library.max_descriptors),
             ("body_budget_kb", library.body_budget_kb),
-            ("open", library.open),
+            ("open", library.max_open_requests),
         ] {
             if value == 0 || value > 1 << 24 {
                 return Err(format!("library.{name}: {value} is not within 1 and {}", 1 << 24));
             }
         }
         let peers = raw.peers.map(|p| p.read(&beside)).transpose()?;
-        Ok(Operator { signed, xds: xds.map(beside), library, log: raw.log.unwrap_or_default(), peers })
+        Ok(OperatorConfig {
+            signed,
+            xds_file: xds.map(beside),
+            library,
+            log: raw.log.unwrap_or_default(),
+            peers,
+        })
     }
 }
 
@@ -298,7 +308,11 @@
     fn read(self, beside: &impl Fn(String) -> PathBuf) -> Result<Option<SignedSection>, String> {
         let Some(listen) = self.listen.filter(|l| !l.is_empty()) else { return Ok(None) };
         let keys = beside(self.keys.ok_or("signed.keys: names no file")?);
-        Ok(Some(SignedSection { listen, metrics: self.metrics.filter(|m| !m.is_empty()), keys }))
+        Ok(Some(SignedSection {
+            listen,
+            metrics_listen: self.metrics.filter(|m| !m.is_empty()),
+            keys_file: keys,
+        }))
     }
 }
 
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -93,7 +93,7 @@
 
     /// How servers are reached by it where a host application serves the clients: two fifths of the
     /// descriptors are for connections to them. The daemon shares them out by [`crate::daemon::descriptors`].
-    pub fn servers(&self) -> UpstreamConnector {
+    pub fn upstream_connector(&self) -> UpstreamConnector {
         UpstreamConnector::new(self.connections.clone(), self.max_descriptors * 2 / 5)
     }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -4,7 +4,7 @@
 
 #[cfg(feature = "peers")]
 use crate::cluster;
-use crate::config::operator::{Operator, PeersSection, SignedSection};
+use crate::config::operator::{OperatorConfig, PeersSection, SignedSection};
 use crate::config::platform::PlatformConfig;
 use crate::director::start_core;
 use crate::discovery::watched_file::WatchedFile;
@@ -47,7 +47,7 @@
 /// inherited socket, where there is one: another process serves it too, or will.
 pub async fn run(
     config: PlatformConfig,
-    operator: Operator,
+    operator: OperatorConfig,
     inherited: Option<std::net::TcpListener>,
     configs: mpsc::Receiver<Result<PlatformConfig, String>>,
     terminated: impl Future<Output = ()>,
@@ -56,7 +56,7 @@
     let shares = shares(&config, &operator, last_answers);
     let (to_board, board) = watch::channel(config.discovery_address.clone());
     let keyed = open_keys(operator.signed)?;
-    let sources = Sources { board, xds: operator.xds, peers: operator.peers };
+    let sources = Sources { board, xds: operator.xds_file, peers: operator.peers };
     let Started { core, task, peers } = sources.start(&config, shares).await?;
     let reloads = Rc::new(Reloads::default());
     tokio::task::spawn_local(take_over(config.clone(), configs, to_board, core.sender(), reloads.clone()));
@@ -89,9 +89,9 @@
 }
 
 /// Shares out the descriptors, before anything of the director's is opened.
-fn shares(config: &PlatformConfig, operator: &Operator, hand_over: bool) -> Shares {
+fn shares(config: &PlatformConfig, operator: &OperatorConfig, hand_over: bool) -> Shares {
     let operators = !config.admin_address.is_empty();
-    let signed = operator.signed.as_ref().map_or(0, |s| 1 + usize::from(s.metrics.is_some()));
+    let signed = operator.signed.as_ref().map_or(0, |s| 1 + usize::from(s.metrics_listen.is_some()));
     let listeners = usize::from(!hand_over) + usize::from(operators) + signed;
     let open = descriptors::open_now();
     let needs = Needs { open, listeners, operators, peers: operator.peers.is_some(), hand_over };
@@ -103,7 +103,7 @@
 
 fn open_keys(section: Option<SignedSection>) -> Result<Option<Keyed>, String> {
     let Some(section) = section else { return Ok(None) };
-    let (file, keys) = WatchedFile::open(section.keys.clone(), parse_keys)?;
+    let (file, keys) = WatchedFile::open(section.keys_file.clone(), parse_keys)?;
     Ok(Some((file, keys, section)))
 }
 
@@ -210,7 +210,7 @@
         tokio::task::spawn_local(signed::follow_keys(keys_file, sender));
         let counts = Arc::new(Counts::default());
         let mut accepting = Vec::new();
-        if let Some(metrics) = section.metrics {
+        if let Some(metrics) = section.metrics_listen {
             accepting.push(serve::listen(&metrics, self.share(), Metrics(counts.clone())).await?);
         }
         let front = Signed { core: self.core.clone(), keys, clock: Clock::system(), counts };
--- a/src/director/builder.rs
+++ b/src/director/builder.rs
@@ -34,13 +34,13 @@
             sources: Vec::new(),
             peers: Box::new(UpstreamConnector::new(
                 ConnectionSettings::default(),
-                LibrarySection::default().descriptors,
+                LibrarySection::default().max_descriptors,
             )),
         }
     }
 
     pub(super) fn from_config(config: PlatformConfig) -> Self {
-        let servers = config.servers();
+        let servers = config.upstream_connector();
         let PlatformConfig {
             discovery_address: board,
             seed,
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -42,7 +42,7 @@
     /// Members that changed, or all of them.
     Members {
         /// Whether this is the whole list.
-        full: bool,
+        complete: bool,
         /// The entries.
         members: Vec<Endpoint>,
     },
@@ -53,7 +53,7 @@
         /// The group.
         group: u32,
         /// Unix milliseconds.
-        ms: f64,
+        unix_ms: f64,
     },
     /// Of a kind not known here.
     Unknown,
@@ -97,14 +97,18 @@
         let rev = raw.rev;
         let news = match (raw.pool, raw.flush) {
             (Some(pool), _) => WatchChange::Members {
-                full: pool.complete.unwrap_or(false),
+                complete: pool.complete.unwrap_or(false),
                 members: pool.members.into_iter().map(RawMember::listing).collect::<Result<_, _>>()?,
             },
             (None, Some(flush)) => {
                 if flush.asset.is_none() && flush.collection.is_none() {
                     return Err(format!("event {rev} purges neither an object nor a group"));
                 }
-                WatchChange::Purge { object: flush.asset, group: flush.collection.unwrap_or(0), ms: flush.ms }
+                WatchChange::Purge {
+                    object: flush.asset,
+                    group: flush.collection.unwrap_or(0),
+                    unix_ms: flush.ms,
+                }
             }
             (None, None) => WatchChange::Unknown,
         };
@@ -115,8 +119,10 @@
     pub fn message(self, purges_only: bool) -> Option<DispatcherMessage> {
         match self.change {
             WatchChange::Members { .. } if purges_only => None,
-            WatchChange::Members { full, members } => Some(DispatcherMessage::Members { full, members }),
-            WatchChange::Purge { object, group, ms } => Some(DispatcherMessage::Purged {
+            WatchChange::Members { complete: full, members } => {
+                Some(DispatcherMessage::Members { full, members })
+            }
+            WatchChange::Purge { object, group, unix_ms: ms } => Some(DispatcherMessage::Purged {
                 object: object.map(Into::into),
                 group,
                 at: micros(ms),
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -12,7 +12,7 @@
 use watched_file::WatchedFile;
 
 /// A task on the director's thread.
-pub type Task = Pin<Box<dyn Future<Output = ()>>>;
+pub type LocalBoxFuture = Pin<Box<dyn Future<Output = ()>>>;
 
 /// A source of members, or of purges. It is opened before the director serves and then followed for as long
 /// as it runs; an end of its task leaves the list as it is.
@@ -21,7 +21,7 @@
     fn initial(&mut self) -> Result<Vec<DispatcherMessage>, String>;
 
     /// Reports what changes.
-    fn follow(self: Box<Self>, reports: DispatcherSender) -> Task;
+    fn follow(self: Box<Self>, reports: DispatcherSender) -> LocalBoxFuture;
 }
 
 /// The host application itself: what it lists at the start; all else it says through the director's handle.
@@ -33,7 +33,7 @@
         Ok(vec![DispatcherMessage::Members { full: true, members: std::mem::take(&mut self.0) }])
     }
 
-    fn follow(self: Box<Self>, _: DispatcherSender) -> Task {
+    fn follow(self: Box<Self>, _: DispatcherSender) -> LocalBoxFuture {
         Box::pin(std::future::ready(()))
     }
 }
@@ -62,7 +62,7 @@
             .collect())
     }
 
-    fn follow(self: Box<Self>, reports: DispatcherSender) -> Task {
+    fn follow(self: Box<Self>, reports: DispatcherSender) -> LocalBoxFuture {
         Box::pin(client::follow(self.address, self.revision, self.purges_only, reports, self.subscriber))
     }
 }
@@ -88,7 +88,7 @@
         Ok(vec![listed(update)])
     }
 
-    fn follow(self: Box<Self>, reports: DispatcherSender) -> Task {
+    fn follow(self: Box<Self>, reports: DispatcherSender) -> LocalBoxFuture {
         Box::pin(async move {
             if let Some(file) = self.file {
                 follow_file(file, reports).await;
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,7 +2,7 @@
 //! reads the configuration anew.
 
 use clap::{Parser, Subcommand};
-use foxhold::config::operator::Operator;
+use foxhold::config::operator::OperatorConfig;
 use foxhold::config::platform::PlatformConfig;
 use foxhold::discovery::xds;
 use foxhold::frontend::signed::parse_keys;
@@ -206,27 +206,27 @@
         let (classes, events) = (config.settings.classes.len(), config.initial_events.len());
         return Ok(format!("a platform configuration, {classes} classes, {events} events known"));
     }
-    let operator = Operator::read(file).map_err(|e| e.to_string())?;
+    let operator = OperatorConfig::read(file).map_err(|e| e.to_string())?;
     let named = |path: &Path, parse: &dyn Fn(&str) -> Result<(), String>| {
         let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
         text.and_then(|t| parse(&t)).map_err(|e| format!("{}: {}: {e}", file.display(), path.display()))
     };
     if let Some(signed) = &operator.signed {
-        named(&signed.keys, &|t| parse_keys(t).map(drop))?;
+        named(&signed.keys_file, &|t| parse_keys(t).map(drop))?;
     }
-    if let Some(path) = &operator.xds {
+    if let Some(path) = &operator.xds_file {
         named(path, &|t| xds::parse(t).map(drop))?;
     }
     #[cfg(feature = "peers")]
     if let Some(peers) = &operator.peers {
-        named(&peers.key, &|t| foxhold::cluster::frame::parse_keys(t).map(drop))?;
-        if let Some(folder) = peers.folder.as_ref().filter(|f| !f.is_dir()) {
+        named(&peers.key_file, &|t| foxhold::cluster::frame::parse_keys(t).map(drop))?;
+        if let Some(folder) = peers.state_folder.as_ref().filter(|f| !f.is_dir()) {
             return Err(format!("{}: peers.folder: {} is no folder", file.display(), folder.display()));
         }
     }
     let peers = operator.peers.map_or("off".into(), |p| p.listen.to_string());
     let front = operator.signed.map_or("off".into(), |s| s.listen);
-    let members = operator.xds.map_or("the notice board".into(), |p| p.display().to_string());
+    let members = operator.xds_file.map_or("the notice board".into(), |p| p.display().to_string());
     Ok(format!(
         "an operator's file, signed front {front}, members from {members}, talk among directors {peers}"
     ))
@@ -241,7 +241,7 @@
     let file = std::env::var_os("FOXHOLD_FRONT").map(PathBuf::from);
     let file = file.or_else(|| OPERATOR_FILES.iter().map(PathBuf::from).find(|f| f.exists()));
     let operator =
-        file.map(|f| Operator::read(&f)).transpose().map_err(|e| e.to_string())?.unwrap_or_default();
+        file.map(|f| OperatorConfig::read(&f)).transpose().map_err(|e| e.to_string())?.unwrap_or_default();
     log::begin(&operator.log)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
--- a/src/middleware/director.rs
+++ b/src/middleware/director.rs
@@ -80,7 +80,7 @@
         routes: Option<Routes>,
         limits: &LibrarySection,
     ) -> Self {
-        let places = Arc::new(Semaphore::new(limits.open));
+        let places = Arc::new(Semaphore::new(limits.max_open_requests));
         let budget = Budget::new(limits.body_budget_kb * 1024);
         let shared = Shared { handle: handle.into(), counts, routes, budget, places: places.clone() };
         DirectorService { shared: Arc::new(shared), places: PollSemaphore::new(places), place: None }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -16,20 +16,20 @@
 
 /// Why the input was turned down: the line and what is wrong with it.
 #[derive(Debug)]
-pub struct WireError {
+pub struct SimulatorError {
     /// Line of the input, counted from 1.
     pub line: usize,
     /// What is wrong, naming the field.
     pub what: String,
 }
 
-impl std::fmt::Display for WireError {
+impl std::fmt::Display for SimulatorError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "line {}: {}", self.line, self.what)
     }
 }
 
-impl std::error::Error for WireError {}
+impl std::error::Error for SimulatorError {}
 
 /// A router, and the names that messages to it use.
 struct Hosted {
@@ -41,13 +41,13 @@
 
 /// Many routers behind one wire; they share nothing.
 #[derive(Default)]
-pub struct Host {
+pub struct SimulatorHost {
     instances: BTreeMap<u32, Hosted>,
     now: Micros,
     actions: Vec<Action>,
 }
 
-impl Host {
+impl SimulatorHost {
     /// Reads batches from `input` until it ends and writes a reply to each.
     pub fn run(
         &mut self,
@@ -58,7 +58,7 @@
         let mut in_batch = false;
         while next_line(&mut input, &mut line, &mut number)? {
             let at = number;
-            let fail = |what| WireError { line: at, what };
+            let fail = |what| SimulatorError { line: at, what };
             let mut f = Fields::new(&line);
             if !in_batch {
                 if f.message != "sync" {
@@ -80,9 +80,11 @@
                     if !next_line(&mut input, &mut line, &mut number)? {
                         let what =
                             "message 'view', field 'hosts': the input ends before its entries do".into();
-                        return Err(WireError { line: number, what }.into());
+                        return Err(SimulatorError { line: number, what }.into());
                     }
-                    members.push(parse_item(&line, known).map_err(|what| WireError { line: number, what })?);
+                    members.push(
+                        parse_item(&line, known).map_err(|what| SimulatorError { line: number, what })?,
+                    );
                 }
                 self.deliver(who, Event::Members { kind, members }, &mut reply);
             } else {
@@ -90,7 +92,7 @@
             }
         }
         if in_batch {
-            return Err(WireError {
+            return Err(SimulatorError {
                 line: number,
                 what: "the input ends inside a batch, no 'eof_batch'".into(),
             }
@@ -151,7 +153,7 @@
         line.clear();
         let read = input.read_line(line).map_err(|e| match e.kind() {
             io::ErrorKind::InvalidData => {
-                WireError { line: *number + 1, what: "not UTF-8 text".into() }.into()
+                SimulatorError { line: *number + 1, what: "not UTF-8 text".into() }.into()
             }
             _ => Box::<dyn std::error::Error>::from(e),
         })?;
--- a/src/upstream/line_codec.rs
+++ b/src/upstream/line_codec.rs
@@ -66,7 +66,7 @@
 
 /// What came under a name.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Content {
+pub enum MessageContent {
     /// The end of an attempt.
     Response(UpstreamResponse),
     /// The answer to a probe: whether the server is well, and its load report.
@@ -75,11 +75,11 @@
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Message {
+pub struct ServerMessage {
     /// The id of the request or the tag of the probe.
     pub id: Arc<str>,
     /// What came.
-    pub content: Content,
+    pub content: MessageContent,
 }
 
 /// An answer whose line was read, while its body is awaited.
@@ -131,7 +131,7 @@
     }
 
     /// Takes the next whole answer off the buffer, if there is one.
-    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Message>, LineError> {
+    pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<ServerMessage>, LineError> {
         if self.head.is_none() {
             let Some(line) = self.line(buffer)? else { return Ok(None) };
             self.head = Some(parse_line(&line)?);
@@ -247,7 +247,7 @@
 }
 
 impl Head {
-    fn message(self, body: Bytes) -> Message {
+    fn message(self, body: Bytes) -> ServerMessage {
         let Fields { tag, note, waited, gauges } = self.fields;
         let verdict = match self.word {
             Word::Copy => ResponseStatus::Ok(Representation { etag: tag, body }),
@@ -256,15 +256,19 @@
             Word::Full => ResponseStatus::Rejected,
             Word::Error => ResponseStatus::Error,
             Word::Stale => ResponseStatus::Expired,
-            Word::Well => return Message { id: self.id, content: Content::Health(true, gauges) },
-            Word::Ailing => return Message { id: self.id, content: Content::Health(false, gauges) },
+            Word::Well => {
+                return ServerMessage { id: self.id, content: MessageContent::Health(true, gauges) }
+            }
+            Word::Ailing => {
+                return ServerMessage { id: self.id, content: MessageContent::Health(false, gauges) }
+            }
         };
-        let content = Content::Response(UpstreamResponse {
+        let content = MessageContent::Response(UpstreamResponse {
             status: verdict,
             cache_status: note,
             source_wait: waited,
             load_report: gauges,
         });
-        Message { id: self.id, content }
+        ServerMessage { id: self.id, content }
     }
 }
--- a/src/upstream/servers.rs
+++ b/src/upstream/servers.rs
@@ -4,7 +4,7 @@
 //! own that reports ends straight to the core. An attempt that no connection began to write goes back to the
 //! actor when its connection ends, and is placed anew for as long as it may still be sent.
 
-use super::line_codec::{self, Content, LineDecoder};
+use super::line_codec::{self, LineDecoder, MessageContent};
 use super::{has_ended, is_short_of_descriptors};
 use crate::config::settings::ConnectionSettings;
 use crate::dispatch::{
@@ -587,9 +587,9 @@
         }
     }
 
-    async fn answer(&mut self, message: line_codec::Message) {
+    async fn answer(&mut self, message: line_codec::ServerMessage) {
         match message.content {
-            Content::Health(well, gauges) => {
+            MessageContent::Health(well, gauges) => {
                 if let Some(number) = self.probes.remove(&message.id) {
                     self.reports
                         .send(DispatcherMessage::HealthChecked(
@@ -601,7 +601,7 @@
             }
             // Where nothing is open under the id it is a second copy, the late answer to what was given up,
             // or one to what was never asked. It was read whole, so what follows it is as good as ever.
-            Content::Response(reply) => {
+            MessageContent::Response(reply) => {
                 if let Some(ticket) = self.ids.remove(&message.id) {
                     self.open.remove(&ticket);
                     self.report(ticket, Ok(reply)).await;
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -129,7 +129,7 @@
             .endpoint_source(StaticEndpoints(members))
             .start()
             .expect("a director");
-        let limits = LibrarySection { open: 2, body_budget_kb: 60, ..LibrarySection::default() };
+        let limits = LibrarySection { max_open_requests: 2, body_budget_kb: 60, ..LibrarySection::default() };
         let counts = Arc::new(Counts::default());
         let mut service = DirectorService::with(director, counts.clone(), Some(routes()), &limits);
         let put = |bytes: usize| {
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,18 +1,18 @@
 //! The operator's own file, and what the program says of files before it serves.
 
-use foxhold::config::operator::{LibrarySection, LogForm, Operator};
+use foxhold::config::operator::{LibrarySection, LogForm, OperatorConfig};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-fn parse(text: &str) -> Result<Operator, String> {
-    Operator::parse(text, Path::new("/etc/foxhold"))
+fn parse(text: &str) -> Result<OperatorConfig, String> {
+    OperatorConfig::parse(text, Path::new("/etc/foxhold"))
 }
 
 #[test]
 fn the_file_under_deploy_leaves_all_off() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/foxhold.yaml");
-    let operator = Operator::read(&path).expect("a good file");
-    assert_eq!((operator.signed, operator.xds, operator.peers), (None, None, None));
+    let operator = OperatorConfig::read(&path).expect("a good file");
+    assert_eq!((operator.signed, operator.xds_file, operator.peers), (None, None, None));
 }
 
 #[test]
@@ -23,11 +23,11 @@
     )
     .expect("a good file");
     let signed = operator.signed.expect("a front");
-    assert_eq!(signed.keys, PathBuf::from("/etc/foxhold/keys-${HOME}.json"));
-    assert_eq!(operator.xds, Some("/var/members.json".into()));
-    assert_eq!(operator.library, LibrarySection { open: 9, ..LibrarySection::default() });
+    assert_eq!(signed.keys_file, PathBuf::from("/etc/foxhold/keys-${HOME}.json"));
+    assert_eq!(operator.xds_file, Some("/var/members.json".into()));
+    assert_eq!(operator.library, LibrarySection { max_open_requests: 9, ..LibrarySection::default() });
     assert_eq!(operator.log.form, LogForm::Json);
-    assert_eq!(parse("").expect("an empty file"), Operator::default());
+    assert_eq!(parse("").expect("an empty file"), OperatorConfig::default());
 }
 
 const PEERS: &str = "listen: '127.0.0.1:7300', name: a, fleet: toy, key: peers.key";
@@ -37,13 +37,16 @@
     let peers =
         parse(&format!("peers: {{{PEERS}, seeds: ['127.0.0.1:7301']}}\n")).expect("a good file").peers;
     let peers = peers.expect("a section");
-    assert_eq!((peers.advertise, peers.careful, peers.folder), (peers.listen, None, None));
-    assert_eq!((peers.seeds.len(), peers.horizon.as_secs(), peers.entries), (1, 600, 200_000));
-    assert_eq!(peers.key, PathBuf::from("/etc/foxhold/peers.key"));
+    assert_eq!((peers.advertise, peers.catch_up_timeout, peers.state_folder), (peers.listen, None, None));
+    assert_eq!(
+        (peers.seeds.len(), peers.tombstone_retention.as_secs(), peers.max_entries),
+        (1, 600, 200_000)
+    );
+    assert_eq!(peers.key_file, PathBuf::from("/etc/foxhold/peers.key"));
     let careful = parse(&format!("peers: {{{PEERS}, mode: careful, careful_ms: 500, folder: state}}\n"));
     let careful = careful.expect("a good file").peers.expect("a section");
-    assert_eq!(careful.careful.map(|c| c.as_millis()), Some(500));
-    assert_eq!(careful.folder, Some("/etc/foxhold/state".into()));
+    assert_eq!(careful.catch_up_timeout.map(|c| c.as_millis()), Some(500));
+    assert_eq!(careful.state_folder, Some("/etc/foxhold/state".into()));
 }
 
 #[test]
@@ -74,9 +77,9 @@
 fn the_flat_form_of_earlier_versions_is_read_as_it_was() {
     let flat = r#"{"listen": "127.0.0.1:1", "metrics": "127.0.0.1:2", "keys": "k.json", "xds": "m.json"}"#;
     let operator = parse(flat).expect("a good file");
-    assert_eq!(operator.signed.expect("a front").metrics.as_deref(), Some("127.0.0.1:2"));
-    assert_eq!(operator.xds, Some("/etc/foxhold/m.json".into()));
-    assert_eq!(parse(r#"{"listen": "", "xds": "m.json"}"#).expect("off").xds, None);
+    assert_eq!(operator.signed.expect("a front").metrics_listen.as_deref(), Some("127.0.0.1:2"));
+    assert_eq!(operator.xds_file, Some("/etc/foxhold/m.json".into()));
+    assert_eq!(parse(r#"{"listen": "", "xds": "m.json"}"#).expect("off").xds_file, None);
 }
 
 #[test]
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: a golden exchange, and plain messages on what is malformed.
 
 use foxhold::config::settings::parse_settings;
-use foxhold::simulator::Host;
+use foxhold::simulator::SimulatorHost;
 
 const PARAMS: &str = r#"{"balancers":1,"bounds":{"cancel":true,"maxAttempts":4,"retryAfter":true,
 "maxRetryAfterMs":1000.0},
@@ -23,7 +23,7 @@
 
 fn play(input: &str) -> Result<String, String> {
     let mut output = Vec::new();
-    Host::default().run(input.as_bytes(), &mut output).map_err(|e| e.to_string())?;
+    SimulatorHost::default().run(input.as_bytes(), &mut output).map_err(|e| e.to_string())?;
     Ok(String::from_utf8(output).expect("text"))
 }
 
@@ -81,8 +81,10 @@
         assert!(error.starts_with(&format!("{line}:")) && error.contains(field), "{input}: {error}");
     }
     let mut output = Vec::new();
-    let error =
-        Host::default().run(&b"sync 1\n\xff\xfe\n"[..], &mut output).expect_err("not text").to_string();
+    let error = SimulatorHost::default()
+        .run(&b"sync 1\n\xff\xfe\n"[..], &mut output)
+        .expect_err("not text")
+        .to_string();
     assert!(error.starts_with("line 2:"), "{error}");
 }
 
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -88,10 +88,10 @@
 }
 
 /// What an answer was read as; notes by their number.
-fn answer(content: &line_codec::Content) -> String {
+fn answer(content: &line_codec::MessageContent) -> String {
     let reply = match content {
-        line_codec::Content::Health(healthy, load) => return format!("health {healthy} {load:?}"),
-        line_codec::Content::Response(reply) => reply,
+        line_codec::MessageContent::Health(healthy, load) => return format!("health {healthy} {load:?}"),
+        line_codec::MessageContent::Response(reply) => reply,
     };
     let verdict = match &reply.status {
         ResponseStatus::Ok(copy) => format!("copy {:?} {:?}", copy.etag, copy.body),
@@ -153,10 +153,10 @@
         format!(" {name} {address} {zone} {kind} {cell} {} {size} {since}", *state as u8)
     };
     match news {
-        client::WatchChange::Members { full, members } => {
+        client::WatchChange::Members { complete: full, members } => {
             format!("members {full}{}", members.iter().map(member).collect::<String>())
         }
-        client::WatchChange::Purge { object, group, ms } => format!("purge {object:?} {group} {ms}"),
+        client::WatchChange::Purge { object, group, unix_ms: ms } => format!("purge {object:?} {group} {ms}"),
         client::WatchChange::Unknown => "other".into(),
     }
 }
