--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -11,7 +11,7 @@
 use super::store::Store;
 use super::transport::Transport;
 use crate::config::operator::PeersSection;
-use crate::discovery::client::WatchEvent;
+use crate::discovery::WatchEvent;
 use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
 use crate::replication::entry::{Key, Kind, Value};
--- a/src/cluster/source.rs
+++ b/src/cluster/source.rs
@@ -1,7 +1,7 @@
 //! Applies events of the local discovery source to the replicated state.
 
 use crate::config::settings::micros;
-use crate::discovery::client::{WatchChange, WatchEvent};
+use crate::discovery::{WatchChange, WatchEvent};
 use crate::replication::entry::{Key, Value};
 use crate::replication::state::{ClockReading, ReplicatedState};
 
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -8,7 +8,7 @@
 use super::transport::Transport;
 use super::{draw, source, LOG_TARGET};
 use crate::config::operator::PeersSection;
-use crate::discovery::client::WatchEvent;
+use crate::discovery::WatchEvent;
 use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
 use crate::replication::entry::{Incarnation, Key, Value};
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -3,7 +3,8 @@
 use crate::config::settings::{
     check_limits, decode_connection_settings, decode_settings, ConnectionSettings,
 };
-use crate::discovery::client::{self, WatchEvent};
+use crate::discovery::codec::WireEvent;
+use crate::discovery::WatchEvent;
 use crate::policy::types::Settings;
 use crate::upstream::servers::UpstreamConnector;
 use miniserde::json::{self, Value};
@@ -55,7 +56,7 @@
 #[derive(Deserialize)]
 struct Known {
     rev: u64,
-    notices: Vec<client::RawNotice>,
+    notices: Vec<WireEvent>,
 }
 
 impl PlatformConfig {
@@ -76,7 +77,7 @@
         let settings = decode_settings(&raw.settings).map_err(|e| format!("settings: {e}"))?;
         let transport = decode_connection_settings(&raw.settings).map_err(|e| format!("settings: {e}"))?;
         let (rev, notices) = raw.known.map_or((0, Vec::new()), |k| (k.rev, k.notices));
-        let known = notices.into_iter().map(WatchEvent::from_raw).collect::<Result<_, _>>();
+        let known = notices.into_iter().map(WatchEvent::try_from).collect::<Result<_, _>>();
         Ok(PlatformConfig {
             listen: raw.listen,
             discovery_address: raw.board.unwrap_or_default(),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -8,7 +8,7 @@
 use crate::config::platform::PlatformConfig;
 use crate::director::start_core;
 use crate::discovery::watched_file::WatchedFile;
-use crate::discovery::{DiscoveryService, EndpointSource, XdsFile};
+use crate::discovery::{DiscoveryService, EndpointSource, WatchScope, XdsFile};
 use crate::dispatch::{Clock, Dispatcher, DispatcherMessage, DispatcherSender, RunningDispatcher};
 use crate::frontend::admin::{self, AdminEndpoint, Reloads};
 use crate::frontend::platform::Platform;
@@ -103,7 +103,7 @@
 
 fn open_keys(section: Option<SignedSection>) -> Result<Option<Keyed>, String> {
     let Some(section) = section else { return Ok(None) };
-    let (file, keys) = WatchedFile::open(section.keys_file.clone(), parse_keys)?;
+    let (file, keys) = WatchedFile::open(section.keys_file.clone(), parse_keys).map_err(|e| e.to_string())?;
     Ok(Some((file, keys, section)))
 }
 
@@ -139,7 +139,7 @@
         let clock = Clock::system();
         let (tap, notices) = self.peers.as_ref().map(|_| mpsc::channel(NOTICES)).unzip();
         // Where the list comes from a file, the board tells of purges only.
-        let purges_only = self.xds.is_some();
+        let scope = if self.xds.is_some() { WatchScope::PurgesOnly } else { WatchScope::MembersAndPurges };
         let mut sources: Vec<Box<dyn EndpointSource>> = Vec::new();
         sources.extend(self.xds.map(|path| Box::new(XdsFile::new(path)) as Box<dyn EndpointSource>));
         let (address, rev, known) = (self.board, config.discovery_revision, config.initial_events.clone());
@@ -147,7 +147,7 @@
             address,
             revision: rev,
             initial_events: known,
-            purges_only,
+            scope,
             subscriber: tap,
         }));
         let servers = Box::new(UpstreamConnector::new(config.connections.clone(), shares.servers));
--- a/src/director/builder.rs
+++ b/src/director/builder.rs
@@ -4,7 +4,7 @@
 use crate::config::operator::LibrarySection;
 use crate::config::platform::PlatformConfig;
 use crate::config::settings::ConnectionSettings;
-use crate::discovery::{DiscoveryService, EndpointSource};
+use crate::discovery::{DiscoveryService, EndpointSource, WatchScope};
 use crate::dispatch::{self, Clock, Dispatcher, EndpointConnector, RunningDispatcher};
 use crate::policy::types::{Settings, SettingsError};
 use crate::upstream::servers::UpstreamConnector;
@@ -55,7 +55,7 @@
             address,
             revision: rev,
             initial_events: known,
-            purges_only: false,
+            scope: WatchScope::MembersAndPurges,
             subscriber: None,
         })
     }
@@ -161,7 +161,7 @@
 ) -> Result<RunningDispatcher, String> {
     let mut known = Vec::new();
     for source in &mut sources {
-        known.extend(source.initial()?);
+        known.extend(source.initial().map_err(|e| e.to_string())?);
     }
     let running =
         dispatch::start(settings, seed, clock, peers, known).map_err(|e: SettingsError| e.to_string())?;
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,305 +1,252 @@
-//! The notice board: the actor that follows it, and its events decoded.
+//! Client of the discovery service: keeps one watch connection up and reports its events.
 
-use crate::config::settings::micros;
-use crate::dispatch::{DispatcherMessage, DispatcherSender, Endpoint};
+use super::codec::{self, WatchLine, WatchLineError};
+use super::event::{Subscriber, WatchEvent, WatchScope};
+use super::DiscoveryService;
+use crate::dispatch::DispatcherSender;
 use crate::policy::estimators::hash::unit;
-use crate::policy::types::MemberState;
 use bytes::BytesMut;
-use miniserde::{json, Deserialize};
+use std::convert::Infallible;
 use std::hash::{BuildHasher, Hasher, RandomState};
+use std::io;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// The board writes at least once a second; after this long without a byte the connection counts as dead.
-const SILENCE: Duration = Duration::from_millis(2500);
-/// A connection that is not up by then is tried anew. Together with the longest wait this is well under the
-/// second within which a board that returns is to be followed again, also where its machine was silent.
-const CONNECT: Duration = Duration::from_millis(400);
-/// The first wait before a new connection; doubled up to the longest.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-const LONGEST_WAIT: Duration = Duration::from_millis(400);
-/// The longest line: a whole list of thousands of members fits.
-const LONGEST_LINE: usize = 4 << 20;
-
-/// An event of the board.
-#[derive(Clone, Debug, PartialEq)]
-pub struct WatchEvent {
-    /// Its number.
-    pub revision: u64,
-    /// What it tells.
-    pub change: WatchChange,
-}
-
-/// Who else hears the board's events: one that has no room for an event misses it, and the core never waits.
-pub type Subscriber = Option<mpsc::Sender<WatchEvent>>;
-
-/// What an event tells.
-#[derive(Clone, Debug, PartialEq)]
-pub enum WatchChange {
-    /// Members that changed, or all of them.
-    Members {
-        /// Whether this is the whole list.
-        complete: bool,
-        /// The entries.
-        members: Vec<Endpoint>,
-    },
-    /// A purge of one object or of a group.
-    Purge {
-        /// The object; none: the group.
-        object: Option<String>,
-        /// The group.
-        group: u32,
-        /// Unix milliseconds.
-        unix_ms: f64,
-    },
-    /// Of a kind not known here.
-    Unknown,
-}
-
-/// An event as it is written.
-#[derive(Deserialize)]
-pub(crate) struct RawNotice {
-    rev: u64,
-    pool: Option<RawPool>,
-    flush: Option<RawFlush>,
-}
-
-#[derive(Deserialize)]
-struct RawPool {
-    complete: Option<bool>,
-    members: Vec<RawMember>,
+/// The service sends a heartbeat at least once a second; a connection without a byte for this long is dead.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Limit on the time to connect. Together with [`MAX_RECONNECT_DELAY`] it is well under the second within
+/// which a service that returns has to be followed again, even if its machine did not answer at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before the first reconnect; it doubles with each failure up to [`MAX_RECONNECT_DELAY`].
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay before a reconnect.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(400);
+/// Bytes that the read buffer holds at first.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+
+/// Why a watch connection ended.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    #[error("cannot connect: {0}")]
+    Connect(#[source] io::Error),
+    #[error("no connection within the time limit")]
+    ConnectTimeout,
+    #[error("connection lost: {0}")]
+    Lost(#[source] io::Error),
+    #[error("closed by the service")]
+    Closed,
+    #[error("no heartbeat")]
+    HeartbeatMissing,
+    #[error("events up to {revision} were missed")]
+    EventsMissed { revision: u64 },
+    #[error("unreadable line: {0}")]
+    Unreadable(#[from] WatchLineError),
 }
 
-#[derive(Deserialize)]
-struct RawMember {
-    id: String,
-    host_port: String,
-    locality: String,
-    flavor: String,
-    cell: Option<f64>,
-    phase: String,
-    size: Option<f64>,
-    up_since_ms: Option<f64>,
+/// Follows the discovery service for as long as the process runs.
+#[derive(Debug)]
+pub struct DiscoveryClient {
+    address: watch::Receiver<String>,
+    events: EventReceiver,
 }
 
-#[derive(Deserialize)]
-struct RawFlush {
-    asset: Option<String>,
-    collection: Option<u32>,
-    ms: f64,
-}
+impl DiscoveryClient {
+    /// Reports the events after the service's `revision` to the dispatcher.
+    pub fn new(service: DiscoveryService, dispatcher: DispatcherSender) -> Self {
+        let events = EventReceiver {
+            revision: service.revision,
+            unreadable_after: None,
+            heartbeat_received: false,
+            event_skipped: false,
+            scope: service.scope,
+            dispatcher,
+            subscriber: service.subscriber,
+        };
+        DiscoveryClient { address: service.address, events }
+    }
 
-impl WatchEvent {
-    pub(crate) fn from_raw(raw: RawNotice) -> Result<WatchEvent, String> {
-        let rev = raw.rev;
-        let news = match (raw.pool, raw.flush) {
-            (Some(pool), _) => WatchChange::Members {
-                complete: pool.complete.unwrap_or(false),
-                members: pool.members.into_iter().map(RawMember::listing).collect::<Result<_, _>>()?,
-            },
-            (None, Some(flush)) => {
-                if flush.asset.is_none() && flush.collection.is_none() {
-                    return Err(format!("event {rev} purges neither an object nor a group"));
+    /// Watches the service and reconnects with backoff. Turns to a new address at once and asks there for what
+    /// follows the latest event: the old address reports nothing more. Ends when nobody can set an address
+    /// any more and there is none.
+    pub async fn run(mut self) {
+        let mut backoff = Backoff::default();
+        loop {
+            let address = self.address.borrow_and_update().clone();
+            if address.is_empty() {
+                // Nothing to watch until a new configuration names an address.
+                if self.address.changed().await.is_err() {
+                    return;
                 }
-                WatchChange::Purge {
-                    object: flush.asset,
-                    group: flush.collection.unwrap_or(0),
-                    unix_ms: flush.ms,
+                continue;
+            }
+            let revision_before = self.events.revision;
+            // Cancelling a connection loses no event: its revision is taken only once the dispatcher's queue
+            // has it.
+            let error = tokio::select! {
+                error = self.events.watch(&address) => error,
+                Ok(()) = self.address.changed() => {
+                    backoff.reset();
+                    tracing::info!(revision = self.events.revision, "discovery address changed");
+                    continue;
                 }
+            };
+            tracing::info!(
+                %address,
+                reason = %error,
+                revision = self.events.revision,
+                "discovery connection ended, reconnecting"
+            );
+            // A connection that brought anything, be it only a heartbeat, was a good one.
+            if self.events.heartbeat_received || self.events.revision > revision_before {
+                backoff.reset();
+            } else {
+                backoff.increase();
             }
-            (None, None) => WatchChange::Unknown,
-        };
-        Ok(WatchEvent { revision: rev, change: news })
-    }
-
-    /// What the core is told of it; nothing of members, where the list comes from elsewhere.
-    pub fn message(self, purges_only: bool) -> Option<DispatcherMessage> {
-        match self.change {
-            WatchChange::Members { .. } if purges_only => None,
-            WatchChange::Members { complete: full, members } => {
-                Some(DispatcherMessage::Members { full, members })
+            tokio::select! {
+                () = sleep(backoff.jittered()) => {}
+                Ok(()) = self.address.changed() => self.address.mark_changed(),
             }
-            WatchChange::Purge { object, group, unix_ms: ms } => Some(DispatcherMessage::Purged {
-                object: object.map(Into::into),
-                group,
-                at: micros(ms),
-                retention: 0,
-            }),
-            WatchChange::Unknown => None,
         }
     }
 }
 
-impl RawMember {
-    fn listing(self) -> Result<Endpoint, String> {
-        let state = match self.phase.as_str() {
-            "in_service" => MemberState::Running,
-            "terminating" => MemberState::Draining,
-            "terminated" => MemberState::Gone,
-            other => return Err(format!("member {} is in phase '{other}', which is not known", self.id)),
-        };
-        Ok(Endpoint {
-            name: self.id.into(),
-            address: self.host_port.into(),
-            zone: self.locality,
-            kind: self.flavor,
-            cell: self.cell.unwrap_or(0.0) as u32,
-            state,
-            size: self.size.unwrap_or(0.0),
-            started_at: micros(self.up_since_ms.unwrap_or(0.0)),
-        })
-    }
+/// The delay before the next reconnect.
+struct Backoff {
+    delay: Duration,
 }
 
-/// A line of the board.
-#[derive(Clone, Debug, PartialEq)]
-pub enum WatchLine {
-    /// The number of its last event, sent each second.
-    Heartbeat(u64),
-    /// An event.
-    Event(WatchEvent),
+impl Default for Backoff {
+    fn default() -> Self {
+        Backoff { delay: MIN_RECONNECT_DELAY }
+    }
 }
 
-/// Reads one line.
-pub fn parse_line(line: &[u8]) -> Result<WatchLine, String> {
-    let text = std::str::from_utf8(line).map_err(|_| "not text".to_owned())?.trim();
-    if !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) {
-        return text.parse().map(WatchLine::Heartbeat).map_err(|_| "a number out of range".into());
+impl Backoff {
+    fn reset(&mut self) {
+        self.delay = MIN_RECONNECT_DELAY;
     }
-    let raw: RawNotice = json::from_str(text).map_err(|_| "not an event".to_owned())?;
-    WatchEvent::from_raw(raw).map(WatchLine::Event)
-}
 
-/// Takes the next whole line off the buffer.
-pub fn next_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, String> {
-    match buffer.iter().position(|b| *b == b'\n') {
-        Some(end) => {
-            let mut line = buffer.split_to(end + 1);
-            line.truncate(end);
-            Ok(Some(line))
-        }
-        None if buffer.len() > LONGEST_LINE => Err("a line is too long".into()),
-        None => Ok(None),
+    fn increase(&mut self) {
+        self.delay = (self.delay * 2).min(MAX_RECONNECT_DELAY);
+    }
+
+    /// The delay reduced by a random part of up to half, so that hundreds of clients that lose their service
+    /// at once do not all return at once, and none returns later than without the jitter.
+    fn jittered(&self) -> Duration {
+        let random = RandomState::new().build_hasher().finish();
+        self.delay.mul_f64(0.5 + 0.5 * unit(random))
     }
 }
 
-/// Between half of a wait and the whole: a board that lets hundreds go at once is not rushed by all of them
-/// at once, and nobody waits longer than without.
-fn apart(wait: Duration) -> Duration {
-    let drawn = RandomState::new().build_hasher().finish();
-    wait.mul_f64(0.5 + 0.5 * unit(drawn))
+/// Receives events and reports each once, over any number of connections.
+#[derive(Debug)]
+struct EventReceiver {
+    /// Revision of the latest event that was reported or skipped.
+    revision: u64,
+    /// The revision after which a line could not be decoded. The line is requested once more, since it may
+    /// have been damaged on the way; if it can't be decoded then either it is skipped, for otherwise nothing
+    /// after it would ever be received.
+    unreadable_after: Option<u64>,
+    /// Whether the present connection brought a heartbeat.
+    heartbeat_received: bool,
+    /// Whether the present connection skipped an event whose revision is not known yet.
+    event_skipped: bool,
+    scope: WatchScope,
+    dispatcher: DispatcherSender,
+    subscriber: Subscriber,
 }
 
-/// Follows the board for as long as the program runs, from the event after `last` on. A new address is turned
-/// to at once, with the number of the last event: the old one tells nothing more.
-pub async fn follow(
-    mut address: watch::Receiver<String>,
-    mut last: u64,
-    purges_only: bool,
-    reports: DispatcherSender,
-    tap: Subscriber,
-) {
-    let (mut wait, mut unread) = (FIRST_WAIT, None);
-    loop {
-        let (before, mut told, at) = (last, false, address.borrow_and_update().clone());
-        if at.is_empty() {
-            // Nothing to follow, unless a new configuration names one.
-            if address.changed().await.is_err() {
-                return;
+impl EventReceiver {
+    /// Watches over one connection until it ends, and returns the reason.
+    async fn watch(&mut self, address: &str) -> WatchError {
+        (self.heartbeat_received, self.event_skipped) = (false, false);
+        let Err(error) = self.read_lines(address).await;
+        error
+    }
+
+    async fn read_lines(&mut self, address: &str) -> Result<Infallible, WatchError> {
+        let mut stream = connect(address).await?;
+        let request = codec::encode_watch_request(self.revision);
+        stream.write_all(request.as_bytes()).await.map_err(WatchError::Lost)?;
+        let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
+        loop {
+            read_more(&mut stream, &mut buffer).await?;
+            while let Some(line) = codec::take_line(&mut buffer)? {
+                if !line.is_empty() {
+                    self.handle_line(&line).await?;
+                }
             }
-            continue;
         }
-        // Nothing is lost where the address changes in the midst of an event: its number is taken when it has
-        // come whole, and the mailbox takes it before the next is read.
-        let error = tokio::select! {
-            error = connection(&at, &mut last, &mut told, &mut unread, purges_only, &reports, &tap) => error,
-            Ok(()) = address.changed() => {
-                wait = FIRST_WAIT;
-                tracing::info!("board: told of another address; asking there after event {last}");
-                continue;
+    }
+
+    async fn handle_line(&mut self, line: &[u8]) -> Result<(), WatchError> {
+        match codec::decode_line(line) {
+            Ok(WatchLine::Heartbeat(revision)) => self.handle_heartbeat(revision),
+            Ok(WatchLine::Event(event)) => {
+                self.handle_event(event).await;
+                Ok(())
             }
-        };
-        tracing::info!("board: {error}; connecting anew after event {last}");
-        // A connection that told anything, be it that there is no news, was a good one.
-        wait = if told || last > before { FIRST_WAIT } else { (wait * 2).min(LONGEST_WAIT) };
-        tokio::select! {
-            () = sleep(apart(wait)) => {}
-            Ok(()) = address.changed() => address.mark_changed(),
+            Err(error) => self.handle_unreadable(error),
         }
     }
-}
 
-/// Follows one connection to its end and says what that was. `unread` is the event after which a line could
-/// not be read: asked for anew once, it may have been spoilt on the way. Where it can't be read then either,
-/// it is passed over, for all that follows would never be heard.
-async fn connection(
-    address: &str,
-    last: &mut u64,
-    told: &mut bool,
-    unread: &mut Option<u64>,
-    purges_only: bool,
-    reports: &DispatcherSender,
-    tap: &Subscriber,
-) -> String {
-    let mut stream = match timeout(CONNECT, TcpStream::connect(address)).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return format!("not connected: {error}"),
-        Err(_) => return "not connected in time".into(),
-    };
-    if let Err(error) = stream.write_all(format!("watch {last}\n").as_bytes()).await {
-        return format!("broke off: {error}");
+    fn handle_heartbeat(&mut self, revision: u64) -> Result<(), WatchError> {
+        if std::mem::take(&mut self.event_skipped) {
+            // It is the revision of the skipped event.
+            self.revision = self.revision.max(revision);
+            return Ok(());
+        }
+        // Events come in order, so a revision ahead of ours means that some were lost on the way.
+        if revision > self.revision {
+            return Err(WatchError::EventsMissed { revision });
+        }
+        self.heartbeat_received = true;
+        Ok(())
     }
-    let mut buffer = BytesMut::with_capacity(16 * 1024);
-    let mut passed_over = false;
-    loop {
-        match timeout(SILENCE, stream.read_buf(&mut buffer)).await {
-            Ok(Ok(0)) => return "closed".into(),
-            Ok(Ok(_)) => {}
-            Ok(Err(error)) => return format!("broke off: {error}"),
-            Err(_) => return "silent".into(),
+
+    async fn handle_event(&mut self, event: WatchEvent) {
+        if event.revision <= self.revision {
+            return;
         }
-        loop {
-            let line = match next_line(&mut buffer) {
-                Ok(Some(line)) if line.is_empty() => continue,
-                Ok(Some(line)) => line,
-                Ok(None) => break,
-                Err(error) => return error,
-            };
-            match parse_line(&line) {
-                // It is that of what was passed over.
-                Ok(WatchLine::Heartbeat(number)) if std::mem::take(&mut passed_over) => {
-                    *last = number.max(*last)
-                }
-                // Events come in order, so a number ahead of ours means that some were lost on the way.
-                Ok(WatchLine::Heartbeat(number)) if number > *last => {
-                    return format!("events up to {number} missed")
-                }
-                Ok(WatchLine::Heartbeat(_)) => *told = true,
-                Ok(WatchLine::Event(notice)) if notice.revision <= *last => {}
-                Ok(WatchLine::Event(notice)) => {
-                    let rev = notice.revision;
-                    passed_over = false;
-                    if let Some(tap) = tap {
-                        let _ = tap.try_send(notice.clone()); // full: others tell of it
-                    }
-                    if let Some(message) = notice.message(purges_only) {
-                        reports.send(message).await;
-                    }
-                    // Only now: the wait for the mailbox may be cut short by a new address.
-                    *last = rev;
-                }
-                Err(error) if *unread == Some(*last) => {
-                    tracing::warn!("board: bad line, passed over: {error}");
-                    passed_over = true;
-                }
-                Err(error) => {
-                    *unread = Some(*last);
-                    return format!("bad line: {error}");
-                }
-            }
+        let revision = event.revision;
+        self.event_skipped = false;
+        if let Some(subscriber) = &self.subscriber {
+            let _ = subscriber.try_send(event.clone()); // full: other directors report it
+        }
+        if let Some(message) = event.into_message(self.scope) {
+            self.dispatcher.send(message).await;
+        }
+        // Only now: a new address may cancel the wait for the dispatcher's queue.
+        self.revision = revision;
+    }
+
+    fn handle_unreadable(&mut self, error: WatchLineError) -> Result<(), WatchError> {
+        if self.unreadable_after != Some(self.revision) {
+            self.unreadable_after = Some(self.revision);
+            return Err(error.into());
         }
+        tracing::warn!(reason = %error, revision = self.revision, "unreadable discovery event skipped");
+        self.event_skipped = true;
+        Ok(())
+    }
+}
+
+async fn connect(address: &str) -> Result<TcpStream, WatchError> {
+    match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        Ok(connected) => connected.map_err(WatchError::Connect),
+        Err(_) => Err(WatchError::ConnectTimeout),
+    }
+}
+
+/// Reads what comes next; an error if that is the end of the stream or comes too late.
+async fn read_more(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<(), WatchError> {
+    match timeout(HEARTBEAT_TIMEOUT, stream.read_buf(buffer)).await {
+        Ok(Ok(0)) => Err(WatchError::Closed),
+        Ok(Ok(_)) => Ok(()),
+        Ok(Err(error)) => Err(WatchError::Lost(error)),
+        Err(_) => Err(WatchError::HeartbeatMissing),
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -215,7 +215,7 @@
         named(&signed.keys_file, &|t| parse_keys(t).map(drop))?;
     }
     if let Some(path) = &operator.xds_file {
-        named(path, &|t| xds::parse(t).map(drop))?;
+        named(path, &|t| xds::parse(t).map(drop).map_err(|e| e.to_string()))?;
     }
     #[cfg(feature = "peers")]
     if let Some(peers) = &operator.peers {
--- a/tests/board.rs
+++ b/tests/discovery_client.rs
@@ -1,8 +1,9 @@
-//! The follower of the notice board against a stand-in board on loopback.
+//! The discovery client against an emulated discovery service on loopback.
 
 mod standin;
 
-use foxhold::discovery::client;
+use foxhold::discovery::client::DiscoveryClient;
+use foxhold::discovery::{DiscoveryService, WatchScope};
 use foxhold::dispatch::{DispatcherMessage, DispatcherSender};
 use standin::local;
 use std::time::Duration;
@@ -13,9 +14,10 @@
 
 const SOON: Duration = Duration::from_secs(5);
 
-struct Board {
+/// An emulated service and what the client reports of it.
+struct Service {
     listener: TcpListener,
-    news: mpsc::Receiver<DispatcherMessage>,
+    messages: mpsc::Receiver<DispatcherMessage>,
     address: watch::Sender<String>,
 }
 
@@ -25,17 +27,29 @@
     (listener, address)
 }
 
-impl Board {
-    /// A follower that has the events up to 3.
-    async fn start(purges_only: bool) -> Board {
+/// Starts a client that has the events up to revision 3.
+fn spawn_client(
+    address: watch::Receiver<String>,
+    scope: WatchScope,
+    reports: mpsc::Sender<DispatcherMessage>,
+) {
+    let service =
+        DiscoveryService { address, revision: 3, initial_events: Vec::new(), scope, subscriber: None };
+    let client = DiscoveryClient::new(service, DispatcherSender::new(reports));
+    tokio::task::spawn_local(client.run());
+}
+
+impl Service {
+    /// A service whose client has the events up to revision 3.
+    async fn start(scope: WatchScope) -> Service {
         let (listener, address) = listener().await;
-        let (reports, news) = mpsc::channel(16);
-        let (address, at) = watch::channel(address);
-        tokio::task::spawn_local(client::follow(at, 3, purges_only, DispatcherSender::new(reports), None));
-        Board { listener, news, address }
+        let (reports, messages) = mpsc::channel(16);
+        let (address, present) = watch::channel(address);
+        spawn_client(present, scope, reports);
+        Service { listener, messages, address }
     }
 
-    /// The follower's next connection, and what it asks for.
+    /// The client's next connection, and what it requests.
     async fn connection(&self) -> (TcpStream, String) {
         let accepted = timeout(SOON, self.listener.accept()).await.expect("a connection in time");
         let (stream, _) = accepted.expect("a connection");
@@ -45,9 +59,9 @@
         (stream.into_inner(), line)
     }
 
-    /// The object of the next purge that it reports.
+    /// The object of the next purge that the client reports.
     async fn purge(&mut self) -> String {
-        match timeout(SOON, self.news.recv()).await.expect("news in time") {
+        match timeout(SOON, self.messages.recv()).await.expect("a message in time") {
             Some(DispatcherMessage::Purged { object: Some(object), .. }) => object.to_string(),
             other => panic!("{other:?}"),
         }
@@ -61,119 +75,120 @@
 const MEMBERS: &str = "{\"rev\":5,\"pool\":{\"complete\":true,\"members\":[]}}\n";
 
 #[test]
-fn after_a_break_it_asks_for_what_it_has_not_had_and_takes_nothing_twice() {
+fn a_reconnect_requests_only_missing_events_and_reports_none_twice() {
     local(async {
-        let mut board = Board::start(false).await;
-        let (mut stream, asked) = board.connection().await;
+        let mut service = Service::start(WatchScope::MembersAndPurges).await;
+        let (mut stream, asked) = service.connection().await;
         assert_eq!(asked, "watch 3\n");
         stream.write_all(purge(4).as_bytes()).await.expect("a reader");
-        assert_eq!(board.purge().await, "4");
+        assert_eq!(service.purge().await, "4");
         drop(stream);
-        let (mut stream, asked) = board.connection().await;
+        let (mut stream, asked) = service.connection().await;
         assert_eq!(asked, "watch 4\n");
         stream.write_all((purge(4) + "4\n" + &purge(5)).as_bytes()).await.expect("a reader");
-        assert_eq!(board.purge().await, "5");
+        assert_eq!(service.purge().await, "5");
     });
 }
 
 #[test]
-fn a_bad_line_a_number_ahead_or_silence_ends_the_connection() {
-    // What was read before the fault counts, and the event that was missed comes on the next connection.
+fn an_unreadable_line_a_revision_ahead_or_silence_ends_the_connection() {
+    // Events before the fault count, and the missing one is requested on the next connection.
     for fault in ["{\"rev\":\n", "{\"rev\":5,\"flush\":{\"ms\":1}}\n", "9\n", ""] {
         local(async {
-            let mut board = Board::start(false).await;
-            let (mut stream, _) = board.connection().await;
+            let mut service = Service::start(WatchScope::MembersAndPurges).await;
+            let (mut stream, _) = service.connection().await;
             stream.write_all((purge(4) + fault).as_bytes()).await.expect("a reader");
-            assert_eq!(board.purge().await, "4");
-            let (_, asked) = board.connection().await;
+            assert_eq!(service.purge().await, "4");
+            let (_, asked) = service.connection().await;
             assert_eq!(asked, "watch 4\n", "{fault}");
             drop(stream);
         });
     }
 }
 
-/// An event that can't be read would else be asked for anew for ever, with nothing behind it heard.
+/// Guards against requesting an unreadable event for ever, and never receiving what follows it.
 #[test]
-fn an_event_that_can_t_be_read_twice_is_passed_over_and_what_follows_is_heard() {
+fn an_event_that_is_unreadable_twice_is_skipped_and_later_events_are_reported() {
     let unknown =
         "{\"rev\":5,\"pool\":{\"members\":[{\"id\":\"s\",\"host_port\":\"127.0.0.1:1\",\"locality\":\"a\",\
                    \"flavor\":\"b\",\"phase\":\"resting\"}]}}\n";
     for bad in [unknown, "{\"rev\":5\n"] {
         local(async {
-            let mut board = Board::start(false).await;
-            let (mut stream, _) = board.connection().await;
+            let mut service = Service::start(WatchScope::MembersAndPurges).await;
+            let (mut stream, _) = service.connection().await;
             stream.write_all((purge(4) + bad + &purge(6)).as_bytes()).await.expect("a reader");
-            assert_eq!(board.purge().await, "4");
-            let (mut stream, asked) = board.connection().await;
-            assert_eq!(asked, "watch 4\n", "it may have been spoilt on the way");
+            assert_eq!(service.purge().await, "4");
+            let (mut stream, asked) = service.connection().await;
+            assert_eq!(asked, "watch 4\n", "it may have been damaged on the way");
             stream.write_all((bad.to_owned() + &purge(6)).as_bytes()).await.expect("a reader");
-            assert_eq!(board.purge().await, "6");
-            // The newest of all would be missed with each second's number, were that not its own.
+            assert_eq!(service.purge().await, "6");
+            // Heartbeats carry the revision of the newest event: it must not count as missed for ever.
             stream.write_all(bad.replace('5', "7").as_bytes()).await.expect("a reader");
-            let (mut stream, asked) = board.connection().await;
+            let (mut stream, asked) = service.connection().await;
             assert_eq!(asked, "watch 6\n");
             stream
                 .write_all((bad.replace('5', "7") + "7\n7\n" + &purge(8)).as_bytes())
                 .await
                 .expect("a reader");
-            assert_eq!(board.purge().await, "8");
+            assert_eq!(service.purge().await, "8");
             drop(stream);
-            assert_eq!(board.connection().await.1, "watch 8\n");
+            assert_eq!(service.connection().await.1, "watch 8\n");
         });
     }
 }
 
 #[test]
-fn where_the_list_comes_from_a_file_the_board_tells_of_purges_only() {
-    for purges_only in [false, true] {
+fn a_client_with_scope_purges_only_reports_no_members() {
+    for scope in [WatchScope::MembersAndPurges, WatchScope::PurgesOnly] {
         local(async {
-            let mut board = Board::start(purges_only).await;
-            let (mut stream, _) = board.connection().await;
+            let mut service = Service::start(scope).await;
+            let (mut stream, _) = service.connection().await;
             let events = purge(4) + MEMBERS + &purge(6);
             stream.write_all(events.as_bytes()).await.expect("a reader");
-            assert_eq!(board.purge().await, "4");
-            if !purges_only {
+            assert_eq!(service.purge().await, "4");
+            if scope == WatchScope::MembersAndPurges {
                 assert!(matches!(
-                    board.news.recv().await,
+                    service.messages.recv().await,
                     Some(DispatcherMessage::Members { full: true, .. })
                 ));
             }
-            assert_eq!(board.purge().await, "6");
+            assert_eq!(service.purge().await, "6");
         });
     }
 }
 
-/// Guards against waiting on the old board until it closes: it tells nothing more, and drains count as told.
+/// Guards against waiting for the old service to close: it reports nothing more, and drains have to take
+/// effect in time.
 #[test]
-fn a_new_address_is_turned_to_at_once_with_the_last_number() {
+fn a_new_address_is_watched_at_once_from_the_latest_revision() {
     local(async {
-        let mut board = Board::start(false).await;
-        let (mut old, _) = board.connection().await;
-        // The last event is torn, so that it has to come anew.
+        let mut service = Service::start(WatchScope::MembersAndPurges).await;
+        let (mut old, _) = service.connection().await;
+        // The last event is incomplete, so it has to be sent again.
         old.write_all((purge(4) + &purge(5)[..20]).as_bytes()).await.expect("a reader");
-        assert_eq!(board.purge().await, "4");
+        assert_eq!(service.purge().await, "4");
         let (listener, address) = listener().await;
-        board.listener = listener;
-        board.address.send(address).expect("a follower");
-        let (mut stream, asked) = board.connection().await;
+        service.listener = listener;
+        service.address.send(address).expect("a client");
+        let (mut stream, asked) = service.connection().await;
         assert_eq!(asked, "watch 4\n");
         stream.write_all((purge(5) + &purge(5) + &purge(6)).as_bytes()).await.expect("a reader");
-        assert_eq!(board.purge().await, "5");
-        assert_eq!(board.purge().await, "6");
+        assert_eq!(service.purge().await, "5");
+        assert_eq!(service.purge().await, "6");
     });
 }
 
-/// Before: all came back 103 to 105 ms later.
+/// Guards against the herd that a reconnect without jitter makes: all came back within 2 ms.
 #[test]
-fn many_that_a_board_lets_go_at_once_come_back_apart_and_none_later_than_before() {
+fn clients_that_lose_their_service_at_once_reconnect_with_jitter_and_without_extra_delay() {
     local(async {
         let (listener, at) = listener().await;
-        let mut told = Vec::new();
+        let mut clients = Vec::new();
         for _ in 0..60 {
-            let (reports, news) = mpsc::channel(16);
+            let (reports, messages) = mpsc::channel(16);
             let (address, follows) = watch::channel(at.clone());
-            tokio::task::spawn_local(client::follow(follows, 3, false, DispatcherSender::new(reports), None));
-            told.push((address, news));
+            spawn_client(follows, WatchScope::MembersAndPurges, reports);
+            clients.push((address, messages));
         }
         let mut first = Vec::new();
         for _ in 0..60 {
@@ -187,7 +202,7 @@
             back.push(let_go.elapsed().as_secs_f64() * 1e3);
             std::mem::forget(_held);
         }
-        // The wait after a first break is 100 ms at most: it doubles before it is taken.
+        // The first delay is 100 ms at most: it doubles before it is used.
         let (soonest, latest) = (back[0], back[59]);
         assert!(latest - soonest > 25.0, "{soonest} to {latest}");
         let fullest =
@@ -197,14 +212,14 @@
     });
 }
 
-/// Waits grew with each break of a good connection that had no events, up to 0.8 s, and never shrank again.
+/// Guards against a backoff that grows with each end of a good connection that brought no events.
 #[test]
-fn a_board_that_told_there_was_no_news_is_come_back_to_as_soon_each_time() {
+fn a_heartbeat_resets_the_reconnect_backoff() {
     local(async {
-        let board = Board::start(false).await;
+        let service = Service::start(WatchScope::MembersAndPurges).await;
         let begun = std::time::Instant::now();
         for _ in 0..8 {
-            let (mut stream, asked) = board.connection().await;
+            let (mut stream, asked) = service.connection().await;
             assert_eq!(asked, "watch 3\n");
             stream.write_all(b"3\n").await.expect("a reader");
         }
@@ -213,7 +228,7 @@
     });
 }
 
-/// A board of a machine that takes no connections: its queue is full, and what comes is dropped.
+/// A service on a machine that takes no connections: its accept queue is full, and what comes is dropped.
 struct Unreachable {
     listener: TcpListener,
     address: String,
@@ -233,10 +248,10 @@
         Unreachable { listener, address, _queue: queue }
     }
 
-    /// Takes connections again until a follower asks for news; how long that was in coming.
+    /// Takes connections again until a client requests events; returns how long that took.
     async fn returns(self) -> Duration {
         let begun = std::time::Instant::now();
-        let (asked, mut news) = mpsc::channel(16);
+        let (asked, mut requests) = mpsc::channel(16);
         let listener = self.listener;
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -249,32 +264,32 @@
                 });
             }
         });
-        assert_eq!(timeout(SOON, news.recv()).await.expect("in time").as_deref(), Some("watch 3\n"));
+        assert_eq!(timeout(SOON, requests.recv()).await.expect("in time").as_deref(), Some("watch 3\n"));
         begun.elapsed()
     }
 }
 
-/// Guards against the wait for a lost connection and the wait after it taking over a second together.
+/// Guards against a connect timeout and a backoff that take over a second together.
 #[test]
-fn a_board_whose_machine_took_no_connections_is_followed_within_a_second_of_its_return() {
+fn a_service_that_was_unreachable_is_watched_within_a_second_of_its_return() {
     local(async {
         let mut returns = Vec::new();
         for n in 0..10 {
-            let board = Unreachable::start().await;
-            let (reports, news) = mpsc::channel(16);
-            let (address, at) = watch::channel(board.address.clone());
-            tokio::task::spawn_local(client::follow(at, 3, false, DispatcherSender::new(reports), None));
+            let service = Unreachable::start().await;
+            let (reports, messages) = mpsc::channel(16);
+            let (address, present) = watch::channel(service.address.clone());
+            spawn_client(present, WatchScope::MembersAndPurges, reports);
             returns.push(tokio::task::spawn_local(async move {
-                // By then the wait is as long as it gets; each returns at another moment of it.
+                // By then the backoff has its full length; each service returns at another moment of it.
                 tokio::time::sleep(Duration::from_millis(4_000 + 170 * n)).await;
-                let took = board.returns().await;
-                drop((address, news));
+                let took = service.returns().await;
+                drop((address, messages));
                 took
             }));
         }
         let mut times = Vec::new();
         for time in returns {
-            times.push(time.await.expect("a board that is followed"));
+            times.push(time.await.expect("a service that is watched"));
         }
         times.sort();
         println!("followed after {:.0?} to {:.0?}", times[0], times[times.len() - 1]);
@@ -282,46 +297,46 @@
     });
 }
 
-/// Guards against a silence being seen only on a connection that never spoke: here it comes after seconds of
-/// good news, between two lines or within one.
+/// Guards against detecting silence only on a connection that never brought anything: here it comes after
+/// seconds of heartbeats, between two lines or within one.
 #[test]
-fn a_watch_that_falls_silent_late_is_left_in_time_and_asked_for_what_is_missing() {
+fn a_watch_that_falls_silent_late_is_replaced_in_time_and_resumed() {
     for last_words in ["4\n", "{\"rev\":5,\"flush\":{\"asset\":"] {
         local(async {
-            let mut board = Board::start(false).await;
-            let (mut stream, _) = board.connection().await;
+            let mut service = Service::start(WatchScope::MembersAndPurges).await;
+            let (mut stream, _) = service.connection().await;
             stream.write_all(purge(4).as_bytes()).await.expect("a reader");
-            assert_eq!(board.purge().await, "4");
+            assert_eq!(service.purge().await, "4");
             for _ in 0..4 {
                 stream.write_all(b"4\n").await.expect("a reader");
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
             stream.write_all(last_words.as_bytes()).await.expect("a reader");
             let silent = std::time::Instant::now();
-            let (mut stream, asked) = board.connection().await;
+            let (mut stream, asked) = service.connection().await;
             let took = silent.elapsed();
             assert_eq!(asked, "watch 4\n", "{last_words}");
             assert!(took >= Duration::from_secs(2) && took < Duration::from_millis(3_500), "{took:?}");
             stream.write_all((purge(5) + "5\n").as_bytes()).await.expect("a reader");
-            assert_eq!(board.purge().await, "5");
+            assert_eq!(service.purge().await, "5");
         });
     }
 }
 
-/// Guards against a list that comes in place of news being passed over, or its number not being taken.
+/// Guards against ignoring a complete list that comes in place of changes, or its revision.
 #[test]
-fn a_whole_list_in_place_of_news_is_taken_with_its_number_and_an_old_one_is_not() {
+fn a_complete_list_is_reported_once_with_its_revision_and_an_older_one_is_ignored() {
     let whole = |rev: u64| MEMBERS.replace("\"rev\":5", &format!("\"rev\":{rev}"));
     local(async {
-        let mut board = Board::start(false).await;
-        let (mut stream, _) = board.connection().await;
-        // Events 4 to 8 are in the list; it comes again, and an older one after it.
+        let mut service = Service::start(WatchScope::MembersAndPurges).await;
+        let (mut stream, _) = service.connection().await;
+        // The list includes events 4 to 8; it comes again, and then an older one.
         let lines = whole(9) + "9\n" + &whole(9) + &whole(2) + &purge(10);
         stream.write_all(lines.as_bytes()).await.expect("a reader");
-        let first = timeout(SOON, board.news.recv()).await.expect("news in time");
+        let first = timeout(SOON, service.messages.recv()).await.expect("a message in time");
         assert!(matches!(first, Some(DispatcherMessage::Members { full: true, .. })), "{first:?}");
-        assert_eq!(board.purge().await, "10", "neither list again");
+        assert_eq!(service.purge().await, "10", "neither list is reported again");
         drop(stream);
-        assert_eq!(board.connection().await.1, "watch 10\n");
+        assert_eq!(service.connection().await.1, "watch 10\n");
     });
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use foxhold::config::platform::PlatformConfig;
-use foxhold::discovery::{client, xds};
+use foxhold::discovery::{codec, xds};
 use foxhold::frontend::http;
 use foxhold::signed;
 use foxhold::upstream::line_codec;
@@ -40,13 +40,13 @@
     a2 NOENT res=up_lost 0\r\n\r\np1 READY gauges=util:0.61;x1:1.5\r\np2 AILING\r\na3 AGAIN - 0\r\n\r\n";
 
 #[test]
-fn answers_of_servers_read_the_same_however_they_are_cut() {
+fn server_answers_read_the_same_however_they_are_cut() {
     let mut reader = line_codec::LineDecoder::default();
-    let whole = in_pieces(ANSWERS, &[], |b| reader.next(b)).expect("good answers");
-    assert_eq!(whole.len(), 5);
+    let complete = in_pieces(ANSWERS, &[], |b| reader.next(b)).expect("valid answers");
+    assert_eq!(complete.len(), 5);
     check(1, move |cuts: &Vec<u16>| {
         let mut reader = line_codec::LineDecoder::default();
-        in_pieces(ANSWERS, cuts, |b| reader.next(b)).as_ref() == Ok(&whole)
+        in_pieces(ANSWERS, cuts, |b| reader.next(b)).as_ref() == Ok(&complete)
     });
 }
 
@@ -55,38 +55,39 @@
 
 #[test]
 fn requests_read_the_same_however_they_are_cut() {
-    let whole = in_pieces(REQUESTS, &[], |b| http::parse_head(b, 100)).expect("good requests");
-    assert_eq!(whole.len(), 2);
+    let complete = in_pieces(REQUESTS, &[], |b| http::parse_head(b, 100)).expect("valid requests");
+    assert_eq!(complete.len(), 2);
     check(2, move |cuts: &Vec<u16>| {
-        in_pieces(REQUESTS, cuts, |b| http::parse_head(b, 100)).as_ref() == Ok(&whole)
+        in_pieces(REQUESTS, cuts, |b| http::parse_head(b, 100)).as_ref() == Ok(&complete)
     });
 }
 
-const NOTICES: &[u8] = b"{\"rev\":41,\"pool\":{\"revision\":7,\"complete\":false,\"members\":[{\"id\":\"s\",\
+const WATCH_LINES: &[u8] =
+    b"{\"rev\":41,\"pool\":{\"revision\":7,\"complete\":false,\"members\":[{\"id\":\"s\",\
     \"host_port\":\"h:1\",\"locality\":\"east\",\"flavor\":\"std\",\"cell\":2,\"phase\":\"in_service\",\
     \"size\":4,\"up_since_ms\":0}]}}\n{\"rev\":42,\"flush\":{\"asset\":\"7f\",\"ms\":1764576000123}}\n42\n\
     {\"rev\":43,\"flush\":{\"collection\":17,\"ms\":1764576000480}}\n";
 
 #[test]
-fn lines_of_the_board_read_the_same_however_they_are_cut() {
+fn discovery_lines_read_the_same_however_they_are_cut() {
     let read = |cuts: &[u16]| {
-        let lines = in_pieces(NOTICES, cuts, client::next_line).expect("short lines");
-        lines.iter().map(|l| client::parse_line(l)).collect::<Result<Vec<_>, _>>()
+        let lines = in_pieces(WATCH_LINES, cuts, codec::take_line).expect("short lines");
+        lines.iter().map(|l| codec::decode_line(l)).collect::<Result<Vec<_>, _>>()
     };
-    let whole = read(&[]).expect("good lines");
-    assert_eq!((whole.len(), &whole[2]), (4, &client::WatchLine::Heartbeat(42)));
-    check(3, move |cuts: &Vec<u16>| read(cuts).as_ref() == Ok(&whole));
+    let complete = read(&[]).expect("valid lines");
+    assert_eq!((complete.len(), &complete[2]), (4, &codec::WatchLine::Heartbeat(42)));
+    check(3, move |cuts: &Vec<u16>| read(cuts).as_ref() == Ok(&complete));
 }
 
 /// A valid message with one byte changed, or garbage: nothing may panic, and nothing is taken twice.
 #[test]
-fn garbage_is_turned_down_and_never_a_panic() {
+fn garbage_is_rejected_without_a_panic() {
     fn feed(bytes: &[u8]) -> bool {
         let mut reader = line_codec::LineDecoder::default();
         let _ = in_pieces(bytes, &[], |b| reader.next(b));
         let _ = in_pieces(bytes, &[], |b| http::parse_head(b, 100));
-        let _ = in_pieces(bytes, &[], client::next_line)
-            .map(|l| l.iter().map(|l| client::parse_line(l)).filter(Result::is_ok).count());
+        let _ = in_pieces(bytes, &[], codec::take_line)
+            .map(|l| l.iter().map(|l| codec::decode_line(l)).filter(Result::is_ok).count());
         let text = String::from_utf8_lossy(bytes);
         let _ = (xds::parse(&text).is_ok(), PlatformConfig::parse(&text).is_ok());
         let file = r#"{"keys":[{"name":"k","alg":"HMAC-SHA1","key":"MDEyMzQ1Njc4OWFiY2RlZg"}]}"#;
@@ -97,7 +98,7 @@
     let messages = [
         ANSWERS,
         REQUESTS,
-        NOTICES,
+        WATCH_LINES,
         b"/a?URISigningPackage=e30.e30.e30",
         b"/a?Expires=1&KeyName=k&Signature=aa",
     ];
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -5,7 +5,8 @@
 
 use bytes::BytesMut;
 use foxhold::config::settings::{decode_connection_settings, parse_settings};
-use foxhold::discovery::client;
+use foxhold::discovery::codec::{decode_line, WatchLine};
+use foxhold::discovery::WatchChange;
 use foxhold::dispatch::{AttemptId, Clock, DispatcherMessage, Endpoint, ResponseStatus, UpstreamRequest};
 use foxhold::frontend::admin::{self, AdminEndpoint, Reloads};
 use foxhold::frontend::platform::Platform;
@@ -147,17 +148,17 @@
 // ---- discovery ----
 
 /// What an event was read as; states by their number.
-fn event(news: &client::WatchChange) -> String {
+fn event(news: &WatchChange) -> String {
     let member = |listing: &Endpoint| {
         let Endpoint { name, address, zone, kind, cell, state, size, started_at: since } = listing;
         format!(" {name} {address} {zone} {kind} {cell} {} {size} {since}", *state as u8)
     };
     match news {
-        client::WatchChange::Members { complete: full, members } => {
+        WatchChange::Members { complete: full, members } => {
             format!("members {full}{}", members.iter().map(member).collect::<String>())
         }
-        client::WatchChange::Purge { object, group, unix_ms: ms } => format!("purge {object:?} {group} {ms}"),
-        client::WatchChange::Unknown => "other".into(),
+        WatchChange::Purge { object, group, unix_ms: ms } => format!("purge {object:?} {group} {ms}"),
+        WatchChange::Unknown => "other".into(),
     }
 }
 
@@ -190,15 +191,15 @@
     ];
     let mut read = String::new();
     for line in lines {
-        let line = client::parse_line(line.as_bytes()).expect("a good line");
+        let line = decode_line(line.as_bytes()).expect("a good line");
         read += &match line {
-            client::WatchLine::Heartbeat(rev) => format!("last {rev}\n"),
-            client::WatchLine::Event(notice) => format!("{} {}\n", notice.revision, event(&notice.change)),
+            WatchLine::Heartbeat(rev) => format!("last {rev}\n"),
+            WatchLine::Event(notice) => format!("{} {}\n", notice.revision, event(&notice.change)),
         };
     }
     same_as_fixture("discovery.txt", &read);
     for bad in [r#"{"rev":8,"flush":{"ms":1}}"#, "", "x", &complete.replace("in_service", "resting")] {
-        assert!(client::parse_line(bad.as_bytes()).is_err(), "{bad}");
+        assert!(decode_line(bad.as_bytes()).is_err(), "{bad}");
     }
 }
 
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -1,4 +1,4 @@
-//! Members in xDS form, there and back, and updates that are turned down whole.
+//! Endpoint lists in xDS form: decoding, encoding, and responses that are rejected as a whole.
 
 mod standin;
 
@@ -23,8 +23,8 @@
          "health_status":3}]}]}]}"#;
 
 #[test]
-fn both_spellings_read_the_same() {
-    let update = xds::parse(SNAKE).expect("a good response");
+fn snake_case_and_camel_case_decode_to_the_same_endpoints() {
+    let update = xds::parse(SNAKE).expect("a valid response");
     assert_eq!((update.version.as_str(), update.members.len()), ("7", 2));
     let first = Endpoint {
         cell: 2,
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn there_and_back_nothing_is_lost() {
-    let update = xds::parse(SNAKE).expect("a good response");
+fn an_encoded_update_decodes_to_itself() {
+    let update = xds::parse(SNAKE).expect("a valid response");
     assert_eq!(xds::parse(&xds::format(&update)), Ok(update));
 }
 
 #[test]
-fn health_says_what_may_be_sent() {
+fn a_health_status_decides_whether_an_endpoint_takes_new_requests() {
     let states = [
         ("\"UNKNOWN\"", Some(MemberState::Running)),
         ("\"DEGRADED\"", Some(MemberState::Running)),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_fault_anywhere_turns_the_whole_update_down() {
+fn a_fault_anywhere_rejects_the_whole_response() {
     let faults = [
         ("\"port_value\":9090", "\"port_value\":0"),
         ("\"port_value\":9090", "\"port_value\":9090,\"portValue\":9090"),
@@ -98,24 +98,24 @@
 }
 
 #[test]
-fn a_watched_file_that_goes_bad_leaves_the_last_good_list() {
+fn a_watched_file_that_becomes_invalid_leaves_the_last_valid_list() {
     let path = std::env::temp_dir().join(format!("foxhold-xds-{}.json", std::process::id()));
     std::fs::write(&path, SNAKE).expect("a file");
     paused(async {
         let (mailbox, mut inbox) = mpsc::channel(8);
-        let (file, first) = WatchedFile::open(path.clone(), xds::parse).expect("a good file");
+        let (file, first) = WatchedFile::open(path.clone(), xds::parse).expect("a valid file");
         assert_eq!(first.members.len(), 2);
         tokio::task::spawn_local(follow_file(file, DispatcherSender::new(mailbox)));
         std::fs::write(&path, SNAKE.replace("9090", "0")).expect("a file");
         assert!(
             timeout(Duration::from_secs(5), inbox.recv()).await.is_err(),
-            "a bad update, and one unchanged"
+            "an invalid version, and one unchanged"
         );
         std::fs::write(&path, SNAKE.replace("\"HEALTHY\"", "\"DRAINING\"")).expect("a file");
         let Some(DispatcherMessage::Members { members, .. }) = inbox.recv().await else { panic!("no list") };
         assert_eq!(members[0].state, MemberState::Draining);
         sleep(Duration::from_secs(2)).await;
-        assert!(inbox.try_recv().is_err(), "told once");
+        assert!(inbox.try_recv().is_err(), "reported once");
     });
     std::fs::remove_file(&path).expect("the file");
 }
