--- a/src/cluster/source.rs
+++ b/src/cluster/source.rs
@@ -1,6 +1,6 @@
 //! Applies events of the local discovery source to the replicated state.
 
-use crate::config::settings::micros;
+use crate::config::settings::json::micros;
 use crate::discovery::{WatchChange, WatchEvent};
 use crate::replication::entry::{Key, Value};
 use crate::replication::state::{ClockReading, ReplicatedState};
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,131 +1,107 @@
-//! The configuration that the platform hands a director.
+//! The configuration that the platform gives a director in a file.
 
-use crate::config::settings::{
-    check_limits, decode_connection_settings, decode_settings, ConnectionSettings,
-};
-use crate::discovery::codec::WireEvent;
+use super::platform_codec;
+use crate::config::settings::{ConnectionSettings, SettingsDecodeError};
+use crate::discovery::codec::EventError;
 use crate::discovery::WatchEvent;
 use crate::policy::types::Settings;
 use crate::upstream::servers::UpstreamConnector;
-use miniserde::json::{self, Value};
-use miniserde::Deserialize;
 use std::collections::BTreeSet;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-/// What a director is told at its start.
+/// The configuration of a director.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub listen: String,
-    /// The notice board's address.
+    /// Address of the discovery service; empty: there is none.
     pub discovery_address: String,
-    /// Where operators call; empty: nowhere.
+    /// Address of the admin endpoint; empty: there is none.
     pub admin_address: String,
-    /// For random numbers.
+    /// Seed of the router's random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// The module's settings.
+    /// The router's settings.
     pub settings: Settings,
-    /// What they say of connections.
+    /// The settings of connections to servers.
     pub connections: ConnectionSettings,
-    /// The last event that `known` holds.
+    /// Revision of the latest event in `initial_events`.
     pub discovery_revision: u64,
-    /// The notice board's events of the start.
+    /// Events of the discovery service that are known at the start.
     pub initial_events: Vec<WatchEvent>,
-    /// The names of all keys, those within objects with the way there.
-    keys: BTreeSet<String>,
+    /// All keys of the file, those within objects with the way to them.
+    pub(super) keys: BTreeSet<String>,
 }
 
-#[derive(Deserialize)]
-struct Raw {
-    listen: String,
-    board: Option<String>,
-    ops: Option<String>,
-    seed: Option<Value>,
-    limits: Option<Limits>,
-    known: Option<Known>,
-    settings: Value,
-}
-
-#[derive(Deserialize)]
-struct Limits {
-    sockets: Option<f64>,
-}
-
-#[derive(Deserialize)]
-struct Known {
-    rev: u64,
-    notices: Vec<WireEvent>,
+/// Why a configuration can't be used; one line.
+#[derive(Debug, thiserror::Error)]
+pub enum PlatformConfigError {
+    /// The file can't be read.
+    #[error("configuration {}: {source}", .path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// The reason.
+        source: std::io::Error,
+    },
+    /// The content of the file is not valid.
+    #[error("configuration {}: {source}", .path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// The reason.
+        source: Box<PlatformConfigError>,
+    },
+    /// The text is not JSON of the form of a configuration.
+    #[error("not JSON, or without 'listen', 'settings' or a readable 'known'")]
+    Malformed,
+    /// The settings are not valid.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsDecodeError),
+    /// An event that is known at the start is not valid.
+    #[error("known: {0}")]
+    InitialEvent(#[from] EventError),
+    /// The seed is a text but not a hexadecimal number.
+    #[error("seed: not 16 hex digits")]
+    SeedNotHex(#[source] std::num::ParseIntError),
+    /// The seed is neither a text nor a number.
+    #[error("seed: not a number")]
+    SeedNotANumber,
+    /// A key of the configuration in force is missing in its successor.
+    #[error("key '{key}': missing")]
+    MissingKey {
+        /// The key, with the way to it.
+        key: String,
+    },
 }
 
 impl PlatformConfig {
-    /// Reads a configuration from its file; the error is one plain line.
-    pub fn read(path: &Path) -> Result<PlatformConfig, String> {
-        let name = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("configuration {name}: {e}"))?;
-        PlatformConfig::parse(&text).map_err(|e| format!("configuration {name}: {e}"))
+    /// Reads a configuration from its file.
+    pub fn read(path: &Path) -> Result<PlatformConfig, PlatformConfigError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| PlatformConfigError::Read { path: path.to_owned(), source })?;
+        PlatformConfig::parse(&text)
+            .map_err(|e| PlatformConfigError::Invalid { path: path.to_owned(), source: Box::new(e) })
     }
 
-    /// Reads a configuration; the error is one plain line.
-    pub fn parse(text: &str) -> Result<PlatformConfig, String> {
-        let raw: Raw = json::from_str(text)
-            .map_err(|_| "not JSON, or without 'listen', 'settings' or a readable 'known'".to_owned())?;
-        let mut keys = BTreeSet::new();
-        list_keys(&json::from_str(text).map_err(|_| "not JSON")?, "", &mut keys);
-        check_limits(&raw.settings).map_err(|e| format!("settings: {e}"))?;
-        let settings = decode_settings(&raw.settings).map_err(|e| format!("settings: {e}"))?;
-        let transport = decode_connection_settings(&raw.settings).map_err(|e| format!("settings: {e}"))?;
-        let (rev, notices) = raw.known.map_or((0, Vec::new()), |k| (k.rev, k.notices));
-        let known = notices.into_iter().map(WatchEvent::try_from).collect::<Result<_, _>>();
-        Ok(PlatformConfig {
-            listen: raw.listen,
-            discovery_address: raw.board.unwrap_or_default(),
-            admin_address: raw.ops.unwrap_or_default(),
-            seed: seed(raw.seed.as_ref())?,
-            max_descriptors: raw.limits.and_then(|l| l.sockets).map_or(1024, |n| n.clamp(64.0, 1e6) as usize),
-            settings,
-            connections: transport,
-            discovery_revision: rev,
-            initial_events: known.map_err(|e| format!("known: {e}"))?,
-            keys,
-        })
+    /// Decodes a configuration.
+    pub fn parse(text: &str) -> Result<PlatformConfig, PlatformConfigError> {
+        platform_codec::decode(text)
     }
 
-    /// How servers are reached by it where a host application serves the clients: two fifths of the
-    /// descriptors are for connections to them. The daemon shares them out by [`crate::daemon::descriptors`].
+    /// The connections to servers for a host application that serves its clients itself: two fifths of the
+    /// descriptors are for them. The daemon shares them out by [`crate::daemon::descriptors`].
     pub fn upstream_connector(&self) -> UpstreamConnector {
         UpstreamConnector::new(self.connections.clone(), self.max_descriptors * 2 / 5)
     }
 
-    /// Whether a later configuration may take this one's place. Guards against a file that was cut or put
-    /// together badly and can be read all the same: what this one tells it must tell too.
-    pub fn can_replace(&self, before: &PlatformConfig) -> Result<(), String> {
+    /// Whether this configuration may replace the one in force. Guards against a file that was truncated or
+    /// put together badly and is valid all the same: it must have every key that the one in force has.
+    pub fn can_replace(&self, before: &PlatformConfig) -> Result<(), PlatformConfigError> {
         match before.keys.difference(&self.keys).next() {
-            Some(key) => Err(format!("key '{key}': missing")),
+            Some(key) => Err(PlatformConfigError::MissingKey { key: key.clone() }),
             None => Ok(()),
         }
     }
 }
-
-/// Lists the keys of an object and of the objects in it; lists have entries that differ.
-fn list_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
-    let Value::Object(object) = value else { return };
-    for (name, value) in object.iter().filter(|(_, v)| !matches!(v, Value::Null)) {
-        let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-        list_keys(value, &path, keys);
-        keys.insert(path);
-    }
-}
-
-fn seed(value: Option<&Value>) -> Result<u64, String> {
-    match value {
-        None => Ok(0),
-        Some(Value::String(hex)) => {
-            u64::from_str_radix(hex, 16).map_err(|_| "seed: not 16 hex digits".into())
-        }
-        Some(number) => {
-            crate::config::settings::real(number).map(|n| n as u64).ok_or_else(|| "seed: not a number".into())
-        }
-    }
-}
--- /dev/null
+++ b/src/config/platform_codec.rs
@@ -0,0 +1,100 @@
+//! Codec of the platform's configuration file; no other module knows its keys.
+//!
+//! | key | here |
+//! | --- | --- |
+//! | `listen` | [`PlatformConfig::listen`] |
+//! | `board` | [`PlatformConfig::discovery_address`] |
+//! | `ops` | [`PlatformConfig::admin_address`] |
+//! | `seed`, hexadecimal text or number | [`PlatformConfig::seed`] |
+//! | `limits.sockets` | [`PlatformConfig::max_descriptors`] |
+//! | `known.rev` | [`PlatformConfig::discovery_revision`] |
+//! | `known.notices` | [`PlatformConfig::initial_events`], in the form of the [discovery codec] |
+//! | `settings` | [`PlatformConfig::settings`] and `connections`, by the [settings codec] |
+//!
+//! [discovery codec]: crate::discovery::codec
+//! [settings codec]: crate::config::settings::codec
+
+use super::platform::{PlatformConfig, PlatformConfigError};
+use crate::config::settings::json::real;
+use crate::config::settings::{check_limits, decode_connection_settings, decode_settings};
+use crate::discovery::codec::{EventError, WireEvent};
+use crate::discovery::WatchEvent;
+use miniserde::json::{self, Value};
+use miniserde::Deserialize;
+use std::collections::BTreeSet;
+
+/// Descriptors that a process may hold if the file does not say.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+/// Fewest descriptors with which a director can work.
+const MIN_DESCRIPTORS: f64 = 64.0;
+/// Most descriptors that count.
+const MAX_DESCRIPTORS: f64 = 1e6;
+
+#[derive(Deserialize)]
+struct WireConfig {
+    listen: String,
+    board: Option<String>,
+    ops: Option<String>,
+    seed: Option<Value>,
+    limits: Option<WireLimits>,
+    known: Option<WireKnown>,
+    settings: Value,
+}
+
+#[derive(Deserialize)]
+struct WireLimits {
+    sockets: Option<f64>,
+}
+
+#[derive(Deserialize)]
+struct WireKnown {
+    rev: u64,
+    notices: Vec<WireEvent>,
+}
+
+/// Decodes a configuration.
+pub(super) fn decode(text: &str) -> Result<PlatformConfig, PlatformConfigError> {
+    let wire: WireConfig = json::from_str(text).map_err(|_| PlatformConfigError::Malformed)?;
+    let value: Value = json::from_str(text).map_err(|_| PlatformConfigError::Malformed)?;
+    let mut keys = BTreeSet::new();
+    collect_keys(&value, "", &mut keys);
+    check_limits(&wire.settings)?;
+    let settings = decode_settings(&wire.settings)?;
+    let connections = decode_connection_settings(&wire.settings)?;
+    let seed = decode_seed(wire.seed.as_ref())?;
+    let (discovery_revision, events) = wire.known.map_or((0, Vec::new()), |k| (k.rev, k.notices));
+    let events: Result<Vec<WatchEvent>, EventError> = events.into_iter().map(WatchEvent::try_from).collect();
+    Ok(PlatformConfig {
+        listen: wire.listen,
+        discovery_address: wire.board.unwrap_or_default(),
+        admin_address: wire.ops.unwrap_or_default(),
+        seed,
+        max_descriptors: wire
+            .limits
+            .and_then(|limits| limits.sockets)
+            .map_or(DEFAULT_DESCRIPTORS, |n| n.clamp(MIN_DESCRIPTORS, MAX_DESCRIPTORS) as usize),
+        settings,
+        connections,
+        discovery_revision,
+        initial_events: events?,
+        keys,
+    })
+}
+
+/// Collects the keys of an object and of the objects in it, but not of those in lists, whose entries differ.
+fn collect_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
+    let Value::Object(object) = value else { return };
+    for (name, value) in object.iter().filter(|(_, value)| !matches!(value, Value::Null)) {
+        let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+        collect_keys(value, &path, keys);
+        keys.insert(path);
+    }
+}
+
+fn decode_seed(value: Option<&Value>) -> Result<u64, PlatformConfigError> {
+    match value {
+        None => Ok(0),
+        Some(Value::String(hex)) => u64::from_str_radix(hex, 16).map_err(PlatformConfigError::SeedNotHex),
+        Some(value) => real(value).map(|number| number as u64).ok_or(PlatformConfigError::SeedNotANumber),
+    }
+}
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -273,7 +273,8 @@
     reloads: Rc<Reloads>,
 ) {
     while let Some(new) = configs.recv().await {
-        let new = match new.and_then(|new| new.can_replace(&config).map(|()| new)) {
+        let new = match new.and_then(|new| new.can_replace(&config).map(|()| new).map_err(|e| e.to_string()))
+        {
             Ok(new) => new,
             Err(error) => {
                 tracing::warn!("{error}; the configuration before stays");
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -187,7 +187,9 @@
 
     /// A director as the platform's configuration file describes it: settings, board, seed and connections.
     pub fn from_file(path: impl AsRef<std::path::Path>) -> Result<Builder, BuildError> {
-        Ok(Builder::from_config(PlatformConfig::read(path.as_ref()).map_err(BuildError::Config)?))
+        Ok(Builder::from_config(
+            PlatformConfig::read(path.as_ref()).map_err(|e| BuildError::Config(e.to_string()))?,
+        ))
     }
 
     pub(crate) fn new(core: Dispatcher, control: mpsc::UnboundedSender<Control>) -> Self {
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -68,9 +68,9 @@
         DiscoveryClient { address: service.address, events }
     }
 
-    /// Watches the service and reconnects with backoff. Turns to a new address at once and asks there for what
-    /// follows the latest event: the old address reports nothing more. Ends when nobody can set an address
-    /// any more and there is none.
+    /// Watches the service and reconnects with backoff. A new address is watched at once, from the latest
+    /// event on: the old one reports nothing more. Ends if there is no address and nobody can set one any
+    /// more.
     pub async fn run(mut self) {
         let mut backoff = Backoff::default();
         loop {
--- a/src/discovery/codec.rs
+++ b/src/discovery/codec.rs
@@ -25,7 +25,7 @@
 //! An event with neither `pool` nor `flush` is [`WatchChange::Unknown`]; unknown fields are ignored.
 
 use super::event::{WatchChange, WatchEvent};
-use crate::config::settings::micros;
+use crate::config::settings::json::micros;
 use crate::dispatch::Endpoint;
 use crate::policy::types::MemberState;
 use bytes::BytesMut;
--- a/src/discovery/event.rs
+++ b/src/discovery/event.rs
@@ -1,6 +1,6 @@
 //! Watch events: the changes of members and the purges that the discovery service reports.
 
-use crate::config::settings::micros;
+use crate::config::settings::json::micros;
 use crate::dispatch::{DispatcherMessage, Endpoint};
 use tokio::sync::mpsc;
 
--- a/src/discovery/xds/decode.rs
+++ b/src/discovery/xds/decode.rs
@@ -3,7 +3,7 @@
 use super::error::{FieldFault, XdsError};
 use super::message::Message;
 use super::{Update, CLUSTER_TYPE, LOAD_ASSIGNMENT_TYPE, METADATA_KEY, RESOURCE_TYPE};
-use crate::config::settings::{micros, real, text};
+use crate::config::settings::json::{micros, real, text};
 use crate::dispatch::Endpoint;
 use crate::policy::types::MemberState;
 use miniserde::json::{self, Value};
--- a/src/discovery/xds/message.rs
+++ b/src/discovery/xds/message.rs
@@ -1,7 +1,7 @@
 //! Access to the fields of a message in proto3 JSON.
 
 use super::error::{FieldFault, XdsError};
-use crate::config::settings::{real, text};
+use crate::config::settings::json::{real, text};
 use miniserde::json::{Object, Value};
 
 /// A message whose fields are looked up by their proto name.
--- a/src/main.rs
+++ b/src/main.rs
@@ -143,7 +143,9 @@
         use std::io::{Read, Write};
         let door = match (&self.door, std::env::var_os("ROUTER_CONFIG")) {
             (Some(door), _) => door.clone(),
-            (None, Some(path)) => PlatformConfig::read(&PathBuf::from(path))?.admin_address,
+            (None, Some(path)) => {
+                PlatformConfig::read(&PathBuf::from(path)).map_err(|e| e.to_string())?.admin_address
+            }
             (None, None) => return Err("neither --door nor ROUTER_CONFIG says where the door is".into()),
         };
         let failed = |e: std::io::Error| format!("the door at {door}: {e}");
@@ -280,7 +282,7 @@
 /// Reads the configuration. Where the system lets this process hold fewer descriptors than it says, that
 /// counts.
 fn read_config(path: &Path) -> Result<PlatformConfig, String> {
-    let mut config = PlatformConfig::read(path)?;
+    let mut config = PlatformConfig::read(path).map_err(|e| e.to_string())?;
     let limit = getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok());
     config.max_descriptors = config.max_descriptors.min(limit.unwrap_or(usize::MAX));
     Ok(config)
--- a/src/signed/token.rs
+++ b/src/signed/token.rs
@@ -2,7 +2,7 @@
 
 use super::keys::{decode_base64url, Keys};
 use super::{check_times, Denied, Grant};
-use crate::config::settings::{real, text};
+use crate::config::settings::json::{real, text};
 use crate::policy::types::Micros;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -1,6 +1,6 @@
 //! Reads the values of one line, in order, with errors that name the field.
 
-use crate::config::settings::micros;
+use crate::config::settings::json::micros;
 use crate::policy::types::{Micros, ObjectId, Outcome, ServerId};
 
 /// A value, or what is wrong with its field.
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -125,7 +125,7 @@
     fn start(&mut self, who: u32, f: &mut Fields) -> Parsed<()> {
         let bad_params = |e: String| format!("message 'start', field 'params': {e}");
         let seed = f.number("entropy")?;
-        let settings = parse_settings(f.tail("params")?).map_err(bad_params)?;
+        let settings = parse_settings(f.tail("params")?).map_err(|e| bad_params(e.to_string()))?;
         let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
         let (zones, kinds) = (settings.zones.clone(), settings.kinds.clone());
         let router = Router::new(settings, seed).map_err(|e| bad_params(e.to_string()))?;
--- a/src/upstream/line_codec.rs
+++ b/src/upstream/line_codec.rs
@@ -214,7 +214,7 @@
             "tag" => fields.tag = Some(value.into()),
             "lag" => {
                 let ms: f64 = value.parse().map_err(|_| LineError("'lag' is not a number"))?;
-                fields.waited = crate::config::settings::micros(ms);
+                fields.waited = crate::config::settings::json::micros(ms);
             }
             "res" => fields.note = parse_note(value),
             "gauges" => {
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,28 +1,28 @@
-//! The operator's own file, and what the program says of files before it serves.
+//! The operator's own file, and the checks of files before the program serves.
 
 use foxhold::config::operator::{LibrarySection, LogForm, OperatorConfig};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 fn parse(text: &str) -> Result<OperatorConfig, String> {
-    OperatorConfig::parse(text, Path::new("/etc/foxhold"))
+    OperatorConfig::parse(text, Path::new("/etc/foxhold")).map_err(|e| e.to_string())
 }
 
 #[test]
-fn the_file_under_deploy_leaves_all_off() {
+fn the_deployed_file_enables_no_section() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/foxhold.yaml");
-    let operator = OperatorConfig::read(&path).expect("a good file");
+    let operator = OperatorConfig::read(&path).expect("a valid file");
     assert_eq!((operator.signed, operator.xds_file, operator.peers), (None, None, None));
 }
 
 #[test]
-fn sections_are_read_with_paths_beside_the_file_and_nothing_expanded() {
+fn sections_are_decoded_with_paths_relative_to_the_file_and_without_expansion() {
     let operator = parse(
         "signed: {listen: '127.0.0.1:1', keys: 'keys-${HOME}.json'}\nmembers:\n  xds: /var/members.json\n\
          library: {open: 9}\nlog: {level: 'info,foxhold::dispatch=debug', form: json}\n",
     )
-    .expect("a good file");
-    let signed = operator.signed.expect("a front");
+    .expect("a valid file");
+    let signed = operator.signed.expect("a frontend");
     assert_eq!(signed.keys_file, PathBuf::from("/etc/foxhold/keys-${HOME}.json"));
     assert_eq!(operator.xds_file, Some("/var/members.json".into()));
     assert_eq!(operator.library, LibrarySection { max_open_requests: 9, ..LibrarySection::default() });
@@ -33,9 +33,9 @@
 const PEERS: &str = "listen: '127.0.0.1:7300', name: a, fleet: toy, key: peers.key";
 
 #[test]
-fn talk_among_directors_is_read_with_its_usual_values() {
+fn the_peers_section_has_defaults() {
     let peers =
-        parse(&format!("peers: {{{PEERS}, seeds: ['127.0.0.1:7301']}}\n")).expect("a good file").peers;
+        parse(&format!("peers: {{{PEERS}, seeds: ['127.0.0.1:7301']}}\n")).expect("a valid file").peers;
     let peers = peers.expect("a section");
     assert_eq!((peers.advertise, peers.catch_up_timeout, peers.state_folder), (peers.listen, None, None));
     assert_eq!(
@@ -44,13 +44,13 @@
     );
     assert_eq!(peers.key_file, PathBuf::from("/etc/foxhold/peers.key"));
     let careful = parse(&format!("peers: {{{PEERS}, mode: careful, careful_ms: 500, folder: state}}\n"));
-    let careful = careful.expect("a good file").peers.expect("a section");
+    let careful = careful.expect("a valid file").peers.expect("a section");
     assert_eq!(careful.catch_up_timeout.map(|c| c.as_millis()), Some(500));
     assert_eq!(careful.state_folder, Some("/etc/foxhold/state".into()));
 }
 
 #[test]
-fn faults_in_the_section_on_talk_are_named_with_their_key() {
+fn faults_in_the_peers_section_name_their_key() {
     for (keys, says) in [
         ("name: b", "duplicate"),
         ("advertise: 'director:7300'", "peers.advertise: 'director:7300' is no address and port"),
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn the_flat_form_of_earlier_versions_is_read_as_it_was() {
+fn the_flat_form_of_earlier_versions_is_still_decoded() {
     let flat = r#"{"listen": "127.0.0.1:1", "metrics": "127.0.0.1:2", "keys": "k.json", "xds": "m.json"}"#;
-    let operator = parse(flat).expect("a good file");
-    assert_eq!(operator.signed.expect("a front").metrics_listen.as_deref(), Some("127.0.0.1:2"));
+    let operator = parse(flat).expect("a valid file");
+    assert_eq!(operator.signed.expect("a frontend").metrics_listen.as_deref(), Some("127.0.0.1:2"));
     assert_eq!(operator.xds_file, Some("/etc/foxhold/m.json".into()));
     assert_eq!(parse(r#"{"listen": "", "xds": "m.json"}"#).expect("off").xds_file, None);
 }
 
 #[test]
-fn bad_files_are_turned_down_with_their_place() {
+fn invalid_files_are_rejected_with_their_place() {
     for (text, says) in [
         ("log:\n  level: info\n  colour: red\n", "colour"),
         ("log:\n  level: info\n  colour: red\n", "line 3"),
@@ -115,7 +115,7 @@
     }
 
     #[test]
-    fn check_names_each_fault_and_ends_with_2() {
+    fn check_names_each_fault_and_exits_with_status_2() {
         let good = foxhold(&[
             "check",
             "examples/config.json",
@@ -149,20 +149,20 @@
         assert!(faults.iter().zip(says).all(|(fault, says)| fault.contains(says)), "{faults:?}");
     }
 
-    /// A door that answers one call, and what the program makes of it.
+    /// An admin endpoint that answers one call, and what the program prints.
     #[cfg(feature = "peers")]
     #[test]
-    fn peers_are_shown_as_a_table_and_a_door_that_is_shut_is_named() {
+    fn peers_are_shown_as_a_table_and_an_unreachable_admin_endpoint_is_named() {
         use std::io::{BufRead, BufReader, Write};
         let shown = r#"{"name":"a","address":"127.0.0.1:1","incarnation":1,"stage":"caught up","bytes":9,
             "entries":{"purges":3},"gone":["c at x"],
             "peers":[{"name":"b","address":"127.0.0.1:2","heard_ms":12,"alike_ms":null}],
             "twins":[],"counts":{"taken":3,"known":0},"turned_down":{"seal":2}}"#
             .replace('\n', "");
-        let door = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = door.local_addr().expect("an address").to_string();
+        let endpoint = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = endpoint.local_addr().expect("an address").to_string();
         let answer = std::thread::spawn(move || {
-            let (mut stream, _) = door.accept().expect("a caller");
+            let (mut stream, _) = endpoint.accept().expect("a caller");
             let mut call = String::new();
             BufReader::new(&stream).read_line(&mut call).expect("a call");
             stream.write_all(format!("{shown}\nEND\n").as_bytes()).expect("a reader");
