--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,175 +1,152 @@
-//! The simulator's text protocol: parses batches of events, formats replies, hosts many routers. It decides
-//! nothing.
+//! Runs any number of routers behind the simulator's text protocol. It decides nothing.
 
-mod action;
-mod event;
-mod fields;
+mod codec;
+mod error;
+mod lines;
 
-use crate::config::settings::parse_settings;
 use crate::policy::types::{Action, Event, Micros};
 use crate::Router;
-use action::format_action;
-use event::{parse_event, parse_item, parse_view, MESSAGES};
-use fields::{Fields, Parsed};
+use codec::{FieldReader, MessageKind, Names};
+pub use error::{FieldFault, MessageError, SimulatorError};
+use lines::LineReader;
 use std::collections::BTreeMap;
-use std::io::{self, BufRead, Write};
-
-/// Why the input was turned down: the line and what is wrong with it.
-#[derive(Debug)]
-pub struct SimulatorError {
-    /// Line of the input, counted from 1.
-    pub line: usize,
-    /// What is wrong, naming the field.
-    pub what: String,
-}
-
-impl std::fmt::Display for SimulatorError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
-    }
-}
-
-impl std::error::Error for SimulatorError {}
+use std::io::{BufRead, Write};
 
 /// A router, and the names that messages to it use.
-struct Hosted {
+struct RouterInstance {
     router: Router,
-    zones: Vec<String>,
-    kinds: Vec<String>,
-    classes: Vec<String>,
+    names: Names,
 }
 
-/// Many routers behind one wire; they share nothing.
+/// Many routers behind one connection to the simulator; they share nothing.
 #[derive(Default)]
 pub struct SimulatorHost {
-    instances: BTreeMap<u32, Hosted>,
+    instances: BTreeMap<u32, RouterInstance>,
     now: Micros,
     actions: Vec<Action>,
+    /// The reply to the present batch.
+    reply: String,
 }
 
 impl SimulatorHost {
     /// Reads batches from `input` until it ends and writes a reply to each.
-    pub fn run(
-        &mut self,
-        mut input: impl BufRead,
-        mut output: impl Write,
-    ) -> Result<(), Box<dyn std::error::Error>> {
-        let (mut line, mut number, mut reply) = (String::new(), 0, String::new());
-        let mut in_batch = false;
-        while next_line(&mut input, &mut line, &mut number)? {
-            let at = number;
-            let fail = |what| SimulatorError { line: at, what };
-            let mut f = Fields::new(&line);
-            if !in_batch {
-                if f.message != "sync" {
-                    return Err(fail(format!("'{}' where 'sync' should begin a batch", f.message)).into());
-                }
-                self.now = f.time("clockMs").map_err(fail)?;
-                in_batch = true;
-            } else if f.message == "eof_batch" {
-                reply.push_str("eor\n");
-                output.write_all(reply.as_bytes())?;
-                output.flush()?;
-                reply.clear();
-                in_batch = false;
-            } else if f.message == "view" {
-                let (who, kind, entries) = parse_view(&mut f).map_err(fail)?;
-                let mut members = Vec::new();
-                let known = self.instances.get(&who).ok_or_else(|| fail(unknown("view", who)))?;
-                for _ in 0..entries {
-                    if !next_line(&mut input, &mut line, &mut number)? {
-                        let what =
-                            "message 'view', field 'hosts': the input ends before its entries do".into();
-                        return Err(SimulatorError { line: number, what }.into());
-                    }
-                    members.push(
-                        parse_item(&line, known).map_err(|what| SimulatorError { line: number, what })?,
-                    );
+    pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), SimulatorError> {
+        let mut lines = LineReader::new(input);
+        while let Some(line) = lines.next()? {
+            let mut fields = FieldReader::new(line.text);
+            self.now = begin_batch(&mut fields).map_err(|error| error_at(line.number, error))?;
+            self.run_batch(&mut lines)?;
+            codec::encode_end_of_reply(&mut self.reply);
+            output.write_all(self.reply.as_bytes())?;
+            output.flush()?;
+            self.reply.clear();
+        }
+        Ok(())
+    }
+
+    /// Handles all messages up to the end of the batch.
+    fn run_batch(&mut self, lines: &mut LineReader<impl BufRead>) -> Result<(), SimulatorError> {
+        loop {
+            let Some(line) = lines.next()? else {
+                return Err(error_at(lines.number(), MessageError::UnfinishedBatch));
+            };
+            let number = line.number;
+            let mut fields = FieldReader::new(line.text);
+            match MessageKind::from_name(fields.message) {
+                Some(MessageKind::EndBatch) => return Ok(()),
+                Some(MessageKind::MemberList) => {
+                    let list = self.member_list(&mut fields).map_err(|error| error_at(number, error))?;
+                    self.read_members(list, lines)?;
                 }
-                self.deliver(who, Event::Members { kind, members }, &mut reply);
-            } else {
-                self.event(&mut f, &mut reply).map_err(fail)?;
+                kind => self.handle_message(kind, &mut fields).map_err(|error| error_at(number, error))?,
             }
         }
-        if in_batch {
-            return Err(SimulatorError {
-                line: number,
-                what: "the input ends inside a batch, no 'eof_batch'".into(),
-            }
-            .into());
+    }
+
+    /// The head of a member list, whose router must have been started.
+    fn member_list(&self, fields: &mut FieldReader) -> Result<codec::MemberListHead, MessageError> {
+        let list = codec::decode_member_list(fields)?;
+        if !self.instances.contains_key(&list.router) {
+            return Err(codec::unknown_router(fields, list.router));
         }
+        Ok(list)
+    }
+
+    /// Reads the entries of a member list and passes it on.
+    fn read_members(
+        &mut self,
+        list: codec::MemberListHead,
+        lines: &mut LineReader<impl BufRead>,
+    ) -> Result<(), SimulatorError> {
+        let Some(instance) = self.instances.get(&list.router) else { return Ok(()) };
+        let mut members = Vec::new();
+        for _ in 0..list.entries {
+            let Some(line) = lines.next()? else {
+                let error = codec::member_list_error(FieldFault::UnfinishedList);
+                return Err(error_at(lines.number(), error));
+            };
+            let member = codec::decode_member(line.text, &instance.names);
+            members.push(member.map_err(|error| error_at(line.number, error))?);
+        }
+        self.deliver(list.router, Event::Members { kind: list.kind, members });
         Ok(())
     }
 
     /// Handles one message that is neither the frame of a batch nor a list.
-    fn event(&mut self, f: &mut Fields, reply: &mut String) -> Parsed<()> {
-        let message = f.message;
-        if !MESSAGES.contains(&message) {
-            return Err(format!("unknown message '{message}'"));
-        }
-        let who: u32 = f.number("who")?;
-        if message == "start" {
-            return self.start(who, f);
+    fn handle_message(
+        &mut self,
+        kind: Option<MessageKind>,
+        fields: &mut FieldReader,
+    ) -> Result<(), MessageError> {
+        let unknown = || MessageError::Unknown { message: fields.message.to_owned() };
+        let kind = kind.filter(|kind| *kind != MessageKind::BeginBatch).ok_or_else(unknown)?;
+        let id = codec::decode_router(fields)?;
+        if kind == MessageKind::Start {
+            return self.start(id, fields);
         }
-        let hosted = self.instances.get(&who).ok_or_else(|| unknown(message, who))?;
-        if message == "down" {
-            self.instances.remove(&who);
-            return Ok(());
+        let instance = self.instances.get(&id).ok_or_else(|| codec::unknown_router(fields, id))?;
+        if let MessageKind::Event(kind) = kind {
+            let event = codec::decode_event(kind, fields, &instance.names)?;
+            self.deliver(id, event);
+        } else {
+            self.instances.remove(&id);
         }
-        let event = parse_event(f, hosted)?;
-        self.deliver(who, event, reply);
         Ok(())
     }
 
-    /// Starts a router by the settings in the message.
-    fn start(&mut self, who: u32, f: &mut Fields) -> Parsed<()> {
-        let bad_params = |e: String| format!("message 'start', field 'params': {e}");
-        let seed = f.number("entropy")?;
-        let settings = parse_settings(f.tail("params")?).map_err(|e| bad_params(e.to_string()))?;
-        let classes = settings.classes.iter().map(|c| c.name.clone()).collect();
-        let (zones, kinds) = (settings.zones.clone(), settings.kinds.clone());
-        let router = Router::new(settings, seed).map_err(|e| bad_params(e.to_string()))?;
-        self.instances.insert(who, Hosted { router, zones, kinds, classes });
+    /// Starts a router with the settings in the message.
+    fn start(&mut self, id: u32, fields: &mut FieldReader) -> Result<(), MessageError> {
+        let codec::StartMessage { seed, settings } = codec::decode_start(fields)?;
+        let names = Names {
+            zones: settings.zones.clone(),
+            kinds: settings.kinds.clone(),
+            classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
+        };
+        let router = Router::new(settings, seed)
+            .map_err(|error| codec::settings_error(fields, FieldFault::Settings(error)))?;
+        self.instances.insert(id, RouterInstance { router, names });
         Ok(())
     }
 
-    fn deliver(&mut self, who: u32, event: Event, reply: &mut String) {
-        if let Some(hosted) = self.instances.get_mut(&who) {
-            self.actions.clear();
-            hosted.router.handle(self.now, event, &mut self.actions);
-            for action in &self.actions {
-                format_action(who, action, reply);
-            }
+    /// Passes an event to a router and appends its actions to the reply.
+    fn deliver(&mut self, id: u32, event: Event) {
+        let Some(instance) = self.instances.get_mut(&id) else { return };
+        self.actions.clear();
+        instance.router.handle(self.now, event, &mut self.actions);
+        for action in &self.actions {
+            codec::encode_action(id, action, &mut self.reply);
         }
     }
 }
 
-fn next_line(
-    input: &mut impl BufRead,
-    line: &mut String,
-    number: &mut usize,
-) -> Result<bool, Box<dyn std::error::Error>> {
-    loop {
-        line.clear();
-        let read = input.read_line(line).map_err(|e| match e.kind() {
-            io::ErrorKind::InvalidData => {
-                SimulatorError { line: *number + 1, what: "not UTF-8 text".into() }.into()
-            }
-            _ => Box::<dyn std::error::Error>::from(e),
-        })?;
-        if read == 0 {
-            return Ok(false);
-        }
-        *number += 1;
-        while line.ends_with(['\n', '\r']) {
-            line.pop();
-        }
-        if !line.is_empty() {
-            return Ok(true);
-        }
+/// The time of the batch that this message begins.
+fn begin_batch(fields: &mut FieldReader) -> Result<Micros, MessageError> {
+    if MessageKind::from_name(fields.message) != Some(MessageKind::BeginBatch) {
+        return Err(MessageError::OutsideBatch { message: fields.message.to_owned() });
     }
+    codec::decode_batch_start(fields)
 }
 
-fn unknown(message: &str, who: u32) -> String {
-    format!("message '{message}', field 'who': no instance {who} was started")
+fn error_at(line: usize, source: MessageError) -> SimulatorError {
+    SimulatorError::Input { line, source }
 }
--- a/tests/wire.rs
+++ b/tests/simulator_codec.rs
@@ -1,4 +1,4 @@
-//! The wire: a golden exchange, and plain messages on what is malformed.
+//! The simulator's text protocol: a recorded exchange, and errors that name what is malformed.
 
 use foxhold::config::settings::parse_settings;
 use foxhold::simulator::SimulatorHost;
@@ -21,14 +21,14 @@
      item 71 hub origin 2 in_service 1 -"
 }
 
-fn play(input: &str) -> Result<String, String> {
+fn exchange(input: &str) -> Result<String, String> {
     let mut output = Vec::new();
     SimulatorHost::default().run(input.as_bytes(), &mut output).map_err(|e| e.to_string())?;
     Ok(String::from_utf8(output).expect("text"))
 }
 
 #[test]
-fn a_golden_exchange() {
+fn a_recorded_exchange_is_answered_byte_for_byte() {
     let input = format!(
         "sync 1000.25\neof_batch\nsync 1002.0\n{}\n{}\nask 3 9001 pages - 00f3 3002.0 80 11 0 0\neof_batch\n\
          sync 1090.5\nreport_back 3 9001 0 51 Ok 88.5 1 2 9.4 -\ninvalidated 3 00f3 11 85.5\neof_batch\n\
@@ -45,11 +45,11 @@
         read_through 3 9002 51 0.000 61 2 95.000 0\n\
         wake_at 3 3100.000 18446744073709560618\n\
         eor\neor\n";
-    assert_eq!(play(&input).expect("a good exchange"), expected);
+    assert_eq!(exchange(&input).expect("a valid exchange"), expected);
 }
 
 #[test]
-fn bad_input_names_the_line_and_the_field() {
+fn an_error_names_the_line_and_the_field() {
     let begun = format!("sync 1\n{}\n{}\n", start(), list());
     let cases = [
         ("hello 1\n".to_owned(), "line 1", "sync"),
@@ -77,7 +77,7 @@
         (begun.clone(), "line 6", "eof_batch"),
     ];
     for (input, line, field) in cases {
-        let error = play(&input).expect_err(&input);
+        let error = exchange(&input).expect_err(&input);
         assert!(error.starts_with(&format!("{line}:")) && error.contains(field), "{input}: {error}");
     }
     let mut output = Vec::new();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_host_exits_non_zero_on_bad_input_and_zero_at_the_end() {
+fn the_adapter_exits_with_a_failure_status_on_invalid_input_only() {
     use std::io::Write;
     use std::process::{Command, Stdio};
     for (input, good) in [("sync 1\neof_batch\n", true), ("sync 1\n", false)] {
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_skipped() {
-    let settings = parse_settings(PARAMS).expect("good settings");
+fn settings_are_decoded_and_unknown_keys_ignored() {
+    let settings = parse_settings(PARAMS).expect("valid settings");
     assert_eq!((settings.parent_kind, settings.origin_kind, settings.zone), (Some(1), 2, 1));
     assert_eq!((settings.purge_complete_within, settings.max_attempts), (6_000_000, 4));
     assert!(parse_settings("[]").is_err());
