--- a/crates/foxhold-testbed/src/replay.rs
+++ b/crates/foxhold-testbed/src/replay.rs
@@ -18,7 +18,7 @@
 use foxhold::dispatch::{
     ClientResponse, DispatcherSender, Endpoint, EndpointCommand, EndpointConnector, FailureReason,
 };
-use foxhold::upstream::servers::UpstreamConnector;
+use foxhold::upstream::UpstreamConnector;
 use foxhold::ServerId;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -5,7 +5,7 @@
 use crate::discovery::codec::EventError;
 use crate::discovery::WatchEvent;
 use crate::policy::types::Settings;
-use crate::upstream::servers::UpstreamConnector;
+use crate::upstream::UpstreamConnector;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -16,7 +16,7 @@
 use crate::frontend::signed::{self, parse_keys, Metrics, Signed};
 use crate::policy::types::Settings;
 use crate::signed::{Counts, Keys};
-use crate::upstream::servers::UpstreamConnector;
+use crate::upstream::UpstreamConnector;
 use descriptors::{Needs, Shares};
 use std::cell::Cell;
 use std::future::Future;
--- a/src/director/builder.rs
+++ b/src/director/builder.rs
@@ -7,7 +7,7 @@
 use crate::discovery::{DiscoveryService, EndpointSource, WatchScope};
 use crate::dispatch::{self, Clock, Dispatcher, EndpointConnector, RunningDispatcher};
 use crate::policy::types::{Settings, SettingsError};
-use crate::upstream::servers::UpstreamConnector;
+use crate::upstream::UpstreamConnector;
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
--- /dev/null
+++ b/src/upstream/connection_pool.rs
@@ -0,0 +1,170 @@
+//! The connections to one endpoint, and the choice among them.
+
+use super::connection::{Connection, ConnectionEvent, ConnectionId, Reporter};
+use super::descriptor_permits::DescriptorPermits;
+use super::COMMAND_QUEUE;
+use crate::config::settings::ConnectionSettings;
+use crate::dispatch::{AttemptError, AttemptId, DispatcherSender, EndpointCommand, UpstreamRequest};
+use std::collections::HashMap;
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+/// Connections to one endpoint at a time, so that all endpoints together fit the descriptor limit.
+const MAX_CONNECTIONS: usize = 8;
+/// Attempts that a connection carries before another one is opened: a response that can't be decoded costs
+/// all of them. If no other can be opened they share one as far as the settings allow.
+const PREFERRED_ATTEMPTS: usize = 4;
+
+/// The connections to one endpoint.
+pub(super) struct ConnectionPool {
+    address: Arc<str>,
+    settings: ConnectionSettings,
+    permits: DescriptorPermits,
+    dispatcher: DispatcherSender,
+    events: mpsc::Sender<ConnectionEvent>,
+    connections: Vec<PooledConnection>,
+    next_id: u64,
+}
+
+/// What the pool knows of a connection.
+struct PooledConnection {
+    id: ConnectionId,
+    commands: mpsc::Sender<EndpointCommand>,
+    /// The attempts that it carries, with the ids of their requests.
+    attempts: HashMap<AttemptId, Arc<str>>,
+    is_up: bool,
+    /// It may be dead and gets nothing new.
+    is_unresponsive: bool,
+}
+
+impl PooledConnection {
+    /// Whether it can carry the request. Two attempts of one request never share a connection, for their
+    /// responses could not be told apart.
+    fn accepts(&self, request: &UpstreamRequest, max_streams: usize) -> bool {
+        !self.is_unresponsive
+            && self.attempts.len() < max_streams
+            && self.attempts.values().all(|id| *id != request.id)
+    }
+}
+
+impl ConnectionPool {
+    /// A pool without connections.
+    pub(super) fn new(
+        address: Arc<str>,
+        settings: ConnectionSettings,
+        permits: DescriptorPermits,
+        dispatcher: DispatcherSender,
+        events: mpsc::Sender<ConnectionEvent>,
+    ) -> Self {
+        ConnectionPool { address, settings, permits, dispatcher, events, connections: Vec::new(), next_id: 0 }
+    }
+
+    /// Notes that a connection has come up.
+    pub(super) fn mark_up(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.find(id) {
+            connection.is_up = true;
+        }
+    }
+
+    /// Notes that a connection no longer carries an attempt.
+    pub(super) fn release(&mut self, id: ConnectionId, attempt: AttemptId) {
+        if let Some(connection) = self.find(id) {
+            connection.attempts.remove(&attempt);
+        }
+        self.drop_unresponsive();
+    }
+
+    /// Notes that a connection may be dead: it gets nothing new, and is dropped with its last attempt.
+    pub(super) fn mark_unresponsive(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.find(id) {
+            connection.is_unresponsive = true;
+        }
+        self.drop_unresponsive();
+    }
+
+    /// Notes that a connection has ended.
+    pub(super) fn remove(&mut self, id: ConnectionId) {
+        self.connections.retain(|connection| connection.id != id);
+    }
+
+    /// Passes a request to a connection.
+    pub(super) fn send(&mut self, request: UpstreamRequest) -> Result<(), AttemptError> {
+        let (attempt, id) = (request.attempt_id, request.id.clone());
+        let connection = self.choose(&request)?;
+        let command = EndpointCommand::Send(request);
+        connection.commands.try_send(command).map_err(|_| AttemptError::NotWritten)?;
+        connection.attempts.insert(attempt, id);
+        Ok(())
+    }
+
+    /// Passes a cancellation to the connection that carries the attempt.
+    pub(super) fn cancel(&mut self, attempt: AttemptId) {
+        let carrier = self.connections.iter().find(|connection| connection.attempts.contains_key(&attempt));
+        if let Some(connection) = carrier {
+            // Full or ended: what is not written yet stays so, for its cancellation token says it.
+            let _ = connection.commands.try_send(EndpointCommand::Cancel(attempt));
+        }
+    }
+
+    /// Passes a health check to any connection; returns whether one took it.
+    pub(super) fn check_health(&mut self, number: u64) -> bool {
+        let usable = self.connections.iter().position(|connection| !connection.is_unresponsive);
+        let Some(index) = usable.or_else(|| self.open().ok()) else { return false };
+        let command = EndpointCommand::HealthCheck(number);
+        self.connections.get(index).is_some_and(|connection| connection.commands.try_send(command).is_ok())
+    }
+
+    /// The connection for a request: the fullest of those below the preferred number of attempts, so that
+    /// others fall idle and close, and one that is up if there is such; then a new one; then the emptiest.
+    fn choose(&mut self, request: &UpstreamRequest) -> Result<&mut PooledConnection, AttemptError> {
+        // Those that have ended and whose report is on the way would return the attempt unsent.
+        self.connections.retain(|connection| !connection.commands.is_closed());
+        let max_streams = self.settings.max_streams;
+        let usable = || {
+            let all = self.connections.iter().enumerate();
+            all.filter(|(_, connection)| connection.accepts(request, max_streams))
+        };
+        let preferred = usable()
+            .filter(|(_, connection)| connection.attempts.len() < PREFERRED_ATTEMPTS)
+            .max_by_key(|(_, connection)| (connection.is_up, connection.attempts.len()))
+            .map(|(index, _)| index);
+        let emptiest =
+            usable().min_by_key(|(_, connection)| connection.attempts.len()).map(|(index, _)| index);
+        let index = match preferred {
+            Some(index) => index,
+            None => self.open().or_else(|error| emptiest.ok_or(error))?,
+        };
+        self.connections.get_mut(index).ok_or(AttemptError::NotWritten)
+    }
+
+    /// Opens a connection and returns its index. Without room for it, or without a descriptor, the attempt
+    /// ends unsent and the router chooses another endpoint.
+    fn open(&mut self) -> Result<usize, AttemptError> {
+        if self.connections.len() >= MAX_CONNECTIONS {
+            return Err(AttemptError::NotWritten);
+        }
+        let permit = self.permits.try_acquire().ok_or(AttemptError::NoDescriptor)?;
+        let id = ConnectionId(self.next_id);
+        self.next_id += 1;
+        let (sender, commands) = mpsc::channel(COMMAND_QUEUE);
+        let reporter = Reporter::new(id, self.dispatcher.clone(), self.events.clone());
+        let connection = Connection::new(self.address.clone(), self.settings.clone(), permit, reporter);
+        tokio::task::spawn_local(connection.run(commands));
+        self.connections.push(PooledConnection {
+            id,
+            commands: sender,
+            attempts: HashMap::new(),
+            is_up: false,
+            is_unresponsive: false,
+        });
+        Ok(self.connections.len() - 1)
+    }
+
+    fn find(&mut self, id: ConnectionId) -> Option<&mut PooledConnection> {
+        self.connections.iter_mut().find(|connection| connection.id == id)
+    }
+
+    fn drop_unresponsive(&mut self) {
+        self.connections.retain(|connection| !(connection.is_unresponsive && connection.attempts.is_empty()));
+    }
+}
--- /dev/null
+++ b/src/upstream/descriptor_permits.rs
@@ -0,0 +1,44 @@
+//! The limit on connections that are open at a time, to all endpoints together.
+
+use std::sync::Arc;
+use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
+
+/// The descriptors for connections. Clones share them.
+#[derive(Clone, Debug)]
+pub(super) struct DescriptorPermits {
+    free: Arc<Semaphore>,
+    requested: Arc<Notify>,
+}
+
+/// The right to one connection; dropping it returns the descriptor.
+#[derive(Debug)]
+pub(super) struct DescriptorPermit {
+    _permit: OwnedSemaphorePermit,
+    requested: Arc<Notify>,
+}
+
+impl DescriptorPermits {
+    /// This many descriptors.
+    pub(super) fn new(descriptors: usize) -> Self {
+        DescriptorPermits { free: Arc::new(Semaphore::new(descriptors)), requested: Arc::default() }
+    }
+
+    /// Takes a permit. If none is free, an idle connection is asked to close and the next caller gets its
+    /// permit.
+    pub(super) fn try_acquire(&self) -> Option<DescriptorPermit> {
+        match self.free.clone().try_acquire_owned() {
+            Ok(permit) => Some(DescriptorPermit { _permit: permit, requested: self.requested.clone() }),
+            Err(_) => {
+                self.requested.notify_one();
+                None
+            }
+        }
+    }
+}
+
+impl DescriptorPermit {
+    /// Completes when another connection needs the descriptor of an idle one.
+    pub(super) async fn requested(&self) {
+        self.requested.notified().await;
+    }
+}
--- /dev/null
+++ b/src/upstream/endpoint.rs
@@ -0,0 +1,106 @@
+//! The actor of one endpoint: places the dispatcher's commands on the endpoint's connections.
+//!
+//! Every connection is a task of its own that reports results straight to the dispatcher. Attempts that it
+//! did not begin to write come back to the actor when it ends, and are placed again for as long as they may
+//! still be sent.
+
+use super::connection::ConnectionEvent;
+use super::connection_pool::ConnectionPool;
+use super::descriptor_permits::DescriptorPermits;
+use super::COMMAND_QUEUE;
+use crate::config::settings::ConnectionSettings;
+use crate::dispatch::{
+    AttemptError, AttemptId, DispatcherMessage, DispatcherSender, EndpointCommand, UpstreamRequest,
+};
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+/// Places commands on the connections to one endpoint.
+pub(super) struct EndpointActor {
+    dispatcher: DispatcherSender,
+    pool: ConnectionPool,
+    events: mpsc::Receiver<ConnectionEvent>,
+}
+
+/// Whether a command is placed for the first time.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Placement {
+    First,
+    /// Its connection ended before it was written.
+    Again,
+}
+
+impl EndpointActor {
+    /// An actor without connections.
+    pub(super) fn new(
+        address: Arc<str>,
+        settings: ConnectionSettings,
+        permits: DescriptorPermits,
+        dispatcher: DispatcherSender,
+    ) -> Self {
+        let (sender, events) = mpsc::channel(COMMAND_QUEUE);
+        let pool = ConnectionPool::new(address, settings, permits, dispatcher.clone(), sender);
+        EndpointActor { dispatcher, pool, events }
+    }
+
+    /// Runs until the dispatcher drops the endpoint: it has left the list, or another process took its place.
+    /// Its connections end by themselves with their last response, or when they have been idle.
+    pub(super) async fn run(mut self, mut commands: mpsc::Receiver<EndpointCommand>) {
+        loop {
+            tokio::select! {
+                command = commands.recv() => match command {
+                    Some(command) => self.handle_command(command, Placement::First).await,
+                    None => return,
+                },
+                Some(event) = self.events.recv() => self.handle_event(event).await,
+            }
+        }
+    }
+
+    async fn handle_event(&mut self, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Up(connection) => self.pool.mark_up(connection),
+            ConnectionEvent::AttemptDone(connection, attempt) => self.pool.release(connection, attempt),
+            ConnectionEvent::Unresponsive(connection) => self.pool.mark_unresponsive(connection),
+            ConnectionEvent::Closed(connection, unsent) => {
+                self.pool.remove(connection);
+                for command in unsent {
+                    self.handle_command(command, Placement::Again).await;
+                }
+            }
+        }
+    }
+
+    async fn handle_command(&mut self, command: EndpointCommand, placement: Placement) {
+        match command {
+            EndpointCommand::Send(request) if request.cancellation.is_cancelled() => {
+                self.report_end(request.attempt_id, AttemptError::Cancelled).await;
+            }
+            EndpointCommand::Send(request) => self.send(request, placement).await,
+            EndpointCommand::Cancel(attempt) => self.pool.cancel(attempt),
+            EndpointCommand::HealthCheck(number) => self.check_health(number).await,
+        }
+    }
+
+    async fn send(&mut self, request: UpstreamRequest, placement: Placement) {
+        let attempt = request.attempt_id;
+        let error = match self.pool.send(request) {
+            Ok(()) => return,
+            // Tried on a connection once, so the failure is the endpoint's.
+            Err(AttemptError::NotWritten) if placement == Placement::Again => AttemptError::NotConnected,
+            Err(error) => error,
+        };
+        self.report_end(attempt, error).await;
+    }
+
+    async fn check_health(&mut self, number: u64) {
+        if !self.pool.check_health(number) {
+            let failed = DispatcherMessage::HealthChecked(number, Err(AttemptError::NotWritten));
+            self.dispatcher.send(failed).await;
+        }
+    }
+
+    async fn report_end(&self, attempt: AttemptId, error: AttemptError) {
+        self.dispatcher.send(DispatcherMessage::AttemptEnded(attempt, Err(error))).await;
+    }
+}
--- a/src/upstream/host.rs
+++ b/src/upstream/host.rs
@@ -1,9 +1,9 @@
-//! A transport that the host application writes: one asynchronous function from what is wanted to how it
-//! ended.
+//! A transport that the host application provides: one asynchronous function that carries an attempt.
 //!
 //! Each attempt is a task of its own on the director's thread. A task that panics, is dropped or never ends
-//! is an attempt that may have run; it takes nothing else with it.
+//! is an attempt that may have run; it affects nothing else.
 
+use super::COMMAND_QUEUE;
 use crate::dispatch::{
     AttemptError, AttemptId, AttemptResult, DispatcherMessage, DispatcherSender, Endpoint, EndpointCommand,
     EndpointConnector, HealthReport, UpstreamRequest,
@@ -16,36 +16,34 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Orders that wait for a server's actor; the core ends attempts that find no place as not sent.
-const MAILBOX: usize = 512;
-
-/// What a host's function gives back.
+/// What a host's function returns.
 pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// How servers are reached, in the host's own way.
+/// How the host application reaches endpoints.
 pub trait Exchange: Send + Sync + 'static {
-    /// Carries one attempt to a server and says how it ended. The future is dropped where the attempt is
-    /// called off; it runs on the director's thread and must not block it. What it can't prove not to have
-    /// run it must end with [`AttemptError::Unanswered`]: a write is sent again only after an end that proves
-    /// it.
+    /// Carries one attempt to an endpoint and returns its result. The future is dropped when the attempt is
+    /// cancelled; it runs on the director's thread and must not block it. Unless it can prove that the
+    /// attempt did not run it must return [`AttemptError::Unanswered`]: a write is sent again only after an
+    /// error that proves it.
     ///
-    /// A site may allow no calling off. A future that waits before its first byte, as for a connection, asks
+    /// A site may allow no cancellation. A future that waits before its first byte, for example for a
+    /// connection, must call
     /// [`CancellationToken::check_client`](crate::dispatch::CancellationToken::check_client) of the attempt
-    /// last thing before that byte, and ends with [`AttemptError::Cancelled`] where it is over.
-    fn exchange(&self, server: &Endpoint, want: UpstreamRequest) -> BoxFuture<AttemptResult>;
+    /// as the last thing before that byte, and return [`AttemptError::Cancelled`] if it is cancelled.
+    fn exchange(&self, endpoint: &Endpoint, request: UpstreamRequest) -> BoxFuture<AttemptResult>;
 
-    /// Asks a server whether it is well. Unless it is written anew, every server is.
-    fn check_health(&self, _server: &Endpoint) -> BoxFuture<Result<HealthReport, AttemptError>> {
+    /// Checks an endpoint's health. By default every endpoint is healthy.
+    fn check_health(&self, _endpoint: &Endpoint) -> BoxFuture<Result<HealthReport, AttemptError>> {
         Box::pin(std::future::ready(Ok(HealthReport { healthy: true, load_report: Vec::new() })))
     }
 }
 
-/// An [`Exchange`] as the core's peers.
+/// Reaches endpoints by an [`Exchange`].
 #[derive(Debug)]
 pub struct HostTransport<E>(Arc<E>);
 
 impl<E: Exchange> HostTransport<E> {
-    /// Reaches servers by this.
+    /// Reaches endpoints by this exchange.
     pub fn new(exchange: E) -> Self {
         HostTransport(Arc::new(exchange))
     }
@@ -55,84 +53,105 @@
     fn connect(
         &mut self,
         _: ServerId,
-        listing: &Endpoint,
-        reports: DispatcherSender,
+        endpoint: &Endpoint,
+        dispatcher: DispatcherSender,
     ) -> mpsc::Sender<EndpointCommand> {
-        let (mailbox, orders) = mpsc::channel(MAILBOX);
-        tokio::task::spawn_local(follow(self.0.clone(), listing.clone(), reports, orders));
-        mailbox
+        let (sender, commands) = mpsc::channel(COMMAND_QUEUE);
+        let actor = EndpointActor {
+            exchange: self.0.clone(),
+            endpoint: endpoint.clone(),
+            dispatcher,
+            attempts: HashMap::new(),
+        };
+        tokio::task::spawn_local(actor.run(commands));
+        sender
     }
 }
 
-async fn follow<E: Exchange>(
+/// Starts a task for each attempt at one endpoint.
+struct EndpointActor<E> {
     exchange: Arc<E>,
-    server: Endpoint,
-    reports: DispatcherSender,
-    mut orders: mpsc::Receiver<EndpointCommand>,
-) {
-    let mut under_way: HashMap<AttemptId, AbortHandle> = HashMap::new();
-    while let Some(order) = orders.recv().await {
-        under_way.retain(|_, task| !task.is_finished());
-        match order {
-            EndpointCommand::Send(want) => {
-                let (ticket, exchange, server) = (want.attempt_id, exchange.clone(), server.clone());
-                let mut last =
-                    LastWord { said: false, ticket, reports: reports.clone(), how: AttemptError::NotWritten };
-                let task = tokio::task::spawn_local(async move {
-                    // Waited for first: nothing is to come between the last look and the exchange.
-                    let reports = last.reports.clone();
-                    let Some(room) = reports.reserve().await else { return };
-                    if want.cancellation.check_client() {
-                        last.keep_silent();
-                        return room
-                            .send(DispatcherMessage::AttemptEnded(ticket, Err(AttemptError::Cancelled)));
+    endpoint: Endpoint,
+    dispatcher: DispatcherSender,
+    /// Tasks of the attempts in flight.
+    attempts: HashMap<AttemptId, AbortHandle>,
+}
+
+impl<E: Exchange> EndpointActor<E> {
+    async fn run(mut self, mut commands: mpsc::Receiver<EndpointCommand>) {
+        while let Some(command) = commands.recv().await {
+            self.attempts.retain(|_, task| !task.is_finished());
+            match command {
+                EndpointCommand::Send(request) => self.send(request),
+                EndpointCommand::Cancel(attempt) => {
+                    // The end of its task tells the dispatcher whether it had begun.
+                    if let Some(task) = self.attempts.remove(&attempt) {
+                        task.abort();
                     }
-                    last.how = AttemptError::Unanswered;
-                    // From here on the time is the server's.
-                    room.send(DispatcherMessage::AttemptWritten(ticket));
-                    let end = exchange.exchange(&server, want).await;
-                    last.said = true;
-                    last.reports.send(DispatcherMessage::AttemptEnded(ticket, end)).await;
-                });
-                under_way.insert(ticket, task.abort_handle());
-            }
-            EndpointCommand::Cancel(ticket) => {
-                // Its last word tells the core whether it had begun.
-                if let Some(task) = under_way.remove(&ticket) {
-                    task.abort();
                 }
-            }
-            EndpointCommand::HealthCheck(number) => {
-                let (exchange, server, reports) = (exchange.clone(), server.clone(), reports.clone());
-                tokio::task::spawn_local(async move {
-                    let health = exchange.check_health(&server).await;
-                    reports.send(DispatcherMessage::HealthChecked(number, health)).await;
-                });
+                EndpointCommand::HealthCheck(number) => self.check_health(number),
             }
         }
     }
-}
 
-/// Says how far an attempt had come, where its task ends without a word.
-struct LastWord {
-    said: bool,
-    ticket: AttemptId,
-    reports: DispatcherSender,
-    how: AttemptError,
+    fn send(&mut self, request: UpstreamRequest) {
+        let attempt = request.attempt_id;
+        let guard = AttemptGuard {
+            is_reported: false,
+            attempt,
+            dispatcher: self.dispatcher.clone(),
+            error: AttemptError::NotWritten,
+        };
+        let task = run_attempt(self.exchange.clone(), self.endpoint.clone(), request, guard);
+        self.attempts.insert(attempt, tokio::task::spawn_local(task).abort_handle());
+    }
+
+    fn check_health(&self, number: u64) {
+        let (exchange, endpoint) = (self.exchange.clone(), self.endpoint.clone());
+        let dispatcher = self.dispatcher.clone();
+        tokio::task::spawn_local(async move {
+            let result = exchange.check_health(&endpoint).await;
+            dispatcher.send(DispatcherMessage::HealthChecked(number, result)).await;
+        });
+    }
 }
 
-impl LastWord {
-    /// The end is told otherwise.
-    fn keep_silent(mut self) {
-        self.said = true;
+async fn run_attempt<E: Exchange>(
+    exchange: Arc<E>,
+    endpoint: Endpoint,
+    request: UpstreamRequest,
+    mut guard: AttemptGuard,
+) {
+    let (attempt, dispatcher) = (guard.attempt, guard.dispatcher.clone());
+    // Waited for first: nothing may come between the last check of the client and the exchange.
+    let Some(permit) = dispatcher.reserve().await else { return };
+    if request.cancellation.check_client() {
+        guard.is_reported = true;
+        permit.send(DispatcherMessage::AttemptEnded(attempt, Err(AttemptError::Cancelled)));
+        return;
     }
+    guard.error = AttemptError::Unanswered;
+    // From here on the time is the endpoint's.
+    permit.send(DispatcherMessage::AttemptWritten(attempt));
+    let result = exchange.exchange(&endpoint, request).await;
+    guard.is_reported = true;
+    dispatcher.send(DispatcherMessage::AttemptEnded(attempt, result)).await;
+}
+
+/// Reports how far an attempt had come if its task ends without a report.
+struct AttemptGuard {
+    is_reported: bool,
+    attempt: AttemptId,
+    dispatcher: DispatcherSender,
+    /// How the attempt ends if its task ends now.
+    error: AttemptError,
 }
 
-impl Drop for LastWord {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if !self.said {
-            // Full: the core's own time-out ends the attempt.
-            self.reports.try_send(DispatcherMessage::AttemptEnded(self.ticket, Err(self.how)));
+        if !self.is_reported {
+            // Full: the dispatcher's own timeout ends the attempt.
+            self.dispatcher.try_send(DispatcherMessage::AttemptEnded(self.attempt, Err(self.error)));
         }
     }
 }
--- a/tests/path.rs
+++ b/tests/fill_source_choice.rs
@@ -1,17 +1,18 @@
-//! The ordinary path: the pair choice, belief, tallies and the edge hash.
+//! Where objects are cached and filled from in ordinary operation: the choice of two parents, the residency
+//! estimate, fills in flight and the placement by hash.
 
 mod common;
 use common::*;
 use foxhold::*;
 
-/// A gateway with two parents only, an object whose first is `.1` and whose second is `.2`.
+/// A router with two parents only, an object whose first is `.1` and whose second is `.2`.
 fn two_parents() -> (Gateway, u64, ServerId, ServerId) {
     let mut g = Gateway::with(settings(), &[1, 2, 3, 11, 13, 20]);
     let object = g.pair_of(11);
     (g, object, ServerId(11), ServerId(13))
 }
 
-/// Holds fills under way at a parent, `n` of them, for objects of its own.
+/// Keeps `n` fills in flight at a parent, for objects of its own.
 fn occupy(g: &mut Gateway, parent: ServerId, n: usize) -> Vec<Sent> {
     let mut held = Vec::new();
     let mut object = 50_000 + u64::from(parent.0) * 1000;
@@ -24,8 +25,8 @@
     held
 }
 
-/// Makes the second parent a believed holder: the first is away while a fill is kept.
-fn believe_second(g: &mut Gateway, object: u64, first: ServerId, second: ServerId) {
+/// Makes the second parent an estimated holder of the object: the first is away during a fill.
+fn fill_from_second(g: &mut Gateway, object: u64, first: ServerId, second: ServerId) {
     let gone = Member { state: MemberState::Draining, ..member(first.0) };
     g.list(MemberUpdate::Incremental, vec![gone]);
     assert_eq!(g.fill(object).source(), second);
@@ -33,16 +34,16 @@
 }
 
 #[test]
-fn a_cold_object_stays_with_its_first_parent_however_busy() {
+fn an_unpopular_object_stays_with_its_first_parent_however_busy() {
     let (mut g, object, first, _) = two_parents();
     occupy(&mut g, first, 10);
     assert_eq!(g.send(object).source(), first);
 }
 
 #[test]
-fn a_believed_second_wins_only_when_the_first_is_over_half_busier() {
+fn an_estimated_holder_wins_only_if_the_first_parent_is_over_half_busier() {
     let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
+    fill_from_second(&mut g, object, first, second);
     occupy(&mut g, second, 2);
     occupy(&mut g, first, 3);
     assert_eq!(g.peek(object), first, "exactly half higher: the first wins");
@@ -51,24 +52,24 @@
 }
 
 #[test]
-fn belief_ends_after_thirty_seconds_and_with_a_restart() {
+fn the_residency_estimate_ends_after_thirty_seconds_and_with_a_restart() {
     let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
+    fill_from_second(&mut g, object, first, second);
     occupy(&mut g, first, 4);
     assert_eq!(g.peek(object), second);
     g.now += 31_000_000;
     assert_eq!(g.peek(object), first);
 
     let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
+    fill_from_second(&mut g, object, first, second);
     g.now += 20_000_000;
     g.list(MemberUpdate::Incremental, vec![Member { started_at: g.now - 10_500_000, ..member(second.0) }]);
     occupy(&mut g, first, 4);
-    assert_eq!(g.peek(object), first, "a restarted parent is no believed holder");
+    assert_eq!(g.peek(object), first, "a restarted parent is no estimated holder");
 }
 
 #[test]
-fn a_hot_object_may_go_to_the_second_parent() {
+fn a_popular_object_may_be_filled_from_the_second_parent() {
     let (mut g, object, first, second) = two_parents();
     occupy(&mut g, first, 4);
     assert_eq!(g.peek(object), first);
@@ -81,10 +82,10 @@
 #[test]
 fn a_failed_fill_counts_until_a_later_one_succeeds() {
     let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
+    fill_from_second(&mut g, object, first, second);
     let held = occupy(&mut g, first, 1);
     let again = sent(&g.end(&held[0], 0, Outcome::Failed, CacheStatus::SourceUnreachable));
-    assert_eq!(again[0].source(), second, "the further attempt is filled by the other");
+    assert_eq!(again[0].source(), second, "the retry is filled from the other parent");
     g.end(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
     let (mut object_there, mut filled) = (90_000, false);
     assert_eq!(g.peek(object), second, "one failed fill against none");
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn an_unusable_member_gives_way_to_the_other_then_to_the_next_then_to_the_origin() {
+fn an_unusable_parent_is_replaced_by_the_other_then_the_next_then_the_origin() {
     let mut g = Gateway::usual();
     let object = g.pair_of(11);
     let mut seen = vec![g.peek(object)];
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn all_gateways_meet_at_the_same_parent() {
+fn all_routers_choose_the_same_parent() {
     let (mut a, mut b) =
         (Gateway::usual(), Gateway::with(Settings { zone: 3, ..settings() }, &[5, 6, 11, 12, 13, 20]));
     for object in 1..200 {
@@ -121,10 +122,10 @@
     }
 }
 
-/// Gateways that each judge by their own traffic which objects are hot disagree, and each disagreement is a
-/// second copy: the parts' places must not depend on what one of them has seen.
+/// Routers that judge by their own traffic which objects are popular disagree, and each disagreement costs a
+/// duplicate copy: the placement of parts must not depend on what one router has seen.
 #[test]
-fn parts_are_spread_over_the_objects_three_caches_the_same_at_every_gateway() {
+fn parts_are_spread_over_three_caches_alike_at_every_router() {
     let ids = [1, 2, 3, 4, 11, 12, 13, 20];
     let (mut a, mut b) = (Gateway::with(settings(), &ids), Gateway::with(settings(), &ids));
     for object in 500..600 {
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_lost_cache_moves_only_its_own_objects() {
+fn the_loss_of_a_cache_moves_its_own_objects_only() {
     let mut g = Gateway::usual();
     let place = |g: &mut Gateway, o| {
         let s = g.send(o);
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn a_hot_object_uses_two_or_three_caches_and_a_cold_one_a_single_one() {
+fn a_popular_object_uses_two_or_three_caches_and_an_unpopular_one_a_single_cache() {
     let mut g = Gateway::usual();
     let mut servers: Vec<_> = (0..5).map(|_| g.send(7).server).collect();
     servers.dedup();
@@ -178,11 +179,11 @@
 }
 
 #[test]
-fn one_off_objects_are_kept_at_the_lowest_rank() {
+fn objects_requested_once_are_cached_at_the_lowest_rank() {
     let mut g = Gateway::usual();
     for object in 0..50 {
         g.fill(object);
     }
-    assert_eq!(g.send(3).fill.expect("a fill").cache_rank, 2, "asked for again");
-    assert_eq!(g.send(888).fill.expect("a fill").cache_rank, 1, "asked for once");
+    assert_eq!(g.send(3).fill.expect("a fill").cache_rank, 2, "requested again");
+    assert_eq!(g.send(888).fill.expect("a fill").cache_rank, 1, "requested once");
 }
--- a/tests/library.rs
+++ b/tests/library.rs
@@ -175,7 +175,7 @@
     local(async {
         let server = Server::start(Manner::Silent).await;
         let (mailbox, mut inbox) = tokio::sync::mpsc::channel(16);
-        let mut servers = foxhold::upstream::servers::UpstreamConnector::new(standin::transport(), 4);
+        let mut servers = foxhold::upstream::UpstreamConnector::new(standin::transport(), 4);
         let peer = servers.connect(
             ServerId(1),
             &server.listing("s", "edge", "cache"),
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -11,7 +11,7 @@
 use foxhold::frontend::platform::Platform;
 use foxhold::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
 use foxhold::policy::types::ServerId;
-use foxhold::upstream::servers::UpstreamConnector;
+use foxhold::upstream::UpstreamConnector;
 use standin::*;
 use std::cell::Cell;
 use std::io::{Read, Write};
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -5,7 +5,7 @@
 use foxhold::dispatch::{self, AttemptId, Clock, Dispatcher, DispatcherMessage, Endpoint, UpstreamRequest};
 use foxhold::frontend::serve::{self, ConnectionSlots, Frontend, ListenerContext};
 use foxhold::policy::types::*;
-use foxhold::upstream::servers::UpstreamConnector;
+use foxhold::upstream::UpstreamConnector;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
--- /dev/null
+++ b/tests/upstream_connections.rs
@@ -0,0 +1,369 @@
+//! The actor of an endpoint over real connections: how each attempt ends, and which connection carries it.
+
+mod standin;
+
+use foxhold::config::settings::ConnectionSettings;
+use foxhold::dispatch::{
+    AttemptError, AttemptId, AttemptResult, DispatcherMessage, DispatcherSender, EndpointCommand,
+    EndpointConnector, ResponseStatus,
+};
+use foxhold::policy::types::ServerId;
+use foxhold::upstream::UpstreamConnector;
+use standin::{listing, local, transport, Manner, Server};
+use std::time::Duration;
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// An endpoint's actor and what it reports.
+struct EndpointActor {
+    commands: mpsc::Sender<EndpointCommand>,
+    messages: mpsc::Receiver<DispatcherMessage>,
+    /// Attempts reported as written completely.
+    written: usize,
+}
+
+impl EndpointActor {
+    fn open(address: &str, settings: ConnectionSettings, descriptors: usize) -> EndpointActor {
+        EndpointActor::open_by(&mut UpstreamConnector::new(settings, descriptors), address)
+    }
+
+    fn open_by(connector: &mut UpstreamConnector, address: &str) -> EndpointActor {
+        let (dispatcher, messages) = mpsc::channel(64);
+        let endpoint = listing("s-1", address, "edge", "cache");
+        let commands = connector.connect(ServerId(1), &endpoint, DispatcherSender::new(dispatcher));
+        EndpointActor { commands, messages, written: 0 }
+    }
+
+    async fn send(&self, attempt: u32, id: &str, body: Vec<u8>) {
+        let deadline = Instant::now() + Duration::from_secs(20);
+        let request = standin::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
+        self.commands.send(EndpointCommand::Send(request)).await.expect("an actor");
+    }
+
+    async fn end(&mut self) -> (u32, AttemptResult) {
+        loop {
+            match self.messages.recv().await {
+                Some(DispatcherMessage::AttemptEnded(id, result)) => return (id.attempt, result),
+                Some(DispatcherMessage::AttemptWritten(_)) => self.written += 1,
+                Some(DispatcherMessage::AttemptCancelled(..)) => {}
+                other => panic!("{other:?}"),
+            }
+        }
+    }
+
+    async fn error(&mut self) -> AttemptError {
+        self.end().await.1.expect_err("an attempt that fails")
+    }
+}
+
+/// Waits until the server has received this many requests.
+async fn sent(server: &Server, count: usize) {
+    while server.wants().len() < count {
+        tokio::time::sleep(Duration::from_millis(1)).await;
+    }
+}
+
+#[test]
+fn the_error_of_an_attempt_tells_how_far_it_had_come() {
+    local(async {
+        for (manner, error) in [
+            (Manner::Closes, AttemptError::Unanswered),
+            (Manner::BreaksOff, AttemptError::ResponseInterrupted),
+        ] {
+            let server = Server::start(manner).await;
+            let mut actor = EndpointActor::open(&server.address, transport(), 9);
+            actor.send(0, "a", Vec::new()).await;
+            assert_eq!(actor.error().await, error);
+        }
+        let unused = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = unused.local_addr().expect("an address").to_string();
+        drop(unused);
+        let mut actor = EndpointActor::open(&address, transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        assert_eq!(actor.error().await, AttemptError::NotConnected);
+    });
+}
+
+/// Guards the metrics: a request written completely counts once, be it answered, interrupted or cancelled.
+#[test]
+fn each_completely_written_attempt_is_reported_once() {
+    local(async {
+        let server = Server::start(Manner::Silent).await;
+        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        actor.send(1, "b", Vec::new()).await;
+        sent(&server, 2).await;
+        let id = AttemptId { request: 1, attempt: 0 };
+        actor.commands.send(EndpointCommand::Cancel(id)).await.expect("an actor");
+        *server.manner.borrow_mut() = Manner::Closes;
+        actor.send(2, "c", Vec::new()).await;
+        assert_eq!(
+            (actor.error().await, actor.error().await),
+            (AttemptError::Unanswered, AttemptError::Unanswered)
+        );
+        assert_eq!(actor.written, 3);
+        let unused =
+            TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("an address");
+        let mut actor = EndpointActor::open(&unused.to_string(), transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        assert_eq!((actor.error().await, actor.written), (AttemptError::NotConnected, 0));
+    });
+}
+
+#[test]
+fn a_request_that_the_server_cannot_have_completely_ends_as_partially_written() {
+    local(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let mut actor =
+            EndpointActor::open(&listener.local_addr().expect("an address").to_string(), transport(), 9);
+        actor.send(0, "a", vec![0; 64 << 20]).await; // more than the buffers between hold
+        let (mut stream, _) = listener.accept().await.expect("a connection");
+        stream.read_exact(&mut [0; 100]).await.expect("its beginning");
+        drop(stream);
+        assert_eq!(actor.error().await, AttemptError::PartiallyWritten);
+    });
+}
+
+#[test]
+fn an_attempt_without_a_descriptor_ends_unsent() {
+    local(async {
+        let server = Server::start(Manner::Silent).await;
+        let mut actor = EndpointActor::open(&server.address, transport(), 0);
+        actor.send(0, "a", Vec::new()).await;
+        assert_eq!(actor.error().await, AttemptError::NoDescriptor);
+        assert!(server.wants().is_empty());
+    });
+}
+
+/// The end of a connection is reported after the results of its attempts; an attempt that was placed there
+/// in between ended unsent, and counted against the server.
+#[test]
+fn an_attempt_is_not_placed_on_a_connection_that_has_ended_unreported() {
+    local(async {
+        let address =
+            TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("an address");
+        // Room for one message: the connection waits with the second, and its end is not reported.
+        let (dispatcher, messages) = mpsc::channel(1);
+        let endpoint = listing("s-1", &address.to_string(), "edge", "cache");
+        let commands = UpstreamConnector::new(transport(), 100).connect(
+            ServerId(1),
+            &endpoint,
+            DispatcherSender::new(dispatcher),
+        );
+        let mut actor = EndpointActor { commands, messages, written: 0 };
+        for (attempt, id) in ["a", "b", "c"].into_iter().enumerate() {
+            actor.send(attempt as u32, id, Vec::new()).await;
+        }
+        tokio::time::sleep(Duration::from_millis(100)).await;
+        actor.send(3, "d", Vec::new()).await;
+        tokio::time::sleep(Duration::from_millis(100)).await;
+        for _ in 0..4 {
+            let (attempt, end) = actor.end().await;
+            assert_eq!(end.map(|_| ()), Err(AttemptError::NotConnected), "attempt {attempt}");
+        }
+    });
+}
+
+/// Guards a server that is added late against waiting for the idle timeout of connections to others.
+#[test]
+fn an_idle_connection_closes_if_another_endpoint_needs_its_descriptor() {
+    local(async {
+        let copy = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
+        let (first, second) = (Server::start(copy.clone()).await, Server::start(copy).await);
+        let mut connector = UpstreamConnector::new(transport(), 1);
+        let mut early = EndpointActor::open_by(&mut connector, &first.address);
+        let mut late = EndpointActor::open_by(&mut connector, &second.address);
+        early.send(0, "a", Vec::new()).await;
+        assert!(early.end().await.1.is_ok());
+        late.send(0, "b", Vec::new()).await;
+        assert_eq!(late.error().await, AttemptError::NoDescriptor);
+        let begun = Instant::now();
+        while first.closed.get() == 0 {
+            assert!(begun.elapsed() < Duration::from_secs(2), "it keeps its descriptor");
+            tokio::time::sleep(Duration::from_millis(1)).await;
+        }
+        late.send(1, "c", Vec::new()).await;
+        assert!(late.end().await.1.is_ok());
+    });
+}
+
+#[test]
+fn attempts_share_a_connection_up_to_max_streams_unless_they_have_the_same_request_id() {
+    for (streams, ids, connections) in
+        [(100, ["a", "b", "c"], 1), (100, ["a", "a", "b"], 2), (2, ["a", "b", "c"], 2)]
+    {
+        local(async {
+            let server = Server::start(Manner::Silent).await;
+            let actor = EndpointActor::open(
+                &server.address,
+                ConnectionSettings { max_streams: streams, ..transport() },
+                9,
+            );
+            for (attempt, id) in ids.into_iter().enumerate() {
+                actor.send(attempt as u32, id, Vec::new()).await;
+            }
+            sent(&server, 3).await;
+            assert_eq!(server.connections.get(), connections, "{streams} {ids:?}");
+        });
+    }
+}
+
+#[test]
+fn a_response_that_crosses_its_cancellation_is_ignored_and_the_connection_stays_open() {
+    local(async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let mut actor =
+            EndpointActor::open(&listener.local_addr().expect("an address").to_string(), transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        let (stream, _) = listener.accept().await.expect("a connection");
+        let mut lines = BufReader::new(stream);
+        let mut text = String::new();
+        lines.read_line(&mut text).await.expect("a request");
+        actor
+            .commands
+            .send(EndpointCommand::Cancel(AttemptId { request: 1, attempt: 0 }))
+            .await
+            .expect("an actor");
+        actor.send(1, "b", Vec::new()).await;
+        while !text.contains("want b ") {
+            lines.read_line(&mut text).await.expect("a line");
+        }
+        assert!(text.contains("never_mind a\r\n"), "{text}");
+        let responses = b"a ACK - 4\r\nlate\r\nb ACK - 4\r\ngood\r\n";
+        lines.write_all(responses).await.expect("a reader");
+        let (attempt, end) = actor.end().await;
+        assert_eq!(attempt, 1);
+        assert!(matches!(end.expect("a response").status, ResponseStatus::Ok(copy) if copy.body == "good"));
+    });
+}
+
+/// Guards against ending every attempt on a connection because of a response that harms none: a duplicate,
+/// one under an id that was never sent, one to a health check that is not under way.
+#[test]
+fn unrequested_responses_are_ignored_and_the_connection_stays_open() {
+    local(async {
+        let surplus = "other ACK - 4\r\nevil\r\np9 READY\r\nID ACK - 4\r\ngood\r\nID ACK - 4\r\nevil\r\n";
+        let server = Server::start(Manner::Says(surplus)).await;
+        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        for (attempt, id) in ["a", "b", "c"].into_iter().enumerate() {
+            actor.send(attempt as u32, id, Vec::new()).await;
+            let (ended, end) = actor.end().await;
+            assert_eq!(ended, attempt as u32);
+            assert!(
+                matches!(end.expect("a response").status, ResponseStatus::Ok(copy) if copy.body == "good")
+            );
+        }
+        assert_eq!(server.connections.get(), 1);
+    });
+}
+
+#[test]
+fn a_connection_that_is_silent_past_a_cancellation_gets_no_new_attempts() {
+    local(async {
+        let server = Server::start(Manner::Silent).await;
+        let actor = EndpointActor::open(&server.address, transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        sent(&server, 1).await;
+        tokio::time::sleep(Duration::from_millis(1100)).await;
+        actor
+            .commands
+            .send(EndpointCommand::Cancel(AttemptId { request: 1, attempt: 0 }))
+            .await
+            .expect("an actor");
+        while server.lines.borrow().len() < 2 {
+            tokio::time::sleep(Duration::from_millis(1)).await;
+        }
+        actor.send(1, "b", Vec::new()).await;
+        sent(&server, 2).await;
+        assert_eq!(server.connections.get(), 2);
+    });
+}
+
+#[test]
+fn an_idle_connection_closes_before_the_server_closes_it_and_a_new_one_opens_on_demand() {
+    local(async {
+        let server = Server::start(Manner::Says("ID ACK - 0\r\n\r\n")).await;
+        let mut actor = EndpointActor::open(
+            &server.address,
+            ConnectionSettings { idle_timeout: Duration::from_millis(50), ..transport() },
+            9,
+        );
+        for (attempt, id) in ["a", "b"].into_iter().enumerate() {
+            actor.send(attempt as u32, id, Vec::new()).await;
+            assert!(actor.end().await.1.is_ok());
+            while server.closed.get() <= attempt {
+                tokio::time::sleep(Duration::from_millis(1)).await;
+            }
+        }
+        assert_eq!(server.connections.get(), 2);
+    });
+}
+
+/// Guards against one invalid response costing all attempts in flight at a server.
+#[test]
+fn attempts_are_spread_so_that_an_invalid_response_costs_few() {
+    local(async {
+        let server = Server::start(Manner::Silent).await;
+        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        for attempt in 0..12 {
+            actor.send(attempt, &format!("a{attempt}"), Vec::new()).await;
+        }
+        sent(&server, 12).await;
+        assert_eq!(server.connections.get(), 3);
+        *server.manner.borrow_mut() = Manner::Says("ID ACK - 4\r\nmore than four\r\n");
+        actor.send(12, "a12", Vec::new()).await;
+        let (attempt, end) = actor.end().await;
+        assert_eq!((attempt, end.expect_err("an invalid response")), (12, AttemptError::ResponseInterrupted));
+    });
+}
+
+/// Guards against waiting, up to the deadline, behind a truncated response on a connection that stays open.
+#[test]
+fn a_truncated_response_ends_all_attempts_on_its_connection() {
+    local(async {
+        let server = Server::start(Manner::Silent).await;
+        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        sent(&server, 1).await;
+        *server.manner.borrow_mut() = Manner::Stalls;
+        let begun = Instant::now();
+        actor.send(1, "b", Vec::new()).await;
+        let mut ends =
+            [actor.end().await, actor.end().await].map(|(n, end)| (n, end.expect_err("no answer")));
+        ends.sort_by_key(|(n, _)| *n);
+        assert_eq!(ends, [(0, AttemptError::Unanswered), (1, AttemptError::ResponseInterrupted)]);
+        assert!(begun.elapsed() < Duration::from_millis(600), "{:?}", begun.elapsed());
+    });
+}
+
+/// Guards against a liveness check for every large object, whose first byte often takes a second.
+#[test]
+fn a_response_that_takes_most_of_a_second_costs_no_liveness_check() {
+    local(async {
+        let server = Server::start(Manner::Silent).await;
+        let actor = EndpointActor::open(&server.address, transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        sent(&server, 1).await;
+        tokio::time::sleep(Duration::from_millis(800)).await;
+        assert_eq!(server.lines.borrow().len(), 1);
+    });
+}
+
+/// Guards against a connection that stays open and silent, and against taking a slow response for one.
+#[test]
+fn a_silent_connection_ends_unless_it_answers_a_liveness_check() {
+    local(async {
+        let server = Server::start(Manner::Silent).await;
+        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        assert_eq!(actor.error().await, AttemptError::Unanswered);
+        let slow = Server::start(Manner::Says("")).await;
+        let mut actor = EndpointActor::open(&slow.address, transport(), 9);
+        actor.send(0, "a", Vec::new()).await;
+        let waited = tokio::time::timeout(Duration::from_millis(3500), actor.end()).await;
+        assert!(waited.is_err(), "{waited:?}");
+        assert_eq!(slow.wants().len(), 1);
+    });
+}
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -91,7 +91,9 @@
 /// What an answer was read as; notes by their number.
 fn answer(content: &line_codec::MessageContent) -> String {
     let reply = match content {
-        line_codec::MessageContent::Health(healthy, load) => return format!("health {healthy} {load:?}"),
+        line_codec::MessageContent::Health(report) => {
+            return format!("health {} {:?}", report.healthy, report.load_report);
+        }
         line_codec::MessageContent::Response(reply) => reply,
     };
     let verdict = match &reply.status {
