--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -6,7 +6,9 @@
 mod standin;
 
 use foxhold::daemon::descriptors::{Needs, Shares};
-use program::{call, config, free_address, read_request, status, write_request, Program, Scratch, Start};
+use program::{
+    call, config, free_address, read_request, status, write_request, DescriptorPeak, Program, Scratch, Start,
+};
 use rustix::process::Signal;
 use standin::{local, trio, Manner, Server};
 use std::cell::Cell;
@@ -52,18 +54,13 @@
     Ok(())
 }
 
-/// Looks again and again at how many descriptors some processes hold together; the most that was seen.
-fn most_held(programs: Vec<Rc<Program>>) -> Rc<Cell<usize>> {
-    let most = Rc::new(Cell::new(0));
-    let seen = most.clone();
-    tokio::task::spawn_local(async move {
-        loop {
-            let held = programs.iter().map(|program| program.descriptors()).sum();
-            seen.set(seen.get().max(held));
-            sleep(Duration::from_millis(3)).await;
-        }
-    });
-    most
+/// Waits until the programs have been seen to hold more than so many descriptors. Clients come in waves, and
+/// each wave fills what clients may take for some milliseconds only.
+async fn peak_passes(peak: &DescriptorPeak, descriptors: usize) {
+    let begun = Instant::now();
+    while peak.get() <= descriptors && begun.elapsed() < SOON {
+        sleep(Duration::from_millis(5)).await;
+    }
 }
 
 /// Operators' calls that never come whole, all of them in the listener's queue before the first is accepted.
@@ -139,10 +136,11 @@
     let text = config(sockets, &board, &door, addresses(&servers));
     let file = Scratch::new(&format!("idle-{sockets}-{limit}.json"), &text);
     let start = Start { config: Some(&file.0), descriptors: Some(limit), ..Start::default() };
-    let program = Rc::new(start.run());
-    let most = most_held(vec![program.clone()]);
+    let program = start.run();
+    let most = DescriptorPeak::of(&[&program]);
     crowd(&program.address);
     sleep(2 * SOON).await;
+    peak_passes(&most, limit as usize / 2).await;
     let _callers = burst(&program, &door).await;
     assert!(most.get() > limit as usize / 2, "{} of {limit}: clients fill what they may", most.get());
 
@@ -211,14 +209,14 @@
                 inherited: Some(&socket),
                 ..Start::default()
             };
-            Rc::new(start.run())
+            start.run()
         };
         let old = run(&doors[0]);
         crowd(&old.address);
         sleep(SOON).await;
         let new = run(&doors[1]);
-        let most = most_held(vec![old.clone(), new.clone()]);
-        let each = [&old, &new].map(|program| most_held(vec![program.clone()]));
+        let most = DescriptorPeak::of(&[&old, &new]);
+        let each = [&old, &new].map(|program| DescriptorPeak::of(&[program]));
         sleep(SOON).await;
         for door in &doors {
             let answer = call(door, "check\n").await;
--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -7,6 +7,7 @@
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -114,7 +115,7 @@
 
     /// The descriptors that it holds at this moment.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
+        open_descriptors(self.child.id())
     }
 
     /// The number that its next descriptor will have, which has to be below its limit.
@@ -154,6 +155,38 @@
     }
 }
 
+fn open_descriptors(process_id: u32) -> usize {
+    std::fs::read_dir(format!("/proc/{process_id}/fd")).map_or(0, Iterator::count)
+}
+
+/// The highest number of descriptors that some programs were seen to hold together. A thread of its own takes
+/// the samples, for a peak is over within milliseconds and the test's thread is busy with its clients then.
+pub struct DescriptorPeak(Arc<AtomicUsize>);
+
+impl DescriptorPeak {
+    const SAMPLING_INTERVAL: Duration = Duration::from_millis(1);
+
+    /// Takes samples until the value is dropped.
+    pub fn of(programs: &[&Program]) -> DescriptorPeak {
+        let process_ids: Vec<u32> = programs.iter().map(|program| program.child.id()).collect();
+        let peak = Arc::new(AtomicUsize::new(0));
+        let watched = Arc::downgrade(&peak);
+        std::thread::spawn(move || {
+            while let Some(peak) = watched.upgrade() {
+                let held = process_ids.iter().map(|id| open_descriptors(*id)).sum();
+                peak.fetch_max(held, Ordering::Relaxed);
+                drop(peak);
+                std::thread::sleep(Self::SAMPLING_INTERVAL);
+            }
+        });
+        DescriptorPeak(peak)
+    }
+
+    pub fn get(&self) -> usize {
+        self.0.load(Ordering::Relaxed)
+    }
+}
+
 /// One call at the operators' door; none: it was not answered in time.
 pub async fn call(door: &str, line: &str) -> Option<String> {
     let answer = async {
