--- a/src/daemon/descriptors.rs
+++ b/src/daemon/descriptors.rs
@@ -23,50 +23,60 @@
 
 /// What a process opens beside connections of clients and to servers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Needs {
+pub struct DescriptorNeeds {
     /// What is open when the shares are reckoned.
-    pub open: usize,
+    pub already_open: usize,
     /// Listeners that are still to be opened, the operators' among them.
     pub listeners: usize,
     /// Whether operators have an address to call.
-    pub operators: bool,
+    pub admin: bool,
     /// Whether directors talk with each other.
-    pub peers: bool,
+    pub cluster: bool,
     /// Whether another process may serve the same socket at the same time, within the same limit.
-    pub hand_over: bool,
+    pub handover: bool,
 }
 
-impl Needs {
+impl DescriptorNeeds {
     /// What must always have a descriptor.
     pub fn reserve(&self) -> usize {
-        let operators = if self.operators { admin::MAX_DESCRIPTORS } else { 0 };
+        let operators = if self.admin { admin::MAX_DESCRIPTORS } else { 0 };
         #[cfg(feature = "peers")]
-        let peers = if self.peers { PEERS } else { 0 };
+        let peers = if self.cluster { PEERS } else { 0 };
         #[cfg(not(feature = "peers"))]
         let peers = 0;
-        self.open + self.listeners + BOARD + FILES + operators + peers + serve::DESCRIPTORS_BESIDE_PLACES
+        self.already_open
+            + self.listeners
+            + BOARD
+            + FILES
+            + operators
+            + peers
+            + serve::DESCRIPTORS_BESIDE_PLACES
     }
 }
 
 /// The shares of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
+pub struct DescriptorBudget {
     /// Client connections beyond which each that comes has another make room.
-    pub usual_clients: usize,
+    pub client_soft_limit: usize,
     /// Client connections at the very most.
-    pub most_clients: usize,
+    pub client_hard_limit: usize,
     /// Connections to all servers together.
-    pub servers: usize,
+    pub upstream_limit: usize,
 }
 
-impl Shares {
+impl DescriptorBudget {
     /// Shares out what `limit` leaves beside the reserve.
-    pub fn new(limit: usize, needs: &Needs) -> Shares {
-        let limit = if needs.hand_over { limit / PROCESSES_OF_A_HAND_OVER } else { limit };
+    pub fn allocate(limit: usize, needs: &DescriptorNeeds) -> DescriptorBudget {
+        let limit = if needs.handover { limit / PROCESSES_OF_A_HAND_OVER } else { limit };
         let free = limit.saturating_sub(needs.reserve()).max(LEAST_FREE);
         let servers = free * PARTS_OF_SERVERS / PARTS;
         let usual_clients = free * USUAL_PARTS_OF_CLIENTS / PARTS;
-        Shares { usual_clients, most_clients: free - servers, servers }
+        DescriptorBudget {
+            client_soft_limit: usual_clients,
+            client_hard_limit: free - servers,
+            upstream_limit: servers,
+        }
     }
 }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -10,14 +10,14 @@
 use crate::discovery::watched_file::WatchedFile;
 use crate::discovery::{DiscoveryService, EndpointSource, XdsFile};
 use crate::dispatch::{Clock, Dispatcher, DispatcherMessage, DispatcherSender, RunningDispatcher};
-use crate::frontend::admin::{self, AdminEndpoint, Reloads};
-use crate::frontend::platform::Platform;
+use crate::frontend::admin::{self, AdminEndpoint, ReloadCounters};
+use crate::frontend::platform::PlatformFrontend;
 use crate::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
-use crate::frontend::signed::{self, parse_keys, Metrics, Signed};
+use crate::frontend::signed::{self, parse_keys, MetricsFrontend, SignedUrlFrontend};
 use crate::policy::types::Settings;
-use crate::signed::{Counts, Keys};
+use crate::signed::{KeySet, OutcomeCounters};
 use crate::upstream::servers::UpstreamConnector;
-use descriptors::{Needs, Shares};
+use descriptors::{DescriptorBudget, DescriptorNeeds};
 use std::cell::Cell;
 use std::future::Future;
 use std::path::PathBuf;
@@ -58,11 +58,11 @@
     let keyed = open_keys(operator.signed)?;
     let sources = Sources { board, xds: operator.xds, peers: operator.peers };
     let Started { core, task, peers } = sources.start(&config, shares).await?;
-    let reloads = Rc::new(Reloads::default());
+    let reloads = Rc::new(ReloadCounters::default());
     tokio::task::spawn_local(take_over(config.clone(), configs, to_board, core.sender(), reloads.clone()));
     let (close, closing) = watch::channel(ShutdownPhase::Running);
     let open = Rc::new(Cell::new(0));
-    let places = ConnectionSlots::new(shares.usual_clients, shares.most_clients);
+    let places = ConnectionSlots::new(shares.client_soft_limit, shares.client_hard_limit);
     let fronts = Fronts { core: core.clone(), places, closing: closing.clone(), open: open.clone() };
     let mut accepting = vec![fronts.platform(&config.listen, inherited).await?];
     if !config.admin_address.is_empty() {
@@ -89,17 +89,23 @@
 }
 
 /// Shares out the descriptors, before anything of the director's is opened.
-fn shares(config: &PlatformConfig, operator: &Operator, hand_over: bool) -> Shares {
+fn shares(config: &PlatformConfig, operator: &Operator, hand_over: bool) -> DescriptorBudget {
     let operators = !config.admin_address.is_empty();
     let signed = operator.signed.as_ref().map_or(0, |s| 1 + usize::from(s.metrics.is_some()));
     let listeners = usize::from(!hand_over) + usize::from(operators) + signed;
     let open = descriptors::open_now();
-    let needs = Needs { open, listeners, operators, peers: operator.peers.is_some(), hand_over };
-    Shares::new(config.max_descriptors, &needs)
+    let needs = DescriptorNeeds {
+        already_open: open,
+        listeners,
+        admin: operators,
+        cluster: operator.peers.is_some(),
+        handover: hand_over,
+    };
+    DescriptorBudget::allocate(config.max_descriptors, &needs)
 }
 
 /// The section of the signed front with its keys' file, read for the first time.
-type Keyed = (WatchedFile, Keys, SignedSection);
+type Keyed = (WatchedFile, KeySet, SignedSection);
 
 fn open_keys(section: Option<SignedSection>) -> Result<Option<Keyed>, String> {
     let Some(section) = section else { return Ok(None) };
@@ -131,7 +137,7 @@
 impl Sources {
     /// Opens them and starts the core, and the talk among directors where the operator's file has a section
     /// for it; nothing of that is opened or started otherwise.
-    async fn start(self, config: &PlatformConfig, shares: Shares) -> Result<Started, String> {
+    async fn start(self, config: &PlatformConfig, shares: DescriptorBudget) -> Result<Started, String> {
         #[cfg(not(feature = "peers"))]
         if self.peers.is_some() {
             return Err("peers: this program was built without talk among directors".into());
@@ -150,7 +156,7 @@
             purges_only,
             subscriber: tap,
         }));
-        let servers = Box::new(UpstreamConnector::new(config.connections.clone(), shares.servers));
+        let servers = Box::new(UpstreamConnector::new(config.connections.clone(), shares.upstream_limit));
         let RunningDispatcher { dispatcher: core, task } =
             start_core(config.settings.clone(), config.seed, clock, servers, sources)?;
         #[cfg(feature = "peers")]
@@ -197,7 +203,7 @@
         address: &str,
         inherited: Option<std::net::TcpListener>,
     ) -> Result<JoinHandle<()>, String> {
-        let front = Platform(self.core.clone());
+        let front = PlatformFrontend(self.core.clone());
         match inherited {
             Some(socket) => serve::adopt(socket, self.share(), front),
             None => serve::listen(address, self.share(), front).await,
@@ -208,12 +214,12 @@
     async fn signed(&self, (keys_file, keys, section): Keyed) -> Result<Vec<JoinHandle<()>>, String> {
         let (sender, keys) = watch::channel(Arc::new(keys));
         tokio::task::spawn_local(signed::follow_keys(keys_file, sender));
-        let counts = Arc::new(Counts::default());
+        let counts = Arc::new(OutcomeCounters::default());
         let mut accepting = Vec::new();
         if let Some(metrics) = section.metrics {
-            accepting.push(serve::listen(&metrics, self.share(), Metrics(counts.clone())).await?);
+            accepting.push(serve::listen(&metrics, self.share(), MetricsFrontend(counts.clone())).await?);
         }
-        let front = Signed { core: self.core.clone(), keys, clock: Clock::system(), counts };
+        let front = SignedUrlFrontend { dispatcher: self.core.clone(), keys, clock: Clock::system(), counts };
         accepting.push(serve::listen(&section.listen, self.share(), front).await?);
         Ok(accepting)
     }
@@ -270,7 +276,7 @@
     mut configs: mpsc::Receiver<Result<PlatformConfig, String>>,
     board: watch::Sender<String>,
     core: DispatcherSender,
-    reloads: Rc<Reloads>,
+    reloads: Rc<ReloadCounters>,
 ) {
     while let Some(new) = configs.recv().await {
         let new = match new.and_then(|new| new.can_replace(&config).map(|()| new)) {
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -15,9 +15,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Callers at a time; a further one takes the place of the one that came first.
-const MOST_CALLERS: usize = 8;
+const MAX_CONNECTIONS: usize = 8;
 /// The descriptors that callers hold at most: one is accepted before another makes room.
-pub const MAX_DESCRIPTORS: usize = MOST_CALLERS + 1;
+pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
 /// The longest call, and the longest where calls may name an object.
 const LONGEST_CALL: usize = 256;
 #[cfg(feature = "peers")]
@@ -29,7 +29,7 @@
 
 /// Files read at SIGHUP since the start.
 #[derive(Debug, Default)]
-pub struct Reloads {
+pub struct ReloadCounters {
     /// Taken over.
     pub succeeded: Cell<u64>,
     /// Turned down.
@@ -46,7 +46,7 @@
     /// Whether the program is to end.
     pub shutdown: watch::Receiver<ShutdownPhase>,
     /// Configurations read anew.
-    pub reloads: Rc<Reloads>,
+    pub reloads: Rc<ReloadCounters>,
     /// Talk among directors, where that is on.
     #[cfg(feature = "peers")]
     pub peers: Option<crate::cluster::ClusterHandle>,
@@ -84,7 +84,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 callers.retain(|c| !c.is_finished());
-                if callers.len() >= MOST_CALLERS {
+                if callers.len() >= MAX_CONNECTIONS {
                     if let Some(first) = callers.pop_front() {
                         first.abort();
                         // Its descriptor is given back before a further caller is accepted.
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -3,9 +3,9 @@
 use bytes::{Bytes, BytesMut};
 
 /// The longest head that is read.
-pub const LONGEST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most header lines of a request.
-const MOST_HEADERS: usize = 100;
+const MAX_HEADERS: usize = 100;
 
 /// Why a request can't be read, as the status that says so; the connection ends with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,7 +13,7 @@
     /// 400
     Malformed,
     /// 408
-    TooSlow,
+    Timeout,
     /// 413
     BodyTooLarge,
     /// 431
@@ -21,7 +21,7 @@
     /// 501
     NotImplemented,
     /// 505
-    Version,
+    UnsupportedVersion,
 }
 
 impl BadRequest {
@@ -29,18 +29,18 @@
     pub fn status(self) -> u16 {
         match self {
             BadRequest::Malformed => 400,
-            BadRequest::TooSlow => 408,
+            BadRequest::Timeout => 408,
             BadRequest::BodyTooLarge => 413,
             BadRequest::HeadTooLarge => 431,
             BadRequest::NotImplemented => 501,
-            BadRequest::Version => 505,
+            BadRequest::UnsupportedVersion => 505,
         }
     }
 }
 
 /// A request's line and headers; its body follows on the connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct RequestHead {
     /// The method.
     pub method: String,
     /// The target, octet for octet.
@@ -48,21 +48,21 @@
     /// Names in lower case, and values.
     pub headers: Vec<(String, String)>,
     /// Bytes of body that follow.
-    pub length: usize,
+    pub content_length: usize,
     /// The connection ends after the answer.
-    pub close: bool,
+    pub closes_connection: bool,
     /// The client waits for leave to send the body.
     pub expects_continue: bool,
 }
 
-impl Head {
+impl RequestHead {
     /// The value of a header; the first, where there are more.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0 == name).map(|h| h.1.as_str())
     }
 
     /// The value of a header that is there just once.
-    pub fn only(&self, name: &str) -> Option<&str> {
+    pub fn single_header(&self, name: &str) -> Option<&str> {
         let mut found = self.headers.iter().filter(|h| h.0 == name);
         let first = found.next()?;
         found.next().is_none().then_some(first.1.as_str())
@@ -70,21 +70,21 @@
 }
 
 /// Takes the head of a request off the buffer, once it has come whole.
-pub fn parse_head(buffer: &mut BytesMut, largest_body: usize) -> Result<Option<Head>, BadRequest> {
+pub fn parse_head(buffer: &mut BytesMut, largest_body: usize) -> Result<Option<RequestHead>, BadRequest> {
     // Empty lines before a request are passed over, as RFC 9112 (2.2) asks.
     while buffer.starts_with(b"\r\n") {
         let _ = buffer.split_to(2);
     }
-    let end = buffer.windows(4).take(LONGEST_HEAD).position(|w| w == b"\r\n\r\n");
+    let end = buffer.windows(4).take(MAX_HEAD_BYTES).position(|w| w == b"\r\n\r\n");
     let Some(end) = end else {
-        return if buffer.len() > LONGEST_HEAD { Err(BadRequest::HeadTooLarge) } else { Ok(None) };
+        return if buffer.len() > MAX_HEAD_BYTES { Err(BadRequest::HeadTooLarge) } else { Ok(None) };
     };
     let bytes = buffer.split_to(end + 4);
     let text = std::str::from_utf8(&bytes[..end]).map_err(|_| BadRequest::Malformed)?;
     parse_text(text, largest_body).map(Some)
 }
 
-fn parse_text(text: &str, largest_body: usize) -> Result<Head, BadRequest> {
+fn parse_text(text: &str, largest_body: usize) -> Result<RequestHead, BadRequest> {
     let mut lines = text.split("\r\n");
     let line: Vec<&str> = lines.next().unwrap_or("").split(' ').collect();
     let [method, target, version] = line[..] else { return Err(BadRequest::Malformed) };
@@ -94,7 +94,7 @@
     let old = match version {
         "HTTP/1.1" => false,
         "HTTP/1.0" => true,
-        _ if version.starts_with("HTTP/") => return Err(BadRequest::Version),
+        _ if version.starts_with("HTTP/") => return Err(BadRequest::UnsupportedVersion),
         _ => return Err(BadRequest::Malformed),
     };
     let mut headers = Vec::new();
@@ -104,7 +104,7 @@
         if !is_token(name) || value.bytes().any(|b| b < b' ' && b != b'\t' || b == 0x7f) {
             return Err(BadRequest::Malformed);
         }
-        if headers.len() == MOST_HEADERS {
+        if headers.len() == MAX_HEADERS {
             return Err(BadRequest::HeadTooLarge);
         }
         headers.push((name.to_ascii_lowercase(), value.to_owned()));
@@ -131,11 +131,11 @@
     };
     let close = says("close") || old && !says("keep-alive");
     let expects_continue = all("expect").iter().any(|v| v.eq_ignore_ascii_case("100-continue"));
-    Ok(Head {
+    Ok(RequestHead {
         method: method.to_owned(),
         target: target.to_owned(),
-        length,
-        close,
+        content_length: length,
+        closes_connection: close,
         expects_continue,
         headers,
     })
@@ -163,13 +163,13 @@
     }
 
     /// The same with one more header.
-    pub fn with(mut self, name: &'static str, value: String) -> Self {
+    pub fn with_header(mut self, name: &'static str, value: String) -> Self {
         self.headers.push((name, value));
         self
     }
 
     /// The head as it is written; the body follows.
-    pub fn head(&self, close: bool) -> String {
+    pub fn encode_head(&self, close: bool) -> String {
         let mut text = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
         for (name, value) in &self.headers {
             text.push_str(&format!("{name}: {value}\r\n"));
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's front: clients that speak the platform's HTTP.
 
-use super::http::{Head, Response};
+use super::http::{RequestHead, Response};
 use super::serve::Frontend;
 use crate::dispatch::{bare_tag, is_name, ClientRequest, ClientResponse, Dispatcher, FailureReason};
 use bytes::Bytes;
@@ -9,19 +9,19 @@
 
 /// The longest that a client may wait, in milliseconds, and the largest size that it may tell, in KB: what
 /// lies beyond is no figure of a client's.
-const LONGEST_ALLOW: f64 = 3_600_000.0;
-const LARGEST_KB: f64 = 1e9;
+const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
+const MAX_SIZE_KB: f64 = 1e9;
 
 /// The platform's own protocol.
-pub struct Platform(
+pub struct PlatformFrontend(
     /// Where requests go.
     pub Dispatcher,
 );
 
-impl Frontend for Platform {
+impl Frontend for PlatformFrontend {
     const NAME: &'static str = "clients";
 
-    fn read(&self, head: &Head, body: Bytes) -> Result<ClientRequest, Response> {
+    fn parse_request(&self, head: &RequestHead, body: Bytes) -> Result<ClientRequest, Response> {
         if head.target == "/alive" {
             return Err(Response::empty(self.alive(&head.method)));
         }
@@ -34,7 +34,7 @@
         let facts = &settings.classes[class];
         let method = if facts.write { "PUT" } else { "GET" };
         if head.method != method {
-            return Err(Response::empty(405).with("Allow", method.into()));
+            return Err(Response::empty(405).with_header("Allow", method.into()));
         }
         // What a server can't use would cost an attempt, and what it can't read the connection and all on it.
         if !is_hex(object) || !facts.write && !body.is_empty() {
@@ -45,7 +45,7 @@
             "" => None,
             _ => Some(query.strip_prefix("block=").and_then(digits).ok_or_else(bad)?),
         };
-        let id = head.only("x-job-id").filter(|id| is_hex(id)).ok_or_else(bad)?;
+        let id = head.single_header("x-job-id").filter(|id| is_hex(id)).ok_or_else(bad)?;
         let number = |name: &str, least: f64, most: f64| match head.header(name) {
             None => Ok(None),
             Some(text) => {
@@ -57,10 +57,10 @@
         if family.is_some_and(|n| n.fract() != 0.0) {
             return Err(bad());
         }
-        let allow = number("x-allow-ms", 0.0, LONGEST_ALLOW)?.unwrap_or(facts.deadline as f64 / 1e3);
+        let allow = number("x-allow-ms", 0.0, MAX_TIMEOUT_MS)?.unwrap_or(facts.deadline as f64 / 1e3);
         let token = match head.header("x-unique") {
             None => None,
-            Some(_) => Some(head.only("x-unique").filter(|token| is_name(token)).ok_or_else(bad)?),
+            Some(_) => Some(head.single_header("x-unique").filter(|token| is_name(token)).ok_or_else(bad)?),
         };
         let known = head.header("if-none-match").map(bare_tag).filter(|tag| is_name(tag));
         Ok(ClientRequest {
@@ -69,7 +69,7 @@
             object: object.into(),
             part,
             group: family.map(|n| n as u32),
-            size_kb: number("x-ram-kb", 0.0, LARGEST_KB)?.unwrap_or(0.0),
+            size_kb: number("x-ram-kb", 0.0, MAX_SIZE_KB)?.unwrap_or(0.0),
             is_retry: head.header("x-again").is_some_and(|v| v != "0"),
             timeout: Duration::from_secs_f64(allow / 1e3),
             if_none_match: known.map(Into::into),
@@ -79,21 +79,23 @@
         })
     }
 
-    fn word(&self, answer: ClientResponse) -> Response {
+    fn to_response(&self, answer: ClientResponse) -> Response {
         let tagged = |response: Response, tag: Option<Arc<str>>| match tag {
-            Some(tag) => response.with("ETag", format!("\"{tag}\"")),
+            Some(tag) => response.with_header("ETag", format!("\"{tag}\"")),
             None => response,
         };
         match answer {
             ClientResponse::Served(copy) => tagged(
                 Response { body: copy.body, ..Response::empty(200) }
-                    .with("Content-Type", "application/octet-stream".into()),
+                    .with_header("Content-Type", "application/octet-stream".into()),
                 copy.etag,
             ),
             ClientResponse::NotModified(tag) => tagged(Response::empty(304), tag),
             ClientResponse::Rejected { retry_after: wait, .. } => {
                 match wait.and_then(|wait| self.advice(wait)) {
-                    Some(wait) => Response::empty(503).with("X-Wait-Ms", wait.as_millis().max(1).to_string()),
+                    Some(wait) => {
+                        Response::empty(503).with_header("X-Wait-Ms", wait.as_millis().max(1).to_string())
+                    }
                     None => Response::empty(503),
                 }
             }
@@ -104,7 +106,7 @@
     }
 }
 
-impl Platform {
+impl PlatformFrontend {
     /// The status of the answer to whether this director is ready: it is where its core can be asked.
     fn alive(&self, method: &str) -> u16 {
         match method {
--- a/src/frontend/serve.rs
+++ b/src/frontend/serve.rs
@@ -1,6 +1,6 @@
 //! Client connections, whatever front they belong to: requests read, answers written. It decides nothing.
 
-use super::http::{self, BadRequest, Head, Response};
+use super::http::{self, BadRequest, RequestHead, Response};
 use super::stream::ClientStream;
 use crate::dispatch::{ClientRequest, ClientResponse, Dispatcher, FailureReason};
 use crate::upstream::peek_available;
@@ -46,13 +46,13 @@
     /// How the log names it.
     const NAME: &'static str;
     /// The answer, or what to ask the core.
-    fn read(&self, head: &Head, body: Bytes) -> Result<ClientRequest, Response>;
+    fn parse_request(&self, head: &RequestHead, body: Bytes) -> Result<ClientRequest, Response>;
     /// The largest body of a request.
-    fn largest_body(&self) -> usize {
+    fn max_body_bytes(&self) -> usize {
         crate::dispatch::MAX_WRITE_BYTES
     }
     /// The one place where outcomes become statuses.
-    fn word(&self, answer: ClientResponse) -> Response;
+    fn to_response(&self, answer: ClientResponse) -> Response;
 }
 
 /// How far the end of the program has come.
@@ -126,7 +126,7 @@
                     tracing::warn!("clients: accept: {error}");
                     said = Some(Instant::now());
                 }
-                places.make_room();
+                places.close_one_waiting();
                 sleep(ACCEPT_AGAIN).await;
             }
         }
@@ -144,9 +144,9 @@
 /// Serves a connection in a task of its own, or refuses it where there is no place.
 fn begin<F: Frontend>(stream: TcpStream, places: &Rc<ConnectionSlots>, shared: &Rc<(ListenerContext, F)>) {
     let shared = shared.clone();
-    let Some(place) = places.enter() else {
+    let Some(place) = places.acquire() else {
         let (wait, cause) = (Some(Duration::from_millis(500)), FailureReason::Overloaded);
-        let refusal = shared.1.word(ClientResponse::Rejected { retry_after: wait, reason: cause });
+        let refusal = shared.1.to_response(ClientResponse::Rejected { retry_after: wait, reason: cause });
         match places.linger() {
             Some(place) => {
                 tokio::task::spawn_local(refuse(stream, place, refusal, shared.0.requests_in_flight.clone()));
@@ -166,7 +166,8 @@
     let mut bytes = [0; 4096];
     if matches!(timeout(NEW, stream.read(&mut bytes)).await, Ok(Ok(n)) if n > 0) {
         let _counted = Counted::new(&open); // the program does not end under it
-        if stream.write_all(response.head(true).as_bytes()).await.is_err() || stream.shutdown().await.is_err()
+        if stream.write_all(response.encode_head(true).as_bytes()).await.is_err()
+            || stream.shutdown().await.is_err()
         {
             return;
         }
@@ -180,7 +181,7 @@
     let Ok(mut stream) = stream.into_std() else { return };
     // Closing with unread bytes would reset the connection before the answer is read.
     let _ = stream.read(&mut [0; 4096]);
-    let _ = stream.write(response.head(true).as_bytes());
+    let _ = stream.write(response.encode_head(true).as_bytes());
 }
 
 /// The places of client connections. Beyond the usual number each that comes has another make room, if one
@@ -188,8 +189,8 @@
 /// longest. One with a request in hand never makes room, and there is a most that is never passed.
 #[derive(Debug)]
 pub struct ConnectionSlots {
-    usual: usize,
-    most: usize,
+    soft_limit: usize,
+    hard_limit: usize,
     open: Cell<usize>,
     lingering: Cell<usize>,
     /// Those that wait for a request, in the order in which they began to, by whether they ever had one.
@@ -218,14 +219,21 @@
     /// Keeps to about so many connections, and never passes the most.
     pub fn new(usual: usize, most: usize) -> Rc<Self> {
         let (open, lingering, next) = (Cell::new(0), Cell::new(0), Cell::new(0));
-        Rc::new(ConnectionSlots { usual, most, open, lingering, waiting: RefCell::default(), next })
+        Rc::new(ConnectionSlots {
+            soft_limit: usual,
+            hard_limit: most,
+            open,
+            lingering,
+            waiting: RefCell::default(),
+            next,
+        })
     }
 
-    fn enter(self: &Rc<Self>) -> Option<ConnectionSlot> {
-        if self.open.get() >= self.usual {
-            self.make_room();
+    fn acquire(self: &Rc<Self>) -> Option<ConnectionSlot> {
+        if self.open.get() >= self.soft_limit {
+            self.close_one_waiting();
         }
-        if self.open.get() >= self.most {
+        if self.open.get() >= self.hard_limit {
             return None;
         }
         self.open.set(self.open.get() + 1);
@@ -242,12 +250,12 @@
     }
 
     /// Connections that wait for a request.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_connections(&self) -> usize {
         self.waiting.borrow().iter().map(BTreeMap::len).sum()
     }
 
     /// Has one that waits for a request end.
-    pub fn make_room(&self) {
+    pub fn close_one_waiting(&self) {
         let [new, idle] = &mut *self.waiting.borrow_mut();
         let silent = new.first_key_value().is_some_and(|(_, w)| w.since.elapsed() >= NEW);
         let first = if silent { new.pop_first() } else { None };
@@ -309,7 +317,7 @@
     stream: ClientStream,
     buffer: BytesMut,
     /// A request's head, while its body is awaited.
-    head: Option<Head>,
+    head: Option<RequestHead>,
     /// When the request that has begun must have come whole.
     due: Option<Instant>,
     /// Bytes that were read and not kept: what follows can't be told apart any more.
@@ -325,7 +333,7 @@
     loop {
         let (stay, told) = place.wait(asked);
         let request = tokio::select! {
-            request = connection.next_request(front.largest_body()) => request,
+            request = connection.next_request(front.max_body_bytes()) => request,
             // One that has begun to come is taken, and answered before the program ends. So is the first of a
             // new connection, which is on the way.
             _ = closing.wait_for(|c| *c == ShutdownPhase::CloseIdle), if counted.is_none() => {
@@ -361,18 +369,18 @@
             }
         };
         let _counted = counted.take().unwrap_or_else(|| Counted::new(&shared.requests_in_flight));
-        let response = match front.read(&head, body) {
+        let response = match front.parse_request(&head, body) {
             Err(response) => response,
             Ok(ask) => tokio::select! {
                 answer = shared.dispatcher.submit_for_client(ask, connection.stream.client()) => {
-                    front.word(answer)
+                    front.to_response(answer)
                 }
                 // Dropping the pending answer tells the core that the client has gone.
                 () = connection.gone() => return,
             },
         };
         let overrun = connection.thrown_away > 0;
-        let close = head.close || overrun || *shared.shutdown.borrow() != ShutdownPhase::Running;
+        let close = head.closes_connection || overrun || *shared.shutdown.borrow() != ShutdownPhase::Running;
         if connection.write(&response, close).await.is_err() {
             return;
         }
@@ -404,20 +412,27 @@
 
     /// Reads the next request; none: the client closed the connection, left it idle or took too long. What
     /// has come so far stays when the future is dropped.
-    async fn next_request(&mut self, largest_body: usize) -> Result<Option<(Head, Bytes)>, BadRequest> {
+    async fn next_request(
+        &mut self,
+        largest_body: usize,
+    ) -> Result<Option<(RequestHead, Bytes)>, BadRequest> {
         loop {
             if self.head.is_none() {
                 self.head = http::parse_head(&mut self.buffer, largest_body)?;
-                if self.head.as_ref().is_some_and(|h| h.expects_continue && self.buffer.len() < h.length) {
+                if self
+                    .head
+                    .as_ref()
+                    .is_some_and(|h| h.expects_continue && self.buffer.len() < h.content_length)
+                {
                     let leave = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
                     if !matches!(timeout(WHOLE_ANSWER, leave).await, Ok(Ok(()))) {
                         return Ok(None);
                     }
                 }
             }
-            if let Some(head) = self.head.take_if(|h| self.buffer.len() >= h.length) {
+            if let Some(head) = self.head.take_if(|h| self.buffer.len() >= h.content_length) {
                 self.due = None;
-                let body = self.buffer.split_to(head.length).freeze();
+                let body = self.buffer.split_to(head.content_length).freeze();
                 return Ok(Some((head, body)));
             }
             // Counted from a request's first byte, so that one that trickles in holds no place for ever.
@@ -427,7 +442,7 @@
             };
             match timeout_at(due, self.stream.read_buf(&mut self.buffer)).await {
                 Ok(Ok(n)) if n > 0 => {}
-                Err(_) if !self.idle() => return Err(BadRequest::TooSlow),
+                Err(_) if !self.idle() => return Err(BadRequest::Timeout),
                 _ => return Ok(None),
             }
         }
@@ -448,7 +463,7 @@
     }
 
     async fn write(&mut self, response: &Response, close: bool) -> std::io::Result<()> {
-        let mut bytes = Bytes::from(response.head(close)).chain(response.body.clone());
+        let mut bytes = Bytes::from(response.encode_head(close)).chain(response.body.clone());
         let written = timeout(WHOLE_ANSWER, self.stream.write_all_buf(&mut bytes)).await;
         written.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
     }
--- a/src/middleware/director.rs
+++ b/src/middleware/director.rs
@@ -7,7 +7,7 @@
     bare_tag, ClientHandle, ClientRequest, ClientResponse, Dispatcher, FailureReason, PendingResponse,
     MAX_WRITE_BYTES,
 };
-use crate::signed::{self, Counts, Grant, InvalidRequest};
+use crate::signed::{self, Grant, InvalidRequest, OutcomeCounters};
 use bytes::Bytes;
 use http::header::{ALLOW, IF_NONE_MATCH};
 use http::{HeaderValue, Request, Response, Uri};
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 struct Shared {
     handle: Handle,
-    counts: Arc<Counts>,
+    counts: Arc<OutcomeCounters>,
     routes: Option<Routes>,
     budget: Budget,
     places: Arc<Semaphore>,
@@ -69,14 +69,14 @@
 
 impl DirectorService {
     /// Asks this director and counts the outcomes, within the usual limits.
-    pub fn new(handle: impl Into<Handle>, counts: Arc<Counts>) -> Self {
+    pub fn new(handle: impl Into<Handle>, counts: Arc<OutcomeCounters>) -> Self {
         Self::with(handle, counts, None, &LibrarySection::default())
     }
 
     /// The same by routes and within the limits of the operator's file.
     pub fn with(
         handle: impl Into<Handle>,
-        counts: Arc<Counts>,
+        counts: Arc<OutcomeCounters>,
         routes: Option<Routes>,
         limits: &LibrarySection,
     ) -> Self {
@@ -121,7 +121,7 @@
     /// Asks this director for what these routes match, within the limits of the operator's file.
     pub fn new(
         handle: impl Into<Handle>,
-        counts: Arc<Counts>,
+        counts: Arc<OutcomeCounters>,
         routes: Routes,
         limits: &LibrarySection,
     ) -> Self {
@@ -210,7 +210,7 @@
         let (parts, body) = request.into_parts();
         let ask = match self.ask(&parts, target) {
             Ok(ask) => ask,
-            Err(unfit) => return self.bad(unfit.status, unfit.allow),
+            Err(unfit) => return self.bad(unfit.status, unfit.allowed_method),
         };
         // What is not told may be as large as any.
         let hint =
@@ -231,7 +231,7 @@
         parts: &http::request::Parts,
         target: Option<String>,
     ) -> Result<ClientRequest, InvalidRequest> {
-        let target = target.ok_or(InvalidRequest { status: 404, allow: None })?;
+        let target = target.ok_or(InvalidRequest { status: 404, allowed_method: None })?;
         // Without the layer that checks credentials nothing expires.
         let valid_until = parts.extensions.get::<Grant>().and_then(|grant| grant.expires_at);
         let grant = Grant { target, expires_at: valid_until };
@@ -255,7 +255,7 @@
     }
 
     fn bad<R: From<Bytes>>(&self, status: u16, allow: Option<&'static str>) -> Response<R> {
-        self.counts.add("bad_request");
+        self.counts.increment("bad_request");
         let mut response = super::empty(status);
         response.headers_mut().extend(allow.map(|m| (ALLOW, HeaderValue::from_static(m))));
         response
--- a/src/middleware/mod.rs
+++ b/src/middleware/mod.rs
@@ -27,7 +27,7 @@
 pub use routes::{Route, Routes, RoutesError};
 pub use signed::{SignedLayer, SignedService};
 
-use crate::signed::{Counts, HttpOutcome};
+use crate::signed::{HttpOutcome, OutcomeCounters};
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE, ETAG, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
@@ -49,8 +49,8 @@
     response
 }
 
-fn say<R: From<Bytes>>(counts: &Counts, worded: HttpOutcome) -> Response<R> {
-    counts.add(worded.outcome);
+fn say<R: From<Bytes>>(counts: &OutcomeCounters, worded: HttpOutcome) -> Response<R> {
+    counts.increment(worded.outcome);
     let mut response = empty(worded.status);
     let headers = response.headers_mut();
     let text = |value: &str| HeaderValue::from_str(value).ok();
--- a/src/middleware/signed.rs
+++ b/src/middleware/signed.rs
@@ -2,7 +2,7 @@
 
 use super::{only, say, Boxed};
 use crate::dispatch::Clock;
-use crate::signed::{self, Counts, Denied, Keys};
+use crate::signed::{self, CredentialError, KeySet, OutcomeCounters};
 use bytes::Bytes;
 use http::header::HOST;
 use http::{Request, Response, Uri};
@@ -14,14 +14,14 @@
 /// Checks the credential of each request before the service that it is put round.
 #[derive(Clone, Debug)]
 pub struct SignedLayer {
-    keys: Arc<Keys>,
+    keys: Arc<KeySet>,
     clock: Clock,
-    counts: Arc<Counts>,
+    counts: Arc<OutcomeCounters>,
 }
 
 impl SignedLayer {
     /// Checks with these keys by this clock, and counts what is turned down.
-    pub fn new(keys: Arc<Keys>, clock: Clock, counts: Arc<Counts>) -> Self {
+    pub fn new(keys: Arc<KeySet>, clock: Clock, counts: Arc<OutcomeCounters>) -> Self {
         SignedLayer { keys, clock, counts }
     }
 }
@@ -59,10 +59,10 @@
     fn call(&mut self, mut request: Request<B>) -> Self::Future {
         let grant = authority(&request).and_then(|authority| {
             let target = request.uri().path_and_query().map_or("/", |p| p.as_str());
-            signed::check(&self.layer.keys, authority, target, self.layer.clock.unix())
+            signed::verify_credential(&self.layer.keys, authority, target, self.layer.clock.unix())
         });
         let stripped = grant.and_then(|grant| {
-            let uri = grant.target.parse::<Uri>().map_err(|_| Denied::Malformed)?;
+            let uri = grant.target.parse::<Uri>().map_err(|_| CredentialError::Malformed)?;
             Ok((uri, grant))
         });
         match stripped {
@@ -77,9 +77,9 @@
 }
 
 /// The host that the request was sent to: HTTP/2 has it in the URI, HTTP/1 in one `Host`.
-fn authority<B>(request: &Request<B>) -> Result<&str, Denied> {
+fn authority<B>(request: &Request<B>) -> Result<&str, CredentialError> {
     if let Some(authority) = request.uri().authority() {
         return Ok(authority.as_str());
     }
-    only(request.headers(), &HOST).ok_or(Denied::Malformed)
+    only(request.headers(), &HOST).ok_or(CredentialError::Malformed)
 }
--- a/src/signed/keys.rs
+++ b/src/signed/keys.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The widest skew that may be set, in seconds: more would be a longer validity, not a clock that is off.
-pub const MAX_SKEW: f64 = 60.0;
+pub const MAX_CLOCK_SKEW_S: f64 = 60.0;
 /// Seconds of skew where none is set.
 const USUAL_SKEW: f64 = 5.0;
 /// The shortest secrets, in bytes: signed URLs are issued with 128-bit keys; RFC 7518 (3.2) asks that a
@@ -94,25 +94,25 @@
 }
 
 /// How credentials are checked: the keys, by name, and the skew that clocks are allowed.
-pub struct Keys {
+pub struct KeySet {
     pub(super) scheme: String,
     pub(super) audience: Vec<String>,
     pub(super) keys: BTreeMap<String, Key>,
     skew: u64,
 }
 
-impl std::fmt::Debug for Keys {
+impl std::fmt::Debug for KeySet {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Keys").field("names", &self.keys.keys()).finish_non_exhaustive()
     }
 }
 
-impl Keys {
+impl KeySet {
     /// Turns the file's part into keys; the error names the key, never its content.
-    pub fn new(file: KeyFile) -> Result<Keys, String> {
+    pub fn new(file: KeyFile) -> Result<KeySet, String> {
         let skew = file.skew_s.unwrap_or(USUAL_SKEW);
-        if !(0.0..=MAX_SKEW).contains(&skew) {
-            return Err(format!("skew_s: not from 0 to {MAX_SKEW}"));
+        if !(0.0..=MAX_CLOCK_SKEW_S).contains(&skew) {
+            return Err(format!("skew_s: not from 0 to {MAX_CLOCK_SKEW_S}"));
         }
         let mut keys = BTreeMap::new();
         for raw in file.keys {
@@ -125,7 +125,7 @@
         if keys.is_empty() {
             return Err("keys: none".into());
         }
-        Ok(Keys {
+        Ok(KeySet {
             scheme: file.scheme.unwrap_or_else(|| "https".into()),
             audience: file.audience.unwrap_or_default(),
             keys,
@@ -134,7 +134,7 @@
     }
 
     /// The skew in microseconds.
-    pub fn skew(&self) -> u64 {
+    pub fn clock_skew(&self) -> u64 {
         self.skew
     }
 
--- a/src/signed/request.rs
+++ b/src/signed/request.rs
@@ -1,7 +1,7 @@
 //! What the second front makes of a checked request, and how it words an answer: shared by the daemon's
 //! listener and the middleware.
 
-use super::{Denied, Grant};
+use super::{CredentialError, Grant};
 use crate::dispatch::request::{is_name, ClientRequest, ClientResponse, FailureReason};
 use crate::policy::types::Settings;
 use bytes::Bytes;
@@ -15,11 +15,11 @@
     /// The status.
     pub status: u16,
     /// With 405: the method that would do.
-    pub allow: Option<&'static str>,
+    pub allowed_method: Option<&'static str>,
 }
 
 const fn unfit(status: u16) -> InvalidRequest {
-    InvalidRequest { status, allow: None }
+    InvalidRequest { status, allowed_method: None }
 }
 
 /// Reads `/CLASS/OBJECT`, the object's name with as many slashes as it has, and the parameters `block` (the
@@ -38,7 +38,7 @@
     let facts = &settings.classes[class];
     let needed = if facts.write { "PUT" } else { "GET" };
     if method != needed {
-        return Err(InvalidRequest { status: 405, allow: Some(needed) });
+        return Err(InvalidRequest { status: 405, allowed_method: Some(needed) });
     }
     // An object has one name: no other path leads to it.
     if object.split('/').any(|segment| matches!(segment, "" | "." | "..")) {
@@ -91,7 +91,7 @@
 }
 
 /// The one place where this front's outcomes become statuses.
-pub fn to_http_outcome(answer: Result<ClientResponse, Denied>) -> HttpOutcome {
+pub fn to_http_outcome(answer: Result<ClientResponse, CredentialError>) -> HttpOutcome {
     let plain = |status, outcome| HttpOutcome { status, outcome, ..HttpOutcome::default() };
     let seconds = |wait: Option<Duration>| wait.map_or(1, |w| w.as_millis().div_ceil(1000).max(1) as u64);
     match answer {
@@ -107,7 +107,7 @@
                 HttpOutcome { retry_after: Some(seconds(wait)), ..plain(502, "upstream") }
             }
             FailureReason::DeadlineExceeded => plain(504, "deadline"),
-            FailureReason::CredentialExpired => plain(403, Denied::Expired.reason()),
+            FailureReason::CredentialExpired => plain(403, CredentialError::Expired.reason()),
         },
         Ok(ClientResponse::Failed(FailureReason::DeadlineExceeded)) => plain(504, "deadline"),
         // It may have run: a 403 would say that it did not.
@@ -139,11 +139,11 @@
 
 /// How often each outcome came.
 #[derive(Debug, Default)]
-pub struct Counts([AtomicU64; OUTCOMES.len()]);
+pub struct OutcomeCounters([AtomicU64; OUTCOMES.len()]);
 
-impl Counts {
+impl OutcomeCounters {
     /// Counts one outcome, by the word of [`HttpOutcome`].
-    pub fn add(&self, outcome: &str) {
+    pub fn increment(&self, outcome: &str) {
         if let Some(place) = OUTCOMES.iter().position(|o| *o == outcome) {
             self.0[place].fetch_add(1, Ordering::Relaxed);
         }
@@ -156,7 +156,7 @@
     }
 
     /// All of them, in Prometheus' text format.
-    pub fn exposition(&self) -> String {
+    pub fn to_prometheus(&self) -> String {
         let mut text = "# HELP foxhold_signed_responses_total Answers of the signed front by outcome.\n\
                         # TYPE foxhold_signed_responses_total counter\n"
             .to_owned();
--- a/src/signed/token.rs
+++ b/src/signed/token.rs
@@ -1,7 +1,7 @@
 //! URI Signing tokens (RFC 9246): a signed JWT in the attribute `URISigningPackage`.
 
-use super::keys::{decode_base64url, Keys};
-use super::{check_times, Denied, Grant};
+use super::keys::{decode_base64url, KeySet};
+use super::{check_times, CredentialError, Grant};
 use crate::config::settings::{real, text};
 use crate::policy::types::Micros;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -31,8 +31,8 @@
 }
 
 /// The token, and the target without the attribute and the delimiter that it makes needless.
-fn take_package(target: &str) -> Result<(&str, String), Denied> {
-    let [start] = places(target)[..] else { return Err(Denied::Malformed) };
+fn take_package(target: &str) -> Result<(&str, String), CredentialError> {
+    let [start] = places(target)[..] else { return Err(CredentialError::Malformed) };
     let (before, rest) = target.split_at(start);
     let value = &rest[ATTRIBUTE.len()..];
     let end = value.find(['&', ';', '?', '/']).unwrap_or(value.len());
@@ -44,40 +44,45 @@
         _ => format!("{kept}{after}"),
     };
     if token.is_empty() || token.len() > LONGEST_TOKEN {
-        return Err(Denied::Malformed);
+        return Err(CredentialError::Malformed);
     }
     Ok((token, stripped))
 }
 
-fn object(part: &str) -> Result<Object, Denied> {
-    let bytes = decode_base64url(part).ok_or(Denied::Malformed)?;
-    let text = std::str::from_utf8(&bytes).map_err(|_| Denied::Malformed)?;
+fn object(part: &str) -> Result<Object, CredentialError> {
+    let bytes = decode_base64url(part).ok_or(CredentialError::Malformed)?;
+    let text = std::str::from_utf8(&bytes).map_err(|_| CredentialError::Malformed)?;
     match json::from_str(text) {
         Ok(Value::Object(object)) => Ok(object),
-        _ => Err(Denied::Malformed),
+        _ => Err(CredentialError::Malformed),
     }
 }
 
 /// A claim that is a text, where it is there at all.
-fn word<'a>(claims: &'a Object, name: &str) -> Result<Option<&'a str>, Denied> {
-    claims.get(name).map(|v| text(v).ok_or(Denied::Malformed)).transpose()
+fn word<'a>(claims: &'a Object, name: &str) -> Result<Option<&'a str>, CredentialError> {
+    claims.get(name).map(|v| text(v).ok_or(CredentialError::Malformed)).transpose()
 }
 
 /// A claim that is a date, where it is there at all.
-fn date(claims: &Object, name: &str) -> Result<Option<f64>, Denied> {
-    let one = |v: &Value| real(v).filter(|d| d.is_finite()).ok_or(Denied::Malformed);
+fn date(claims: &Object, name: &str) -> Result<Option<f64>, CredentialError> {
+    let one = |v: &Value| real(v).filter(|d| d.is_finite()).ok_or(CredentialError::Malformed);
     claims.get(name).map(one).transpose()
 }
 
-pub(super) fn check(keys: &Keys, authority: &str, target: &str, unix: Micros) -> Result<Grant, Denied> {
+pub(super) fn check(
+    keys: &KeySet,
+    authority: &str,
+    target: &str,
+    unix: Micros,
+) -> Result<Grant, CredentialError> {
     let (token, stripped) = take_package(target)?;
     let parts: Vec<&str> = token.split('.').collect();
-    let [header, payload, signature] = parts[..] else { return Err(Denied::Malformed) };
+    let [header, payload, signature] = parts[..] else { return Err(CredentialError::Malformed) };
     let head = object(header)?;
-    let signature = decode_base64url(signature).ok_or(Denied::Malformed)?;
-    let alg = word(&head, "alg")?.ok_or(Denied::Malformed)?;
+    let signature = decode_base64url(signature).ok_or(CredentialError::Malformed)?;
+    let alg = word(&head, "alg")?.ok_or(CredentialError::Malformed)?;
     if head.contains_key("crit") {
-        return Err(Denied::Malformed); // no extension of JWS is understood here
+        return Err(CredentialError::Malformed); // no extension of JWS is understood here
     }
     let mut token_keys = keys.keys.iter().filter(|(_, k)| k.token_alg().is_some());
     let key = match word(&head, "kid")? {
@@ -85,59 +90,59 @@
         // Without a name there must be no choice.
         None => token_keys.next().filter(|_| token_keys.next().is_none()),
     };
-    let (_, key) = key.ok_or(Denied::Forged)?;
+    let (_, key) = key.ok_or(CredentialError::InvalidSignature)?;
     // The key says which algorithm it is used with, never the token: this turns down 'none' as well.
     if key.token_alg() != Some(alg) {
-        return Err(Denied::Forged);
+        return Err(CredentialError::InvalidSignature);
     }
     if !key.verifies(&token.as_bytes()[..header.len() + 1 + payload.len()], &signature) {
-        return Err(Denied::Forged);
+        return Err(CredentialError::InvalidSignature);
     }
     let claims = object(payload)?;
     check_claims(keys, key.issuer.as_deref(), &claims)?;
     let uri = format!("{}://{authority}{stripped}", keys.scheme);
-    let container = word(&claims, "cdniuc")?.ok_or(Denied::Malformed)?;
+    let container = word(&claims, "cdniuc")?.ok_or(CredentialError::Malformed)?;
     if !covers(container, &uri)? {
-        return Err(Denied::Forged);
+        return Err(CredentialError::InvalidSignature);
     }
     let valid_until = check_times(keys, date(&claims, "nbf")?, date(&claims, "exp")?, unix)?;
     Ok(Grant { target: stripped, expires_at: valid_until })
 }
 
-fn check_claims(keys: &Keys, issuer: Option<&str>, claims: &Object) -> Result<(), Denied> {
+fn check_claims(keys: &KeySet, issuer: Option<&str>, claims: &Object) -> Result<(), CredentialError> {
     if claims.get("cdniv").is_some_and(|v| real(v) != Some(1.0)) {
-        return Err(Denied::Malformed);
+        return Err(CredentialError::Malformed);
     }
     if let Some(critical) = word(claims, "cdnicrit")? {
         let known = |name: &str| UNDERSTOOD.contains(&name) && claims.contains_key(name);
         if !critical.split(',').all(|name| known(name.trim())) {
-            return Err(Denied::Malformed);
+            return Err(CredentialError::Malformed);
         }
     }
     if LIMITING.iter().any(|name| claims.contains_key(*name)) {
-        return Err(Denied::Malformed);
+        return Err(CredentialError::Malformed);
     }
     if issuer.is_some() && word(claims, "iss")? != issuer {
-        return Err(Denied::Forged);
+        return Err(CredentialError::InvalidSignature);
     }
     let ours = |v: &Value| text(v).is_some_and(|name| keys.audience.iter().any(|a| a == name));
     match claims.get("aud") {
         None => Ok(()),
         Some(Value::Array(list)) if list.iter().any(ours) => Ok(()),
         Some(one) if ours(one) => Ok(()),
-        Some(_) => Err(Denied::Forged),
+        Some(_) => Err(CredentialError::InvalidSignature),
     }
 }
 
 /// Whether the URI container is for this URI.
-fn covers(container: &str, uri: &str) -> Result<bool, Denied> {
+fn covers(container: &str, uri: &str) -> Result<bool, CredentialError> {
     if let Some(pattern) = container.strip_prefix("regex:") {
         let whole = format!("^(?:{pattern})$");
         let pattern = regex::RegexBuilder::new(&whole).size_limit(PATTERN_SIZE).build();
-        return pattern.map(|p| p.is_match(uri)).map_err(|_| Denied::Malformed);
+        return pattern.map(|p| p.is_match(uri)).map_err(|_| CredentialError::Malformed);
     }
     if let Some(hash) = container.strip_prefix("hash:sha-256;") {
         return Ok(hash == URL_SAFE_NO_PAD.encode(Sha256::digest(uri)));
     }
-    Err(Denied::Malformed)
+    Err(CredentialError::Malformed)
 }
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -10,7 +10,7 @@
     DispatcherSender, Endpoint, EndpointCommand, EndpointConnector, Representation, ResponseStatus,
     UpstreamRequest, UpstreamResponse,
 };
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::stream::ClientStream;
 use foxhold::policy::types::{CacheStatus, ServerId};
 use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
@@ -51,7 +51,7 @@
         let ([_, parent, origin], mut members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
         members[0].address = address.into();
         let core = foxhold_core(members);
-        let front = serve(&core, Platform(core.clone())).await;
+        let front = serve(&core, PlatformFrontend(core.clone())).await;
         let mut client = TcpStream::connect(&front).await.expect("a front");
         client.write_all(get(0xf).as_bytes()).await.expect("a reader");
         let mut cache = stepped.connection().await;
@@ -237,7 +237,7 @@
     local(async {
         let (servers, members) = trio(Manner::Silent).await;
         let core = foxhold_core(members);
-        let front = serve(&core, Platform(core.clone())).await;
+        let front = serve(&core, PlatformFrontend(core.clone())).await;
         let had = || servers.iter().map(|s| s.wants().len()).sum::<usize>();
         let ask = |id| {
             let mut client = std::net::TcpStream::connect(&front).expect("a front");
@@ -281,7 +281,7 @@
         let (listener, address) = short_listener();
         let waiting = fill(&address).await;
         let core = foxhold_core(vec![listing("s-cache", &address, "edge", "cache")]);
-        let front = serve(&core, Platform(core.clone())).await;
+        let front = serve(&core, PlatformFrontend(core.clone())).await;
         let mut client = std::net::TcpStream::connect(&front).expect("a front");
         client.write_all(get(0xa).as_bytes()).expect("a reader");
         while core.metrics().await.expect("a core").tables.attempts_in_flight == 0 {
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -5,7 +5,7 @@
 mod program;
 mod standin;
 
-use foxhold::daemon::descriptors::{Needs, Shares};
+use foxhold::daemon::descriptors::{DescriptorBudget, DescriptorNeeds};
 use program::{
     call, config, free_address, read_request, status, write_request, DescriptorPeak, Program, Scratch, Start,
 };
@@ -114,12 +114,17 @@
 
 #[test]
 fn the_shares_and_the_reserve_fit_each_limit_and_leave_room_for_the_clients_that_are_allowed() {
-    let needs = Needs { open: 10, listeners: 4, operators: true, peers: true, hand_over: false };
+    let needs =
+        DescriptorNeeds { already_open: 10, listeners: 4, admin: true, cluster: true, handover: false };
     for limit in 64..5_000 {
         for hand_over in [false, true] {
-            let needs = Needs { hand_over, ..needs };
+            let needs = DescriptorNeeds { handover: hand_over, ..needs };
             let processes = if hand_over { 2 } else { 1 };
-            let Shares { usual_clients, most_clients, servers } = Shares::new(limit, &needs);
+            let DescriptorBudget {
+                client_soft_limit: usual_clients,
+                client_hard_limit: most_clients,
+                upstream_limit: servers,
+            } = DescriptorBudget::allocate(limit, &needs);
             let held = (needs.reserve() + most_clients + servers) * processes;
             assert!(held <= limit || limit < 128, "{held} of {limit}, {processes} processes");
             assert!(usual_clients >= 2 && usual_clients < most_clients && servers >= 4, "{limit}");
--- a/tests/director.rs
+++ b/tests/director.rs
@@ -3,7 +3,7 @@
 mod standin;
 
 use foxhold::dispatch::{ClientResponse, Clock, FailureReason};
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::{Frontend, ShutdownPhase};
 use foxhold::policy::types::Settings;
 use standin::*;
@@ -21,7 +21,7 @@
 async fn site(manner: Manner) -> Site {
     let ([cache, parent, origin], members) = trio(manner).await;
     let core = start(settings(), Clock::system(), members);
-    let address = serve(&core, Platform(core.clone())).await;
+    let address = serve(&core, PlatformFrontend(core.clone())).await;
     Site { cache, parent, origin, address }
 }
 
@@ -123,7 +123,7 @@
         drop(gone); // nobody listens there any more
         let members = vec![listing("s-origin", &address, "hub", "origin")];
         let core = start(settings(), Clock::system(), members);
-        let address = serve(&core, Platform(core.clone())).await;
+        let address = serve(&core, PlatformFrontend(core.clone())).await;
         assert_eq!(send(&address, &put("a filing")).await.status, 503);
     });
 }
@@ -212,7 +212,7 @@
         let cache = Server::start(COPY).await;
         let core = start(settings(), Clock::system(), vec![cache.listing("s-cache", "edge", "cache")]);
         let (close, closing) = tokio::sync::watch::channel(ShutdownPhase::Running);
-        let address = serve_until(&core, Platform(core.clone()), closing).await;
+        let address = serve_until(&core, PlatformFrontend(core.clone()), closing).await;
         let request = get("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "");
         let mut idle = TcpStream::connect(&address).await.expect("a listener");
         let mut begun = TcpStream::connect(&address).await.expect("a listener");
@@ -345,9 +345,11 @@
             let settings = Settings { retry_after: retry_advice, max_retry_after: most, ..settings() };
             let core = start(settings, Clock::system(), members.clone());
             let wait = Some(Duration::from_millis(500));
-            let refused = Platform(core)
-                .word(ClientResponse::Rejected { retry_after: wait, reason: FailureReason::Overloaded });
-            let head = refused.head(true);
+            let refused = PlatformFrontend(core).to_response(ClientResponse::Rejected {
+                retry_after: wait,
+                reason: FailureReason::Overloaded,
+            });
+            let head = refused.encode_head(true);
             let advice = head.lines().find_map(|l| l.strip_prefix("X-Wait-Ms: "));
             assert_eq!(advice, told, "{head}");
         }
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -5,9 +5,9 @@
 use base64::{engine::general_purpose::URL_SAFE, Engine};
 use foxhold::discovery::watched_file::WatchedFile;
 use foxhold::dispatch::{Clock, Dispatcher, DispatcherMessage};
-use foxhold::frontend::signed::{follow_keys, parse_keys, Metrics, Signed};
+use foxhold::frontend::signed::{follow_keys, parse_keys, MetricsFrontend, SignedUrlFrontend};
 use foxhold::policy::types::Micros;
-use foxhold::signed::Counts;
+use foxhold::signed::OutcomeCounters;
 use hmac::{Hmac, KeyInit, Mac};
 use standin::*;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     parent: Server,
     origin: Server,
     address: String,
-    counts: Arc<Counts>,
+    counts: Arc<OutcomeCounters>,
 }
 
 /// A director whose clock is `off` microseconds from the issuer's, and servers that all behave alike.
@@ -37,8 +37,8 @@
         {{"name":"t1","alg":"HS256","key":"{secret}"}}]}}"#
     );
     let keys = watch::channel(Arc::new(parse_keys(&file).expect("good keys"))).1;
-    let counts = Arc::new(Counts::default());
-    let front = Signed { core: core.clone(), keys, clock, counts: counts.clone() };
+    let counts = Arc::new(OutcomeCounters::default());
+    let front = SignedUrlFrontend { dispatcher: core.clone(), keys, clock, counts: counts.clone() };
     let address = serve(&core, front).await;
     Site { core, cache, parent, origin, address, counts }
 }
@@ -81,10 +81,14 @@
 
     /// That just this outcome was counted, and so often.
     fn counted(&self, outcome: &str, times: u64) {
-        assert_eq!(self.counts.get(outcome), times, "{outcome}: {}", self.counts.exposition());
-        let all: u64 =
-            self.counts.exposition().lines().filter_map(|l| l.rsplit_once(' ')?.1.parse::<u64>().ok()).sum();
-        assert_eq!(all, times, "{}", self.counts.exposition());
+        assert_eq!(self.counts.get(outcome), times, "{outcome}: {}", self.counts.to_prometheus());
+        let all: u64 = self
+            .counts
+            .to_prometheus()
+            .lines()
+            .filter_map(|l| l.rsplit_once(' ')?.1.parse::<u64>().ok())
+            .sum();
+        assert_eq!(all, times, "{}", self.counts.to_prometheus());
     }
 }
 
@@ -207,10 +211,10 @@
 #[test]
 fn the_counts_can_be_read() {
     local(async {
-        let counts = Arc::new(Counts::default());
-        counts.add("forged");
+        let counts = Arc::new(OutcomeCounters::default());
+        counts.increment("forged");
         let core = start(settings(), Clock::starting_at(1 as Micros), Vec::new());
-        let address = serve(&core, Metrics(counts)).await;
+        let address = serve(&core, MetricsFrontend(counts)).await;
         let answer = send(&address, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").await;
         let text = String::from_utf8(answer.body).expect("text");
         assert!(text.contains("foxhold_signed_responses_total{outcome=\"forged\"} 1\n"), "{text}");
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -13,7 +13,7 @@
 use foxhold::discovery::StaticEndpoints;
 use foxhold::dispatch::Clock;
 use foxhold::middleware::{DirectorLayer, DirectorService, Route, Routes, SignedLayer};
-use foxhold::signed::{Counts, Grant, Keys};
+use foxhold::signed::{Grant, KeySet, OutcomeCounters};
 use hmac::{Hmac, KeyInit, Mac};
 use http_body_util::BodyExt;
 use standin::{local, settings, start, Manner, Server};
@@ -23,10 +23,10 @@
 const NOW: u64 = 1_764_576_000;
 const SECRET: &[u8] = b"0123456789abcdef";
 
-fn layer(clock: Clock, counts: &Arc<Counts>) -> SignedLayer {
+fn layer(clock: Clock, counts: &Arc<OutcomeCounters>) -> SignedLayer {
     let secret = URL_SAFE.encode(SECRET);
     let file = format!(r#"{{"keys":[{{"name":"u1","alg":"HMAC-SHA256","key":"{secret}"}}]}}"#);
-    let keys = Keys::new(miniserde::json::from_str(&file).expect("JSON")).expect("good keys");
+    let keys = KeySet::new(miniserde::json::from_str(&file).expect("JSON")).expect("good keys");
     SignedLayer::new(Arc::new(keys), clock, counts.clone())
 }
 
@@ -47,7 +47,7 @@
 #[test]
 fn the_layer_lets_good_links_through_stripped_and_no_others() {
     local(async {
-        let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(Counts::default()));
+        let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(OutcomeCounters::default()));
         let show = |grant: Grant, uri: axum::http::Uri| async move {
             format!("{uri} {}", grant.expires_at.expect("an end"))
         };
@@ -67,7 +67,7 @@
 fn the_director_serves_behind_the_layer_in_axum() {
     local(async {
         let cache = Server::start(Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
-        let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(Counts::default()));
+        let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(OutcomeCounters::default()));
         let core = start(settings(), clock, vec![cache.listing("s-cache", "edge", "cache")]);
         let director = DirectorService::new(core, counts.clone());
         let app = Router::new().fallback_service(director).layer(layer(clock, &counts));
@@ -101,7 +101,7 @@
             .endpoint_source(StaticEndpoints(members))
             .start()
             .expect("a director");
-        let counts = Arc::new(Counts::default());
+        let counts = Arc::new(OutcomeCounters::default());
         let layer = DirectorLayer::new(director, counts.clone(), routes(), &LibrarySection::default());
         let app = Router::new().route("/hello", get(|| async { "of the host" })).layer(layer);
         let ask = |method: &str, path: &str, body: &'static str| {
@@ -130,7 +130,7 @@
             .start()
             .expect("a director");
         let limits = LibrarySection { open: 2, body_budget_kb: 60, ..LibrarySection::default() };
-        let counts = Arc::new(Counts::default());
+        let counts = Arc::new(OutcomeCounters::default());
         let mut service = DirectorService::with(director, counts.clone(), Some(routes()), &limits);
         let put = |bytes: usize| {
             Request::put("/desk/filings/1").body(Body::from(vec![b'x'; bytes])).expect("a request")
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -4,8 +4,8 @@
 
 use foxhold::config::platform::PlatformConfig;
 use foxhold::dispatch::{Clock, DispatcherMessage};
-use foxhold::frontend::admin::{self, AdminEndpoint, Reloads};
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::admin::{self, AdminEndpoint, ReloadCounters};
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::ShutdownPhase;
 use foxhold::policy::types::*;
 use standin::*;
@@ -39,11 +39,11 @@
     local(async {
         let ([cache, ..], members) = trio(COPY).await;
         let core = start(settings(), Clock::system(), members);
-        let front = serve(&core, Platform(core.clone())).await;
+        let front = serve(&core, PlatformFrontend(core.clone())).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         let (close, closing) = watch::channel(ShutdownPhase::Running);
-        let (open, reloads) = (Rc::new(Cell::new(0)), Rc::new(Reloads::default()));
+        let (open, reloads) = (Rc::new(Cell::new(0)), Rc::new(ReloadCounters::default()));
         let peers = None;
         let door = AdminEndpoint {
             dispatcher: core.clone(),
@@ -157,7 +157,7 @@
     local(async {
         let (servers, members) = trio(COPY).await;
         let core = start(settings(), Clock::system(), members);
-        let front = serve(&core, Platform(core.clone())).await;
+        let front = serve(&core, PlatformFrontend(core.clone())).await;
         assert_eq!(send(&front, &get("films", 1)).await.status, 404);
         let mut later = settings();
         later.classes[0].name = "films".into();
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -90,8 +90,8 @@
         let text = String::from_utf8_lossy(bytes);
         let _ = (xds::parse(&text).is_ok(), PlatformConfig::parse(&text).is_ok());
         let file = r#"{"keys":[{"name":"k","alg":"HMAC-SHA1","key":"MDEyMzQ1Njc4OWFiY2RlZg"}]}"#;
-        let keys = signed::Keys::new(miniserde::json::from_str(file).expect("JSON")).expect("a good key");
-        signed::check(&keys, "a", &text, 0).is_err()
+        let keys = signed::KeySet::new(miniserde::json::from_str(file).expect("JSON")).expect("a good key");
+        signed::verify_credential(&keys, "a", &text, 0).is_err()
     }
     check(4, |bytes: &Vec<u8>| feed(bytes));
     let messages = [
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -8,7 +8,7 @@
     AttemptError, AttemptId, AttemptResult, CancellationToken, Clock, Dispatcher, DispatcherMessage,
     DispatcherSender, EndpointCommand, EndpointConnector, UpstreamRequest,
 };
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
 use foxhold::policy::types::ServerId;
 use foxhold::upstream::servers::UpstreamConnector;
@@ -89,7 +89,7 @@
         shutdown: closing,
         requests_in_flight: Rc::new(Cell::new(0)),
     };
-    tokio::task::spawn_local(serve::accept(listener, shared, Platform(core.clone())));
+    tokio::task::spawn_local(serve::accept(listener, shared, PlatformFrontend(core.clone())));
     Front { address, close, places }
 }
 
@@ -368,13 +368,13 @@
     let front = front(core, 0).await;
     let connect = |_| std::net::TcpStream::connect(&front.address).expect("a front");
     let mut held: Vec<_> = (0..2).map(connect).collect();
-    while front.places.waiting() < 2 {
+    while front.places.waiting_connections() < 2 {
         tokio::task::yield_now().await;
     }
     for held in &mut held {
         held.write_all(b"GET ").expect("a reader");
     }
-    while front.places.waiting() > 0 {
+    while front.places.waiting_connections() > 0 {
         tokio::task::yield_now().await;
     }
     (front, held)
@@ -433,11 +433,11 @@
         for n in 0..8 {
             let front = front(&core, 1).await;
             let mut first = std::net::TcpStream::connect(&front.address).expect("a front");
-            while front.places.waiting() == 0 {
+            while front.places.waiting_connections() == 0 {
                 tokio::task::yield_now().await;
             }
             first.write_all(get(n).as_bytes()).expect("a reader");
-            front.places.make_room();
+            front.places.close_one_waiting();
             let mut client = first.try_clone().expect("a socket");
             let answered = tokio::task::spawn_blocking(move || {
                 client.set_read_timeout(Some(SOON)).expect("a socket");
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -8,7 +8,7 @@
 mod standin;
 
 use foxhold::dispatch::{self, Clock, DispatcherMessage};
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::upstream::servers::UpstreamConnector;
 use program::{call, config, read_request, status, write_request, Program, Scratch, Start};
 use standin::{local, trio, Manner, Server};
@@ -306,7 +306,7 @@
         let servers = UpstreamConnector::new(standin::transport(), 10);
         let running =
             dispatch::start(standin::settings(), 7, Clock::system(), servers, known).expect("settings");
-        let address = standin::serve(&running.dispatcher, Platform(running.dispatcher.clone())).await;
+        let address = standin::serve(&running.dispatcher, PlatformFrontend(running.dispatcher.clone())).await;
         let read = read_request(1, 1_000).replace("guide-videos", "videos");
         assert_eq!(status(&address, ALIVE).await, Some(200));
         assert_eq!(status(&address, &read).await, Some(200));
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -2,7 +2,7 @@
 
 use base64::engine::general_purpose::{URL_SAFE, URL_SAFE_NO_PAD};
 use base64::Engine;
-use foxhold::signed::{check, Denied, Grant, KeyFile, Keys};
+use foxhold::signed::{verify_credential, CredentialError, Grant, KeyFile, KeySet};
 use hmac::{Hmac, KeyInit, Mac};
 use p256::ecdsa::{signature::Signer, Signature, SigningKey};
 use sha2::{Digest, Sha256};
@@ -15,7 +15,7 @@
     SigningKey::from_slice(&[7; 32]).expect("a key")
 }
 
-fn keys_with(skew: f64) -> Keys {
+fn keys_with(skew: f64) -> KeySet {
     let (secret, rotated) = (URL_SAFE.encode(SECRET), URL_SAFE.encode(b"another-16-bytes"));
     let point = URL_SAFE_NO_PAD.encode(signing_key().verifying_key().to_sec1_point(false).as_bytes());
     let file = format!(
@@ -25,14 +25,14 @@
             {{"name":"t1","alg":"HS256","key":"{secret}"}},
             {{"name":"t2","alg":"ES256","key":"{point}","issuer":"books"}}]}}"#
     );
-    Keys::new(miniserde::json::from_str::<KeyFile>(&file).expect("JSON")).expect("good keys")
+    KeySet::new(miniserde::json::from_str::<KeyFile>(&file).expect("JSON")).expect("good keys")
 }
 
-fn check_at(target: &str, seconds: f64) -> Result<Grant, Denied> {
-    check(&keys_with(5.0), HOST, target, (seconds * 1e6) as u64)
+fn check_at(target: &str, seconds: f64) -> Result<Grant, CredentialError> {
+    verify_credential(&keys_with(5.0), HOST, target, (seconds * 1e6) as u64)
 }
 
-fn check_now(target: &str) -> Result<Grant, Denied> {
+fn check_now(target: &str) -> Result<Grant, CredentialError> {
     check_at(target, NOW as f64)
 }
 
@@ -93,9 +93,12 @@
         good.replace("KeyName=u1", "KeyName=t1"),
     ];
     for target in cases {
-        assert_eq!(check_now(&target), Err(Denied::Forged), "{target}");
+        assert_eq!(check_now(&target), Err(CredentialError::InvalidSignature), "{target}");
     }
-    assert_eq!(check(&keys_with(5.0), "other.example", &good, NOW * 1_000_000), Err(Denied::Forged));
+    assert_eq!(
+        verify_credential(&keys_with(5.0), "other.example", &good, NOW * 1_000_000),
+        Err(CredentialError::InvalidSignature)
+    );
 }
 
 #[test]
@@ -114,7 +117,7 @@
         format!("https://{HOST}{good}"),
     ];
     for target in cases {
-        assert_eq!(check_now(&target), Err(Denied::Malformed), "{target}");
+        assert_eq!(check_now(&target), Err(CredentialError::Malformed), "{target}");
     }
 }
 
@@ -122,15 +125,15 @@
 fn skew_widens_both_ends_and_no_further() {
     let url = sha1_url("/videos/guide.mp4", NOW, "u1");
     assert!(check_at(&url, NOW as f64 + 4.999_999).is_ok());
-    assert_eq!(check_at(&url, NOW as f64 + 5.0), Err(Denied::Expired));
+    assert_eq!(check_at(&url, NOW as f64 + 5.0), Err(CredentialError::Expired));
     let token = tokened(&format!(r#","nbf":{NOW},"exp":{}"#, NOW + 10));
-    assert_eq!(check_at(&token, NOW as f64 - 5.000_001), Err(Denied::NotYetValid));
+    assert_eq!(check_at(&token, NOW as f64 - 5.000_001), Err(CredentialError::NotYetValid));
     assert!(check_at(&token, NOW as f64 - 5.0).is_ok());
     assert!(check_at(&token, NOW as f64 + 14.999_999).is_ok());
-    assert_eq!(check_at(&token, NOW as f64 + 15.0), Err(Denied::Expired));
+    assert_eq!(check_at(&token, NOW as f64 + 15.0), Err(CredentialError::Expired));
     assert_eq!(
-        check(&keys_with(0.0), HOST, &url, NOW * 1_000_000),
-        Err(Denied::Expired),
+        verify_credential(&keys_with(0.0), HOST, &url, NOW * 1_000_000),
+        Err(CredentialError::Expired),
         "no skew, no grace"
     );
 }
@@ -150,19 +153,25 @@
     ] {
         assert_eq!(check_now(&target).expect("good").target, stripped);
     }
-    assert_eq!(check_now(&format!("/videos/guide.mp4?{package}&{package}")), Err(Denied::Malformed));
+    assert_eq!(check_now(&format!("/videos/guide.mp4?{package}&{package}")), Err(CredentialError::Malformed));
 }
 
 #[test]
 fn a_token_must_be_for_this_uri() {
-    assert_eq!(check_now(&tokened("").replace("guide", "GUIDE")), Err(Denied::Forged));
+    assert_eq!(check_now(&tokened("").replace("guide", "GUIDE")), Err(CredentialError::InvalidSignature));
     let hash = URL_SAFE_NO_PAD.encode(Sha256::digest("https://videos.example/videos/a?block=1"));
     let token = hs256(r#"{"alg":"HS256","kid":"t1"}"#, &format!(r#"{{"cdniuc":"hash:sha-256;{hash}"}}"#));
     assert!(check_now(&format!("/videos/a?block=1&URISigningPackage={token}")).is_ok());
-    assert_eq!(check_now(&format!("/videos/a?block=2&URISigningPackage={token}")), Err(Denied::Forged));
+    assert_eq!(
+        check_now(&format!("/videos/a?block=2&URISigningPackage={token}")),
+        Err(CredentialError::InvalidSignature)
+    );
     // A pattern covers the whole URI, not a part of it.
     let part = hs256(r#"{"alg":"HS256","kid":"t1"}"#, r#"{"cdniuc":"regex:videos/a"}"#);
-    assert_eq!(check_now(&format!("/videos/a?URISigningPackage={part}")), Err(Denied::Forged));
+    assert_eq!(
+        check_now(&format!("/videos/a?URISigningPackage={part}")),
+        Err(CredentialError::InvalidSignature)
+    );
 }
 
 #[test]
@@ -171,17 +180,29 @@
     let target = |token: String| format!("/videos/a?URISigningPackage={token}");
     let bare = format!("{}.{}.", URL_SAFE_NO_PAD.encode(r#"{"alg":"none"}"#), URL_SAFE_NO_PAD.encode(claims));
     let header = |text: &str| check_now(&target(hs256(text, claims)));
-    assert_eq!(check_now(&target(bare)), Err(Denied::Forged));
-    assert_eq!(header(r#"{"alg":"none","kid":"t1"}"#), Err(Denied::Forged));
-    assert_eq!(header(r#"{"alg":"HS512","kid":"t1"}"#), Err(Denied::Forged));
-    assert_eq!(header(r#"{"alg":"HS256","kid":"t2"}"#), Err(Denied::Forged), "a public key is no secret");
-    assert_eq!(header(r#"{"alg":"HS256","kid":"u1"}"#), Err(Denied::Forged), "for URLs only");
-    assert_eq!(header(r#"{"alg":"HS256"}"#), Err(Denied::Forged), "two keys to choose from");
-    assert_eq!(header(r#"{"alg":"HS256","kid":"t1","crit":["b64"]}"#), Err(Denied::Malformed));
+    assert_eq!(check_now(&target(bare)), Err(CredentialError::InvalidSignature));
+    assert_eq!(header(r#"{"alg":"none","kid":"t1"}"#), Err(CredentialError::InvalidSignature));
+    assert_eq!(header(r#"{"alg":"HS512","kid":"t1"}"#), Err(CredentialError::InvalidSignature));
+    assert_eq!(
+        header(r#"{"alg":"HS256","kid":"t2"}"#),
+        Err(CredentialError::InvalidSignature),
+        "a public key is no secret"
+    );
+    assert_eq!(
+        header(r#"{"alg":"HS256","kid":"u1"}"#),
+        Err(CredentialError::InvalidSignature),
+        "for URLs only"
+    );
+    assert_eq!(
+        header(r#"{"alg":"HS256"}"#),
+        Err(CredentialError::InvalidSignature),
+        "two keys to choose from"
+    );
+    assert_eq!(header(r#"{"alg":"HS256","kid":"t1","crit":["b64"]}"#), Err(CredentialError::Malformed));
     assert!(header(r#"{"alg":"HS256","kid":"t1"}"#).is_ok());
     let good = hs256(r#"{"alg":"HS256","kid":"t1"}"#, claims);
     let (body, _) = good.rsplit_once('.').expect("a signature");
-    assert_eq!(check_now(&target(format!("{body}.AAAA"))), Err(Denied::Forged));
+    assert_eq!(check_now(&target(format!("{body}.AAAA"))), Err(CredentialError::InvalidSignature));
 }
 
 #[test]
@@ -193,8 +214,11 @@
         format!("/videos/a?URISigningPackage={body}.{}", URL_SAFE_NO_PAD.encode(signature.to_bytes()))
     };
     assert!(check_now(&token(r#"{"iss":"books","cdniuc":"regex:.*"}"#)).is_ok());
-    assert_eq!(check_now(&token(r#"{"iss":"others","cdniuc":"regex:.*"}"#)), Err(Denied::Forged));
-    assert_eq!(check_now(&token(r#"{"cdniuc":"regex:.*"}"#)), Err(Denied::Forged));
+    assert_eq!(
+        check_now(&token(r#"{"iss":"others","cdniuc":"regex:.*"}"#)),
+        Err(CredentialError::InvalidSignature)
+    );
+    assert_eq!(check_now(&token(r#"{"cdniuc":"regex:.*"}"#)), Err(CredentialError::InvalidSignature));
 }
 
 #[test]
@@ -213,20 +237,21 @@
         r#","exp":"soon""#,
         r#","nbf":true"#,
     ] {
-        assert_eq!(check_now(&tokened(bad)), Err(Denied::Malformed), "{bad}");
+        assert_eq!(check_now(&tokened(bad)), Err(CredentialError::Malformed), "{bad}");
     }
-    assert_eq!(check_now(&tokened(r#","aud":["cdn-b"]"#)), Err(Denied::Forged));
+    assert_eq!(check_now(&tokened(r#","aud":["cdn-b"]"#)), Err(CredentialError::InvalidSignature));
     let bare = hs256(r#"{"alg":"HS256","kid":"t1"}"#, "{}");
     assert_eq!(
         check_now(&format!("/videos/a?URISigningPackage={bare}")),
-        Err(Denied::Malformed),
+        Err(CredentialError::Malformed),
         "no container"
     );
 }
 
 #[test]
 fn keys_that_can_t_be_used_are_named_and_never_shown() {
-    let error = |file: &str| Keys::new(miniserde::json::from_str(file).expect("JSON")).expect_err("bad keys");
+    let error =
+        |file: &str| KeySet::new(miniserde::json::from_str(file).expect("JSON")).expect_err("bad keys");
     let key =
         |alg: &str, key: &str| error(&format!(r#"{{"keys":[{{"name":"k","alg":"{alg}","key":"{key}"}}]}}"#));
     assert_eq!(key("HS256", "c2hvcnQ"), "key 'k': shorter than 16 bytes");
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -7,8 +7,8 @@
 use foxhold::config::settings::{decode_connection_settings, parse_settings};
 use foxhold::discovery::client;
 use foxhold::dispatch::{AttemptId, Clock, DispatcherMessage, Endpoint, ResponseStatus, UpstreamRequest};
-use foxhold::frontend::admin::{self, AdminEndpoint, Reloads};
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::admin::{self, AdminEndpoint, ReloadCounters};
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::ShutdownPhase;
 use foxhold::upstream::line_codec;
 use foxhold::{CacheStatusLevel, Idempotency, KeyScope, Siblings};
@@ -231,9 +231,9 @@
     local(async {
         let ([cache, parent, origin], members) = trio(COPY).await;
         let core = start(settings(), Clock::system(), members);
-        let front = serve(&core, Platform(core.clone())).await;
+        let front = serve(&core, PlatformFrontend(core.clone())).await;
         let (close, closing) = watch::channel(ShutdownPhase::Running);
-        let reloads = Rc::new(Reloads::default());
+        let reloads = Rc::new(ReloadCounters::default());
         let door = AdminEndpoint {
             dispatcher: core.clone(),
             requests_in_flight: Rc::new(Cell::new(2)),
