--- a/src/daemon/descriptors.rs
+++ b/src/daemon/descriptors.rs
@@ -50,7 +50,7 @@
             + FILES
             + operators
             + peers
-            + serve::DESCRIPTORS_BESIDE_PLACES
+            + serve::slots::DESCRIPTORS_BESIDE_SLOTS
     }
 }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -205,8 +205,8 @@
     ) -> Result<JoinHandle<()>, String> {
         let front = PlatformFrontend(self.core.clone());
         match inherited {
-            Some(socket) => serve::adopt(socket, self.share(), front),
-            None => serve::listen(address, self.share(), front).await,
+            Some(socket) => serve::adopt(socket, self.share(), front).map_err(|e| e.to_string()),
+            None => serve::listen(address, self.share(), front).await.map_err(|e| e.to_string()),
         }
     }
 
@@ -217,10 +217,14 @@
         let counts = Arc::new(OutcomeCounters::default());
         let mut accepting = Vec::new();
         if let Some(metrics) = section.metrics {
-            accepting.push(serve::listen(&metrics, self.share(), MetricsFrontend(counts.clone())).await?);
+            accepting.push(
+                serve::listen(&metrics, self.share(), MetricsFrontend(counts.clone()))
+                    .await
+                    .map_err(|e| e.to_string())?,
+            );
         }
         let front = SignedUrlFrontend { dispatcher: self.core.clone(), keys, clock: Clock::system(), counts };
-        accepting.push(serve::listen(&section.listen, self.share(), front).await?);
+        accepting.push(serve::listen(&section.listen, self.share(), front).await.map_err(|e| e.to_string())?);
         Ok(accepting)
     }
 }
