--- a/src/frontend/serve/session.rs
+++ b/src/frontend/serve/session.rs
@@ -78,7 +78,9 @@
         loop {
             let (_waiting, must_close) = self.slot.wait(self.awaited);
             let event = tokio::select! {
-                request = self.connection.next_request(self.frontend.max_body_bytes()) => Event::Read(request),
+                request = self.connection.next_request(self.frontend.max_body_bytes()) => {
+                    Event::Read(request)
+                }
                 _ = self.shutdown.wait_for(|phase| *phase == ShutdownPhase::CloseIdle),
                     if self.in_flight.is_none() => Event::Shutdown,
                 Ok(()) = must_close => Event::MustClose,
