--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -9,7 +9,7 @@
 
 use foxhold::dispatch::{self, Clock, DispatcherMessage};
 use foxhold::frontend::platform::PlatformFrontend;
-use foxhold::upstream::servers::UpstreamConnector;
+use foxhold::upstream::UpstreamConnector;
 use program::{call, config, read_request, status, write_request, Program, Scratch, Start};
 use standin::{local, trio, Manner, Server};
 use std::cell::Cell;
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -161,7 +161,10 @@
     b.apply_member_update(1, ListScope::Full, &[listing("x", MemberState::Running, 0)], at(1));
     let (key, word) = a.set_drain("x", DrainCommand::Drain, at(2)).expect("room").expect("news");
     b.merge(&key, &word, at(2)).expect("taken");
-    let drains = |s: &ReplicatedState| matches!(s.get(&Key::Drain("x".into())), Some(Value::Drain(w)) if w.is_draining());
+    let drains = |s: &ReplicatedState| {
+        let value = s.get(&Key::Drain("x".into()));
+        matches!(value, Some(Value::Drain(record)) if record.is_draining())
+    };
     // At once: an undrain on one side, a drain on the other.
     let (_, undone) = a.set_drain("x", DrainCommand::Undrain, at(3)).expect("room").expect("news");
     let (_, again) = b.set_drain("x", DrainCommand::Drain, at(3)).expect("room").expect("news");
