--- a/src/config/operator/codec.rs
+++ b/src/config/operator/codec.rs
@@ -181,6 +181,6 @@
     let first = text.lines().find(|line| !line.trim().is_empty()).unwrap_or("not YAML").trim();
     let message = first.strip_prefix("error: ").unwrap_or(first).to_owned();
     let location = error.location().filter(|_| !message.contains("line "));
-    let location = location.map(|at| Location { line: at.line() as u64, column: at.column() as u64 });
+    let location = location.map(|at| Location { line: at.line(), column: at.column() });
     OperatorParseError::Syntax { location, message }
 }
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | [`codec`] | the platform's JSON form of the settings |
 //! | [`connections`] | the settings of connections to servers |
-//! | [`json`] | access to JSON values, shared with other decoders |
+//! | `json` | access to JSON values, shared with other decoders |
 
 pub mod codec;
 pub mod connections;
--- a/src/discovery/xds/error.rs
+++ b/src/discovery/xds/error.rs
@@ -80,7 +80,7 @@
     #[error("not a text")]
     NotAText,
     #[error("not a whole number")]
-    NotAWholeNumber,
+    NotAnInteger,
     #[error("not a number")]
     NotANumber,
     #[error("there in both spellings")]
--- a/src/discovery/xds/message.rs
+++ b/src/discovery/xds/message.rs
@@ -58,7 +58,7 @@
         let Some(value) = self.get(name)? else { return Ok(None) };
         let number = real(value).or_else(|| text(value).and_then(|text| text.parse().ok()));
         let fits = |n: &f64| n.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(n);
-        let integer = number.filter(fits).ok_or_else(|| FieldFault::NotAWholeNumber.in_field(name))?;
+        let integer = number.filter(fits).ok_or_else(|| FieldFault::NotAnInteger.in_field(name))?;
         Ok(Some(integer as u32))
     }
 
--- a/src/upstream/connection/liveness.rs
+++ b/src/upstream/connection/liveness.rs
@@ -52,7 +52,7 @@
     }
 
     /// Notes that something has come.
-    pub(super) fn heard(&mut self, now: Instant) {
+    pub(super) fn record_read(&mut self, now: Instant) {
         *self = Liveness::new(now);
     }
 
--- a/src/upstream/connection/mod.rs
+++ b/src/upstream/connection/mod.rs
@@ -95,6 +95,7 @@
 }
 
 /// What a connection waits for.
+#[allow(clippy::large_enum_variant)] // one lives at a time, from the wait to its handling
 enum Wake {
     /// A command, or the end of the actor.
     Command(Option<EndpointCommand>),
@@ -169,7 +170,7 @@
         commands: &mut mpsc::Receiver<EndpointCommand>,
     ) -> Option<Arc<str>> {
         let mut session = Session::new(&mut stream, commands);
-        self.liveness.heard(session.last_used);
+        self.liveness.record_read(session.last_used);
         loop {
             // Guards against writing to a connection that its server has closed meanwhile: what was not
             // written can go elsewhere, whatever its class.
@@ -247,7 +248,7 @@
 
     /// Handles all messages that are complete; returns whether the connection stays open.
     async fn handle_input(&mut self, input: &mut Input, now: Instant) -> bool {
-        self.liveness.heard(now);
+        self.liveness.record_read(now);
         loop {
             match input.decoder.next(&mut input.buffer) {
                 Ok(Some(message)) => self.handle_message(message).await,
--- a/src/upstream/endpoint.rs
+++ b/src/upstream/endpoint.rs
@@ -22,12 +22,13 @@
     events: mpsc::Receiver<ConnectionEvent>,
 }
 
-/// Whether a command is placed for the first time.
+/// Why a command is placed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Placement {
+    /// It comes from the dispatcher.
     First,
     /// Its connection ended before it was written.
-    Again,
+    Retry,
 }
 
 impl EndpointActor {
@@ -65,7 +66,7 @@
             ConnectionEvent::Closed(connection, unsent) => {
                 self.pool.remove(connection);
                 for command in unsent {
-                    self.handle_command(command, Placement::Again).await;
+                    self.handle_command(command, Placement::Retry).await;
                 }
             }
         }
@@ -87,7 +88,7 @@
         let error = match self.pool.send(request) {
             Ok(()) => return,
             // Tried on a connection once, so the failure is the endpoint's.
-            Err(AttemptError::NotWritten) if placement == Placement::Again => AttemptError::NotConnected,
+            Err(AttemptError::NotWritten) if placement == Placement::Retry => AttemptError::NotConnected,
             Err(error) => error,
         };
         self.report_end(attempt, error).await;
--- a/src/upstream/line_codec/decode.rs
+++ b/src/upstream/line_codec/decode.rs
@@ -30,13 +30,13 @@
 #[derive(Debug)]
 struct MessageHead {
     id: Arc<str>,
-    status: StatusWord,
+    status: StatusToken,
     fields: ResponseFields,
     body_length: Option<usize>,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum StatusWord {
+enum StatusToken {
     Ok,
     NotModified,
     Miss,
@@ -47,23 +47,23 @@
     Unhealthy,
 }
 
-impl StatusWord {
-    fn parse(word: &str) -> Result<StatusWord, LineError> {
+impl StatusToken {
+    fn parse(word: &str) -> Result<StatusToken, LineError> {
         Ok(match word {
-            "ACK" => StatusWord::Ok,
-            "NOMOD" => StatusWord::NotModified,
-            "NOENT" => StatusWord::Miss,
-            "AGAIN" => StatusWord::Rejected,
-            "EIO" => StatusWord::Error,
-            "STALE" => StatusWord::Expired,
-            "READY" => StatusWord::Healthy,
-            "AILING" => StatusWord::Unhealthy,
+            "ACK" => StatusToken::Ok,
+            "NOMOD" => StatusToken::NotModified,
+            "NOENT" => StatusToken::Miss,
+            "AGAIN" => StatusToken::Rejected,
+            "EIO" => StatusToken::Error,
+            "STALE" => StatusToken::Expired,
+            "READY" => StatusToken::Healthy,
+            "AILING" => StatusToken::Unhealthy,
             _ => return Err(LineError::UnknownStatus),
         })
     }
 
     fn is_health(self) -> bool {
-        matches!(self, StatusWord::Healthy | StatusWord::Unhealthy)
+        matches!(self, StatusToken::Healthy | StatusToken::Unhealthy)
     }
 }
 
@@ -132,17 +132,17 @@
 fn parse_head(line: &[u8]) -> Result<MessageHead, LineError> {
     let line = std::str::from_utf8(line).map_err(|_| LineError::NotUtf8)?;
     let words: Vec<&str> = line.split(' ').collect();
-    let [id, status, rest @ ..] = &words[..] else { return Err(LineError::TooFewWords) };
+    let [id, status, rest @ ..] = &words[..] else { return Err(LineError::TooFewFields) };
     if id.is_empty() {
         return Err(LineError::MissingId);
     }
-    let status = StatusWord::parse(status)?;
+    let status = StatusToken::parse(status)?;
     let (fields, body_length) = match rest {
         [fields, length] => (*fields, Some(parse_body_length(length)?)),
         // The result of a health check may come without a length.
         [fields] if status.is_health() => (*fields, None),
         [] if status.is_health() => (NO_FIELDS, None),
-        _ => return Err(LineError::WrongWordCount),
+        _ => return Err(LineError::WrongFieldCount),
     };
     Ok(MessageHead { id: (*id).into(), status, fields: parse_fields(fields)?, body_length })
 }
@@ -207,14 +207,14 @@
             MessageContent::Response(UpstreamResponse { status, cache_status, source_wait, load_report })
         };
         let content = match self.status {
-            StatusWord::Ok => response(ResponseStatus::Ok(Representation { etag, body }), load_report),
-            StatusWord::NotModified => response(ResponseStatus::NotModified(etag), load_report),
-            StatusWord::Miss => response(ResponseStatus::Miss, load_report),
-            StatusWord::Rejected => response(ResponseStatus::Rejected, load_report),
-            StatusWord::Error => response(ResponseStatus::Error, load_report),
-            StatusWord::Expired => response(ResponseStatus::Expired, load_report),
-            StatusWord::Healthy => health(true, load_report),
-            StatusWord::Unhealthy => health(false, load_report),
+            StatusToken::Ok => response(ResponseStatus::Ok(Representation { etag, body }), load_report),
+            StatusToken::NotModified => response(ResponseStatus::NotModified(etag), load_report),
+            StatusToken::Miss => response(ResponseStatus::Miss, load_report),
+            StatusToken::Rejected => response(ResponseStatus::Rejected, load_report),
+            StatusToken::Error => response(ResponseStatus::Error, load_report),
+            StatusToken::Expired => response(ResponseStatus::Expired, load_report),
+            StatusToken::Healthy => health(true, load_report),
+            StatusToken::Unhealthy => health(false, load_report),
         };
         ServerMessage { id: self.id, content }
     }
--- a/src/upstream/line_codec/mod.rs
+++ b/src/upstream/line_codec/mod.rs
@@ -91,9 +91,9 @@
     #[error("a line is not text")]
     NotUtf8,
     #[error("a line has too few words")]
-    TooFewWords,
+    TooFewFields,
     #[error("an answer has not four words")]
-    WrongWordCount,
+    WrongFieldCount,
     #[error("an answer has no id")]
     MissingId,
     #[error("an answer's word is not known")]
