--- a/src/upstream/connection/mod.rs
+++ b/src/upstream/connection/mod.rs
@@ -20,6 +20,7 @@
 use requests::UnwrittenRequest;
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind::WouldBlock;
+use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -183,7 +184,7 @@
                 return None;
             }
             let wake = self.wait(&mut session).await;
-            if !self.handle_wake(wake, &mut session).await {
+            if self.handle_wake(wake, &mut session).await.is_break() {
                 return session.input.interrupted_request();
             }
         }
@@ -206,24 +207,24 @@
         }
     }
 
-    /// Acts on what was waited for; returns whether the connection stays open.
-    async fn handle_wake(&mut self, wake: Wake, session: &mut Session<'_>) -> bool {
+    /// Acts on what was waited for; breaks if the connection has to end.
+    async fn handle_wake(&mut self, wake: Wake, session: &mut Session<'_>) -> ControlFlow<()> {
         match wake {
             Wake::Command(Some(command)) => {
                 session.last_used = Instant::now();
                 self.handle_command(command).await;
-                true
+                ControlFlow::Continue(())
             }
             Wake::Command(None) => {
                 session.commands_closed = true;
-                true
+                ControlFlow::Continue(())
             }
             Wake::Writable => self.write(&session.write).await,
             Wake::Read { has_data: true } => {
                 session.last_used = Instant::now();
                 self.handle_input(&mut session.input, session.last_used).await
             }
-            Wake::Read { has_data: false } | Wake::CloseIdle => false,
+            Wake::Read { has_data: false } | Wake::CloseIdle => ControlFlow::Break(()),
             Wake::Silence => self.handle_silence(session.input.has_partial_response()).await,
         }
     }
@@ -233,29 +234,30 @@
         self.attempts.is_empty() && self.health_checks.is_empty() && self.out.is_empty()
     }
 
-    /// Writes what the socket takes; returns whether the connection stays open.
-    async fn write(&mut self, write: &WriteHalf<'_>) -> bool {
+    /// Writes what the socket takes; breaks if the connection has to end.
+    async fn write(&mut self, write: &WriteHalf<'_>) -> ControlFlow<()> {
         self.drop_expired().await;
         match write.try_write(self.out.bytes()) {
             Ok(bytes) => {
                 self.out.advance(bytes);
                 self.report_written().await;
-                true
+                ControlFlow::Continue(())
             }
-            Err(error) => error.kind() == WouldBlock,
+            Err(error) if error.kind() == WouldBlock => ControlFlow::Continue(()),
+            Err(_) => ControlFlow::Break(()),
         }
     }
 
-    /// Handles all messages that are complete; returns whether the connection stays open.
-    async fn handle_input(&mut self, input: &mut Input, now: Instant) -> bool {
+    /// Handles all messages that are complete; breaks if the connection has to end.
+    async fn handle_input(&mut self, input: &mut Input, now: Instant) -> ControlFlow<()> {
         self.liveness.record_read(now);
         loop {
             match input.decoder.next(&mut input.buffer) {
                 Ok(Some(message)) => self.handle_message(message).await,
-                Ok(None) => return true,
+                Ok(None) => return ControlFlow::Continue(()),
                 Err(error) => {
                     tracing::warn!(server = %self.address, reason = %error, "invalid server response");
-                    return false;
+                    return ControlFlow::Break(());
                 }
             }
         }
@@ -278,25 +280,25 @@
         }
     }
 
-    /// Acts on a silence that has lasted too long; returns whether the connection stays open.
-    async fn handle_silence(&mut self, has_partial_response: bool) -> bool {
+    /// Acts on a silence that has lasted too long; breaks if the connection has to end.
+    async fn handle_silence(&mut self, has_partial_response: bool) -> ControlFlow<()> {
         if has_partial_response {
             tracing::warn!(server = %self.address, "server response was cut short");
-            return false;
+            return ControlFlow::Break(());
         }
         match self.liveness.next_action() {
             SilenceAction::Check => {
                 // Not a health check of the router: whatever comes shows that the connection lives.
                 self.out.append(|out| line_codec::write_health_check(line_codec::LIVENESS_TAG, out));
-                true
+                ControlFlow::Continue(())
             }
             SilenceAction::ReportUnresponsive => {
                 self.reporter.unresponsive().await;
-                true
+                ControlFlow::Continue(())
             }
             SilenceAction::Close => {
                 tracing::warn!(server = %self.address, "server connection is silent");
-                false
+                ControlFlow::Break(())
             }
         }
     }
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -78,13 +78,13 @@
 fn a_reconnect_requests_only_missing_events_and_reports_none_twice() {
     local(async {
         let mut service = Service::start(WatchScope::MembersAndPurges).await;
-        let (mut stream, asked) = service.connection().await;
-        assert_eq!(asked, "watch 3\n");
+        let (mut stream, request) = service.connection().await;
+        assert_eq!(request, "watch 3\n");
         stream.write_all(purge(4).as_bytes()).await.expect("a reader");
         assert_eq!(service.purge().await, "4");
         drop(stream);
-        let (mut stream, asked) = service.connection().await;
-        assert_eq!(asked, "watch 4\n");
+        let (mut stream, request) = service.connection().await;
+        assert_eq!(request, "watch 4\n");
         stream.write_all((purge(4) + "4\n" + &purge(5)).as_bytes()).await.expect("a reader");
         assert_eq!(service.purge().await, "5");
     });
@@ -99,8 +99,8 @@
             let (mut stream, _) = service.connection().await;
             stream.write_all((purge(4) + fault).as_bytes()).await.expect("a reader");
             assert_eq!(service.purge().await, "4");
-            let (_, asked) = service.connection().await;
-            assert_eq!(asked, "watch 4\n", "{fault}");
+            let (_, request) = service.connection().await;
+            assert_eq!(request, "watch 4\n", "{fault}");
             drop(stream);
         });
     }
@@ -118,14 +118,14 @@
             let (mut stream, _) = service.connection().await;
             stream.write_all((purge(4) + bad + &purge(6)).as_bytes()).await.expect("a reader");
             assert_eq!(service.purge().await, "4");
-            let (mut stream, asked) = service.connection().await;
-            assert_eq!(asked, "watch 4\n", "it may have been damaged on the way");
+            let (mut stream, request) = service.connection().await;
+            assert_eq!(request, "watch 4\n", "it may have been damaged on the way");
             stream.write_all((bad.to_owned() + &purge(6)).as_bytes()).await.expect("a reader");
             assert_eq!(service.purge().await, "6");
             // Heartbeats carry the revision of the newest event: it must not count as missed for ever.
             stream.write_all(bad.replace('5', "7").as_bytes()).await.expect("a reader");
-            let (mut stream, asked) = service.connection().await;
-            assert_eq!(asked, "watch 6\n");
+            let (mut stream, request) = service.connection().await;
+            assert_eq!(request, "watch 6\n");
             stream
                 .write_all((bad.replace('5', "7") + "7\n7\n" + &purge(8)).as_bytes())
                 .await
@@ -170,8 +170,8 @@
         let (listener, address) = listener().await;
         service.listener = listener;
         service.address.send(address).expect("a client");
-        let (mut stream, asked) = service.connection().await;
-        assert_eq!(asked, "watch 4\n");
+        let (mut stream, request) = service.connection().await;
+        assert_eq!(request, "watch 4\n");
         stream.write_all((purge(5) + &purge(5) + &purge(6)).as_bytes()).await.expect("a reader");
         assert_eq!(service.purge().await, "5");
         assert_eq!(service.purge().await, "6");
@@ -219,8 +219,8 @@
         let service = Service::start(WatchScope::MembersAndPurges).await;
         let begun = std::time::Instant::now();
         for _ in 0..8 {
-            let (mut stream, asked) = service.connection().await;
-            assert_eq!(asked, "watch 3\n");
+            let (mut stream, request) = service.connection().await;
+            assert_eq!(request, "watch 3\n");
             stream.write_all(b"3\n").await.expect("a reader");
         }
         // Doubled each time it would be over 3 s.
@@ -251,15 +251,15 @@
     /// Takes connections again until a client requests events; returns how long that took.
     async fn returns(self) -> Duration {
         let begun = std::time::Instant::now();
-        let (asked, mut requests) = mpsc::channel(16);
+        let (sender, mut requests) = mpsc::channel(16);
         let listener = self.listener;
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let asked = asked.clone();
+                let sender = sender.clone();
                 tokio::task::spawn_local(async move {
                     let (mut stream, mut line) = (BufReader::new(stream), String::new());
                     if matches!(stream.read_line(&mut line).await, Ok(1..)) {
-                        let _ = asked.send(line).await; // one that came earlier was enough
+                        let _ = sender.send(line).await; // one that came earlier was enough
                     }
                 });
             }
@@ -313,9 +313,9 @@
             }
             stream.write_all(last_words.as_bytes()).await.expect("a reader");
             let silent = std::time::Instant::now();
-            let (mut stream, asked) = service.connection().await;
+            let (mut stream, request) = service.connection().await;
             let took = silent.elapsed();
-            assert_eq!(asked, "watch 4\n", "{last_words}");
+            assert_eq!(request, "watch 4\n", "{last_words}");
             assert!(took >= Duration::from_secs(2) && took < Duration::from_millis(3_500), "{took:?}");
             stream.write_all((purge(5) + "5\n").as_bytes()).await.expect("a reader");
             assert_eq!(service.purge().await, "5");
