--- a/src/upstream/connection/mod.rs
+++ b/src/upstream/connection/mod.rs
@@ -175,8 +175,8 @@
         loop {
             // Guards against writing to a connection that its server has closed meanwhile: what was not
             // written can go elsewhere, whatever its class.
-            let may_write = self.attempts.is_empty() && !self.queue.is_empty();
-            if may_write && has_ended(session.read.as_ref()) {
+            let is_about_to_write = self.attempts.is_empty() && !self.queue.is_empty();
+            if is_about_to_write && has_ended(session.read.as_ref()) {
                 return None;
             }
             self.fill_out_buffer().await;
--- a/src/upstream/host.rs
+++ b/src/upstream/host.rs
@@ -57,7 +57,7 @@
         dispatcher: DispatcherSender,
     ) -> mpsc::Sender<EndpointCommand> {
         let (sender, commands) = mpsc::channel(COMMAND_QUEUE);
-        let actor = EndpointActor {
+        let actor = ExchangeActor {
             exchange: self.0.clone(),
             endpoint: endpoint.clone(),
             dispatcher,
@@ -69,7 +69,7 @@
 }
 
 /// Starts a task for each attempt at one endpoint.
-struct EndpointActor<E> {
+struct ExchangeActor<E> {
     exchange: Arc<E>,
     endpoint: Endpoint,
     dispatcher: DispatcherSender,
@@ -77,7 +77,7 @@
     attempts: HashMap<AttemptId, AbortHandle>,
 }
 
-impl<E: Exchange> EndpointActor<E> {
+impl<E: Exchange> ExchangeActor<E> {
     async fn run(mut self, mut commands: mpsc::Receiver<EndpointCommand>) {
         while let Some(command) = commands.recv().await {
             self.attempts.retain(|_, task| !task.is_finished());
