--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -1,7 +1,7 @@
 //! Delivers operators' drains to the core, again until it has taken them.
 
 use super::LOG_TARGET;
-use crate::dispatch::{DispatcherMessage as CoreMessage, DispatcherSender};
+use crate::dispatch::{DispatcherMessage as CoreMessage, DispatcherSender, DrainCommand};
 use crate::replication::entry::{Key, Kind, Value};
 use crate::replication::gossip::Update;
 use crate::replication::state::ReplicatedState;
@@ -12,8 +12,6 @@
 
 /// A drain that the core could not apply is sent again after this.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
-/// The state of a server that is gone, as entries hold it.
-const STATE_GONE: u8 = 2;
 
 /// Drains on their way to the core.
 #[derive(Default)]
@@ -71,7 +69,8 @@
                 continue;
             }
             let (reply, answer) = oneshot::channel();
-            if !core.try_send(CoreMessage::Drain(name.as_str().into(), on, reply)) {
+            let command = if on { DrainCommand::Drain } else { DrainCommand::Undrain };
+            if !core.try_send(CoreMessage::Drain { name: name.as_str().into(), command, listed: reply }) {
                 self.due.insert(name, now);
                 break;
             }
@@ -93,10 +92,10 @@
 pub(super) fn wanted_drain(state: &ReplicatedState, name: &str) -> Option<bool> {
     let Some(Value::Drain(drain)) = state.get(&Key::Drain(name.into())) else { return None };
     match state.get(&Key::Endpoint(name.into())) {
-        Some(Value::Endpoint(_, place)) if place.state == STATE_GONE => None,
+        Some(Value::Endpoint(_, place)) if place.is_gone() => None,
         Some(Value::Endpoint(_, place)) if place.started_at > drain.started_at => Some(false),
         // Sent once the server is listed. Without a replicated list the core has it from its own source.
         None if state.count(Kind::Members) > 0 => None,
-        _ => Some(drain.drains()),
+        _ => Some(drain.is_draining()),
     }
 }
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -48,8 +48,8 @@
 
 use crate::config::platform::PlatformConfig;
 use crate::dispatch::{
-    is_name, ClientRequest, ClientResponse, Dispatcher, DispatcherMessage, DispatcherMetrics, Endpoint,
-    FailureReason, MAX_WRITE_BYTES,
+    is_name, ClientRequest, ClientResponse, Dispatcher, DispatcherMessage, DispatcherMetrics, DrainCommand,
+    Endpoint, FailureReason, MAX_WRITE_BYTES,
 };
 use crate::policy::types::{Micros, Settings};
 use bytes::Bytes;
@@ -131,7 +131,7 @@
 
     fn read(self, core: &Dispatcher) -> Result<ClientRequest, SendError> {
         let (settings, mut ask) = (core.settings(), self.ask);
-        let class = settings.class(&self.class).ok_or(SendError::UnknownClass(self.class))?;
+        let class = settings.class_index(&self.class).ok_or(SendError::UnknownClass(self.class))?;
         let facts = &settings.classes[class];
         if [Some(&ask.object), ask.if_none_match.as_ref(), ask.idempotency_key.as_ref()]
             .iter()
@@ -237,12 +237,12 @@
     /// whether it is listed. Nothing new goes there, as request or as source, from 1 s after the call at the
     /// latest.
     pub async fn drain(&self, name: &str) -> Result<bool, Stopped> {
-        self.0.core.drain(name, true).await.ok_or(Stopped)
+        self.0.core.drain(name, DrainCommand::Drain).await.ok_or(Stopped)
     }
 
     /// Takes a drain back; returns whether the server is listed.
     pub async fn undrain(&self, name: &str) -> Result<bool, Stopped> {
-        self.0.core.drain(name, false).await.ok_or(Stopped)
+        self.0.core.drain(name, DrainCommand::Undrain).await.ok_or(Stopped)
     }
 
     /// Takes other settings over, for questions to come; open ones keep theirs. Zones and kinds stay as they
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -4,7 +4,7 @@
 use super::event::{Subscriber, WatchEvent, WatchScope};
 use super::DiscoveryService;
 use crate::dispatch::DispatcherSender;
-use crate::policy::estimators::hash::unit;
+use crate::policy::estimators::hash::unit_interval;
 use bytes::BytesMut;
 use std::convert::Infallible;
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -137,7 +137,7 @@
     /// at once do not all return at once, and none returns later than without the jitter.
     fn jittered(&self) -> Duration {
         let random = RandomState::new().build_hasher().finish();
-        self.delay.mul_f64(0.5 + 0.5 * unit(random))
+        self.delay.mul_f64(0.5 + 0.5 * unit_interval(random))
     }
 }
 
