--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,25 +1,29 @@
-//! A small made-up deployment: one edge zone with caches 1..=3, parents 11..=13 at two hubs, the origin 20.
+//! A router under test, in a small example deployment: one edge zone with caches 1..=3, parents 11..=13 at
+//! two hubs, and the origin 20.
 #![allow(dead_code)]
 
 use foxhold::*;
 
+/// The origin of the example deployment.
 pub const ORIGIN: ServerId = ServerId(20);
 
-pub fn class(effect: Idempotency) -> Class {
+/// A class of requests with this idempotency.
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         name: "pages".into(),
         latency_objective: 500_000,
         deadline: 2_000_000,
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         freshness_lifetime: 8_000_000,
         stale_grace: 10_000_000,
         ..Class::default()
     }
 }
 
+/// Settings of the example deployment; class 3 holds writes.
 pub fn settings() -> Settings {
-    let cold = SlowStartRule {
+    let slow_start = SlowStartRule {
         initial_capacity_share: 0.2,
         warm_up_time: 10_000_000,
         overload_multiple: 2.0,
@@ -54,14 +58,16 @@
         siblings: Siblings::Zone,
         cache_status_level: CacheStatusLevel::All,
         drain_grace: 500_000,
-        cache_slow_start: cold,
-        parent_slow_start: cold,
+        cache_slow_start: slow_start,
+        parent_slow_start: slow_start,
         purge_grace: 500_000,
         purge_complete_within: 6_000_000,
         ..Settings::default()
     }
 }
 
+/// The running server of this number: 1 to 4 are caches of the own zone, 5 to 10 of another, 11 to 19
+/// parents.
 pub fn member(id: u32) -> Member {
     let (zone, kind) = match id {
         1..=4 => (2, 0),
@@ -74,78 +80,110 @@
     Member { server: ServerId(id), zone, kind, cell, state: MemberState::Running, size: 20.0, started_at: 0 }
 }
 
-pub struct Gateway {
+/// A router with a clock that only the test moves, and ids for its requests.
+pub struct RouterHarness {
     pub router: Router,
+    /// In microseconds.
     pub now: Micros,
-    next: u64,
+    last_request: u64,
 }
 
-/// One attempt as it was asked for.
+/// An attempt that the router asked to send.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub request: RequestId,
     pub server: ServerId,
     pub fill: Option<Fill>,
 }
 
-impl Sent {
+impl SentAttempt {
     pub fn source(&self) -> ServerId {
         self.fill.expect("a fill").source
     }
+
+    /// Whether it names another server as the source of a fill.
+    pub fn has_source(&self) -> bool {
+        self.fill.is_some_and(|fill| fill.source != self.server)
+    }
+
+    /// Its end, as the first attempt of its request.
+    pub fn ended(&self, outcome: Outcome, cache_status: CacheStatus, elapsed: Micros) -> AttemptEnd {
+        AttemptEnd {
+            request: self.request,
+            attempt: 0,
+            server: self.server,
+            outcome,
+            elapsed,
+            request_finished: outcome == Outcome::Ok,
+            cache_status,
+            source_wait: 0,
+            load_report: Vec::new(),
+        }
+    }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<Sent> {
-    let one = |a: &Action| match a {
+/// The attempts among the actions.
+pub fn attempts_in(actions: &[Action]) -> Vec<SentAttempt> {
+    let attempt = |a: &Action| match a {
         Action::Attempt { request, server, fill, .. } => {
-            Some(Sent { request: *request, server: *server, fill: *fill })
+            Some(SentAttempt { request: *request, server: *server, fill: *fill })
         }
         _ => None,
     };
-    actions.iter().filter_map(one).collect()
+    actions.iter().filter_map(attempt).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+/// Whether the actions reject a request.
+pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+/// Whether the actions fail a request.
+pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
 
-impl Gateway {
+impl RouterHarness {
+    /// A router without servers.
     pub fn new(settings: Settings) -> Self {
-        Gateway::seeded(settings, 42)
+        RouterHarness::with_seed(settings, 42)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Self {
+    /// The same, with this seed.
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
         let router = Router::new(settings, seed).expect("good settings");
-        Gateway { router, now: 100_000_000, next: 1 }
+        RouterHarness { router, now: 100_000_000, last_request: 1 }
     }
 
-    pub fn with(settings: Settings, ids: &[u32]) -> Self {
-        let mut gateway = Gateway::new(settings);
-        gateway.list(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
-        gateway
+    /// A router with these servers.
+    pub fn with_servers(settings: Settings, ids: &[u32]) -> Self {
+        let mut harness = RouterHarness::new(settings);
+        harness.update_members(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
+        harness
     }
 
-    pub fn usual() -> Self {
-        Gateway::with(settings(), &[1, 2, 3, 11, 12, 13, 20])
+    /// A router with the example deployment.
+    pub fn with_default_site() -> Self {
+        RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 13, 20])
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    /// Hands the event to the router.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, kind: MemberUpdate, members: Vec<Member>) -> Vec<Action> {
-        self.event(Event::Members { kind, members })
+    /// Hands news of the member list to the router.
+    pub fn update_members(&mut self, kind: MemberUpdate, members: Vec<Member>) -> Vec<Action> {
+        self.handle(Event::Members { kind, members })
     }
 
-    pub fn request(&mut self, class: usize, object: u64) -> Request {
-        self.next += 1;
+    /// A request of 50 KB that the router has not received yet.
+    pub fn new_request(&mut self, class: usize, object: u64) -> Request {
+        self.last_request += 1;
         Request {
-            id: RequestId(self.next),
+            id: RequestId(self.last_request),
             class,
             object: ObjectId(object),
             deadline: self.now.saturating_add(2_000_000),
@@ -155,58 +193,71 @@
         }
     }
 
-    pub fn request_until(&mut self, object: u64, deadline: Micros) -> Request {
-        self.next += 1;
-        let (id, object) = (RequestId(self.next), ObjectId(object));
+    /// The same with this deadline.
+    pub fn new_request_until(&mut self, object: u64, deadline: Micros) -> Request {
+        self.last_request += 1;
+        let (id, object) = (RequestId(self.last_request), ObjectId(object));
         Request { id, object, deadline, size_kb: 50.0, ..Request::default() }
     }
 
-    pub fn ask(&mut self, class: usize, object: u64) -> Vec<Action> {
-        let request = self.request(class, object);
-        self.event(Event::Request(request))
+    /// Hands a new request to the router.
+    pub fn send_request(&mut self, class: usize, object: u64) -> Vec<Action> {
+        let request = self.new_request(class, object);
+        self.handle(Event::Request(request))
     }
 
-    /// Asks and expects one attempt.
-    pub fn send(&mut self, object: u64) -> Sent {
-        let actions = self.ask(0, object);
-        sent(&actions).first().cloned().unwrap_or_else(|| panic!("nothing sent: {actions:?}"))
+    /// Sends a request and expects one attempt.
+    pub fn attempt_for(&mut self, object: u64) -> SentAttempt {
+        let actions = self.send_request(0, object);
+        attempts_in(&actions).first().cloned().unwrap_or_else(|| panic!("nothing sent: {actions:?}"))
     }
 
-    /// The same for an object of the largest class, which a class of which nothing was seen passes for.
-    pub fn send_large(&mut self, object: u64) -> Sent {
-        let request = Request { size_kb: 200.0, ..self.request(0, object) };
-        sent(&self.event(Event::Request(request)))[0].clone()
+    /// The same for an object as large as the mean that is assumed for a class without observations.
+    pub fn attempt_for_large(&mut self, object: u64) -> SentAttempt {
+        let request = Request { size_kb: 200.0, ..self.new_request(0, object) };
+        attempts_in(&self.handle(Event::Request(request)))[0].clone()
     }
 
-    pub fn end(&mut self, sent: &Sent, attempt: u32, outcome: Outcome, note: CacheStatus) -> Vec<Action> {
-        self.event(Event::AttemptEnded(AttemptEnd {
-            request: sent.request,
-            attempt,
-            server: sent.server,
-            outcome,
-            elapsed: 80_000,
-            request_finished: outcome == Outcome::Ok,
-            cache_status: note,
-            source_wait: 0,
-            load_report: Vec::new(),
-        }))
+    /// Ends an attempt, the request's `number`-th from 0, after 80 ms.
+    pub fn end_attempt(
+        &mut self,
+        attempt: &SentAttempt,
+        number: u32,
+        outcome: Outcome,
+        cache_status: CacheStatus,
+    ) -> Vec<Action> {
+        self.end_attempt_after(attempt, number, outcome, cache_status, 80_000)
+    }
+
+    /// The same after `elapsed` microseconds.
+    pub fn end_attempt_after(
+        &mut self,
+        attempt: &SentAttempt,
+        number: u32,
+        outcome: Outcome,
+        cache_status: CacheStatus,
+        elapsed: Micros,
+    ) -> Vec<Action> {
+        let end = AttemptEnd { attempt: number, ..attempt.ended(outcome, cache_status, elapsed) };
+        self.handle(Event::AttemptEnded(end))
     }
 
-    pub fn fill(&mut self, object: u64) -> Sent {
-        let sent = self.send(object);
-        self.end(&sent, 0, Outcome::Ok, CacheStatus::Filled);
-        sent
+    /// Sends a request and completes its fill.
+    pub fn complete_fill(&mut self, object: u64) -> SentAttempt {
+        let attempt = self.attempt_for(object);
+        self.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
+        attempt
     }
 
-    /// An object whose pair is these two parents, in this order, and its second's name.
-    pub fn pair_of(&mut self, first: u32) -> u64 {
-        (1000..).find(|o| self.peek(*o) == ServerId(first)).expect("some object")
+    /// An object whose first parent is this one.
+    pub fn object_with_first_parent(&mut self, first: u32) -> u64 {
+        (1000..).find(|o| self.peek_source(*o) == ServerId(first)).expect("some object")
     }
 
-    /// The source a lone request would name; the request is ended at once.
-    pub fn peek(&mut self, object: u64) -> ServerId {
-        let sent = self.send(object);
-        self.end(&sent, 0, Outcome::Ok, CacheStatus::Hit);
-        sent.source()
+    /// The source that a request names; it ends at once with a hit.
+    pub fn peek_source(&mut self, object: u64) -> ServerId {
+        let attempt = self.attempt_for(object);
+        self.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
+        attempt.source()
     }
 }
--- a/tests/estimate.rs
+++ b/tests/estimate.rs
@@ -1,4 +1,4 @@
-//! The estimates, against what they say of themselves.
+//! The estimators, against their documentation.
 
 use foxhold::policy::estimators::congestion::CongestionEstimator;
 use foxhold::policy::estimators::decaying_counter::DecayingCounter;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_count_fades_and_its_error_is_as_stated() {
+fn a_decaying_counter_has_the_documented_mean_and_error() {
     let (mut draw, span) = (uniform(3), 20e6);
     // Forty events a span: the count stands at 40, off by 1 / sqrt(80) of it.
     let (mut now, mut sum, mut squares, mut n) = (0.0, 0.0, 0.0, 0.0);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_count_never_grows_by_itself_nor_by_a_clock_that_steps_back() {
+fn a_decaying_counter_never_grows_without_additions_even_if_the_clock_steps_back() {
     fn property(at: u32, add: u16, later: u32) -> bool {
         let mut count = DecayingCounter::default();
         let value = count.add(u64::from(at), f64::from(add), 1e6);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_rate_lies_between_the_prior_and_what_was_seen_and_grows_sure() {
+fn a_posterior_mean_lies_between_prior_and_observation_and_its_error_shrinks() {
     fn property(events: u16, exposure: u16, shape: u8) -> TestResult {
         if exposure == 0 || shape == 0 {
             return TestResult::discard();
@@ -69,9 +69,9 @@
     check(property as fn(u16, u16, u8) -> TestResult);
 }
 
-/// The stated error holds: over rates drawn from the prior, the estimate is off by its deviation on average.
+/// Over rates drawn from the prior, the estimate is off by its standard deviation on average.
 #[test]
-fn the_stated_error_of_a_rate_is_its_error() {
+fn the_standard_deviation_of_a_rate_is_its_error() {
     let (mut draw, prior) = (uniform(11), GammaPrior { mean: 2.0, shape: 1.0 });
     let (mut squares, mut stated) = (0.0, 0.0);
     for _ in 0..40_000 {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn whole_numbers_drawn_have_the_mean_that_is_wanted() {
+fn stochastic_rounding_has_the_target_as_its_mean() {
     let mut draw = uniform(5);
     for want in [0.2, 1.0, 1.3, 2.0, 2.75, 3.0, 9.0] {
         let mean = (0..40_000).map(|_| stochastic_round(want, 3, draw()) as f64).sum::<f64>() / 40_000.0;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_is_left_after_the_excess_is_the_bound() {
+fn a_load_without_its_excess_share_is_within_the_bound() {
     fn property(load: u16) -> bool {
         let load = f64::from(load) / 100.0;
         let left = load * (1.0 - excess_share(load, 1.2));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_recent_map_is_bounded_and_keeps_what_is_met_again() {
+fn a_generational_cache_is_bounded_and_keeps_entries_in_use() {
     let mut map: GenerationalCache<u32, 100, 1_000> = GenerationalCache::default();
     assert!(map.is_empty());
     *map.entry(1, 0) = 7;
@@ -133,9 +133,9 @@
     assert_eq!(*map.entry(5, 5_000), 0, "two of them later");
 }
 
-/// The least stretch stands at hand; it is the same as one found by a walk over all.
+/// The ordered slowdowns give the same smallest one as a search over all.
 #[test]
-fn the_quickest_of_many_is_found_as_by_a_walk() {
+fn congestion_relative_to_the_quickest_server_equals_a_linear_search() {
     let (mut draw, mut crowds, mut plain) =
         (uniform(9), CongestionEstimator::default(), std::collections::HashMap::new());
     for step in 0..20_000 {
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -5,107 +5,119 @@
 use foxhold::*;
 
 /// A gateway with two parents only, an object whose first is `.1` and whose second is `.2`.
-fn two_parents() -> (Gateway, u64, ServerId, ServerId) {
-    let mut g = Gateway::with(settings(), &[1, 2, 3, 11, 13, 20]);
-    let object = g.pair_of(11);
-    (g, object, ServerId(11), ServerId(13))
+fn two_parents() -> (RouterHarness, u64, ServerId, ServerId) {
+    let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 13, 20]);
+    let object = router.object_with_first_parent(11);
+    (router, object, ServerId(11), ServerId(13))
 }
 
 /// Holds fills under way at a parent, `n` of them, for objects of its own.
-fn occupy(g: &mut Gateway, parent: ServerId, n: usize) -> Vec<Sent> {
+fn occupy(router: &mut RouterHarness, parent: ServerId, n: usize) -> Vec<SentAttempt> {
     let mut held = Vec::new();
     let mut object = 50_000 + u64::from(parent.0) * 1000;
     while held.len() < n {
         object += 1;
-        if g.peek(object) == parent {
-            held.push(g.send(object));
+        if router.peek_source(object) == parent {
+            held.push(router.attempt_for(object));
         }
     }
     held
 }
 
 /// Makes the second parent a believed holder: the first is away while a fill is kept.
-fn believe_second(g: &mut Gateway, object: u64, first: ServerId, second: ServerId) {
+fn believe_second(router: &mut RouterHarness, object: u64, first: ServerId, second: ServerId) {
     let gone = Member { state: MemberState::Draining, ..member(first.0) };
-    g.list(MemberUpdate::Incremental, vec![gone]);
-    assert_eq!(g.fill(object).source(), second);
-    g.list(MemberUpdate::Incremental, vec![member(first.0)]);
+    router.update_members(MemberUpdate::Incremental, vec![gone]);
+    assert_eq!(router.complete_fill(object).source(), second);
+    router.update_members(MemberUpdate::Incremental, vec![member(first.0)]);
 }
 
 #[test]
 fn a_cold_object_stays_with_its_first_parent_however_busy() {
-    let (mut g, object, first, _) = two_parents();
-    occupy(&mut g, first, 10);
-    assert_eq!(g.send(object).source(), first);
+    let (mut router, object, first, _) = two_parents();
+    occupy(&mut router, first, 10);
+    assert_eq!(router.attempt_for(object).source(), first);
 }
 
 #[test]
 fn a_believed_second_wins_only_when_the_first_is_over_half_busier() {
-    let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
-    occupy(&mut g, second, 2);
-    occupy(&mut g, first, 3);
-    assert_eq!(g.peek(object), first, "exactly half higher: the first wins");
-    occupy(&mut g, first, 1);
-    assert_eq!(g.peek(object), second, "over half higher: the second wins");
+    let (mut router, object, first, second) = two_parents();
+    believe_second(&mut router, object, first, second);
+    occupy(&mut router, second, 2);
+    occupy(&mut router, first, 3);
+    assert_eq!(router.peek_source(object), first, "exactly half higher: the first wins");
+    occupy(&mut router, first, 1);
+    assert_eq!(router.peek_source(object), second, "over half higher: the second wins");
 }
 
 #[test]
 fn belief_ends_after_thirty_seconds_and_with_a_restart() {
-    let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
-    occupy(&mut g, first, 4);
-    assert_eq!(g.peek(object), second);
-    g.now += 31_000_000;
-    assert_eq!(g.peek(object), first);
-
-    let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
-    g.now += 20_000_000;
-    g.list(MemberUpdate::Incremental, vec![Member { started_at: g.now - 10_500_000, ..member(second.0) }]);
-    occupy(&mut g, first, 4);
-    assert_eq!(g.peek(object), first, "a restarted parent is no believed holder");
+    let (mut router, object, first, second) = two_parents();
+    believe_second(&mut router, object, first, second);
+    occupy(&mut router, first, 4);
+    assert_eq!(router.peek_source(object), second);
+    router.now += 31_000_000;
+    assert_eq!(router.peek_source(object), first);
+
+    let (mut router, object, first, second) = two_parents();
+    believe_second(&mut router, object, first, second);
+    router.now += 20_000_000;
+    router.update_members(
+        MemberUpdate::Incremental,
+        vec![Member { started_at: router.now - 10_500_000, ..member(second.0) }],
+    );
+    occupy(&mut router, first, 4);
+    assert_eq!(router.peek_source(object), first, "a restarted parent is no believed holder");
 }
 
 #[test]
 fn a_hot_object_may_go_to_the_second_parent() {
-    let (mut g, object, first, second) = two_parents();
-    occupy(&mut g, first, 4);
-    assert_eq!(g.peek(object), first);
+    let (mut router, object, first, second) = two_parents();
+    occupy(&mut router, first, 4);
+    assert_eq!(router.peek_source(object), first);
     for _ in 0..60 {
-        g.peek(object);
+        router.peek_source(object);
     }
-    assert_eq!(g.peek(object), second);
+    assert_eq!(router.peek_source(object), second);
 }
 
 #[test]
 fn a_failed_fill_counts_until_a_later_one_succeeds() {
-    let (mut g, object, first, second) = two_parents();
-    believe_second(&mut g, object, first, second);
-    let held = occupy(&mut g, first, 1);
-    let again = sent(&g.end(&held[0], 0, Outcome::Failed, CacheStatus::SourceUnreachable));
+    let (mut router, object, first, second) = two_parents();
+    believe_second(&mut router, object, first, second);
+    let held = occupy(&mut router, first, 1);
+    let again =
+        attempts_in(&router.end_attempt(&held[0], 0, Outcome::Failed, CacheStatus::SourceUnreachable));
     assert_eq!(again[0].source(), second, "the further attempt is filled by the other");
-    g.end(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
+    router.end_attempt(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
     let (mut object_there, mut filled) = (90_000, false);
-    assert_eq!(g.peek(object), second, "one failed fill against none");
+    assert_eq!(router.peek_source(object), second, "one failed fill against none");
     while !filled {
         object_there += 1;
-        let sent = g.send(object_there);
+        let sent = router.attempt_for(object_there);
         filled = sent.source() == first;
-        g.end(&sent, 0, Outcome::Ok, if filled { CacheStatus::Filled } else { CacheStatus::Hit });
+        router.end_attempt(
+            &sent,
+            0,
+            Outcome::Ok,
+            if filled { CacheStatus::Filled } else { CacheStatus::Hit },
+        );
     }
-    assert_eq!(g.peek(object), first, "a later success clears it");
+    assert_eq!(router.peek_source(object), first, "a later success clears it");
 }
 
 #[test]
 fn an_unusable_member_gives_way_to_the_other_then_to_the_next_then_to_the_origin() {
-    let mut g = Gateway::usual();
-    let object = g.pair_of(11);
-    let mut seen = vec![g.peek(object)];
+    let mut router = RouterHarness::with_default_site();
+    let object = router.object_with_first_parent(11);
+    let mut seen = vec![router.peek_source(object)];
     for _ in 0..3 {
         let last = *seen.last().expect("one seen");
-        g.list(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(last.0) }]);
-        seen.push(g.peek(object));
+        router.update_members(
+            MemberUpdate::Incremental,
+            vec![Member { state: MemberState::Gone, ..member(last.0) }],
+        );
+        seen.push(router.peek_source(object));
     }
     assert_eq!(seen.last(), Some(&ORIGIN));
     seen.sort();
@@ -114,10 +126,12 @@
 
 #[test]
 fn all_gateways_meet_at_the_same_parent() {
-    let (mut a, mut b) =
-        (Gateway::usual(), Gateway::with(Settings { zone: 3, ..settings() }, &[5, 6, 11, 12, 13, 20]));
+    let (mut a, mut b) = (
+        RouterHarness::with_default_site(),
+        RouterHarness::with_servers(Settings { zone: 3, ..settings() }, &[5, 6, 11, 12, 13, 20]),
+    );
     for object in 1..200 {
-        assert_eq!(a.peek(object), b.peek(object));
+        assert_eq!(a.peek_source(object), b.peek_source(object));
     }
 }
 
@@ -126,15 +140,16 @@
 #[test]
 fn parts_are_spread_over_the_objects_three_caches_the_same_at_every_gateway() {
     let ids = [1, 2, 3, 4, 11, 12, 13, 20];
-    let (mut a, mut b) = (Gateway::with(settings(), &ids), Gateway::with(settings(), &ids));
+    let (mut a, mut b) =
+        (RouterHarness::with_servers(settings(), &ids), RouterHarness::with_servers(settings(), &ids));
     for object in 500..600 {
-        b.peek(object);
+        b.peek_source(object);
     }
-    let place = |g: &mut Gateway, object, part| {
-        let request = Request { part, ..g.request(0, object) };
-        let one = sent(&g.event(Event::Request(request)))[0].clone();
-        g.end(&one, 0, Outcome::Ok, CacheStatus::Hit);
-        (one.server, one.source())
+    let place = |router: &mut RouterHarness, object, part| {
+        let request = Request { part, ..router.new_request(0, object) };
+        let attempt = attempts_in(&router.handle(Event::Request(request)))[0].clone();
+        router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
+        (attempt.server, attempt.source())
     };
     for object in 1..60 {
         let places: Vec<_> = (0..24).map(|part| place(&mut a, object, part)).collect();
@@ -151,27 +166,27 @@
 
 #[test]
 fn a_lost_cache_moves_only_its_own_objects() {
-    let mut g = Gateway::usual();
-    let place = |g: &mut Gateway, o| {
-        let s = g.send(o);
-        g.end(&s, 0, Outcome::Ok, CacheStatus::Hit);
+    let mut router = RouterHarness::with_default_site();
+    let place = |router: &mut RouterHarness, o| {
+        let s = router.attempt_for(o);
+        router.end_attempt(&s, 0, Outcome::Ok, CacheStatus::Hit);
         s.server
     };
-    let before: Vec<_> = (1..100).map(|o| place(&mut g, o)).collect();
-    g.list(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(2) }]);
+    let before: Vec<_> = (1..100).map(|o| place(&mut router, o)).collect();
+    router.update_members(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(2) }]);
     for (object, was) in (1..100).zip(before) {
-        let is = place(&mut g, object);
+        let is = place(&mut router, object);
         assert!(if was == ServerId(2) { is != was } else { is == was });
     }
 }
 
 #[test]
 fn a_hot_object_uses_two_or_three_caches_and_a_cold_one_a_single_one() {
-    let mut g = Gateway::usual();
-    let mut servers: Vec<_> = (0..5).map(|_| g.send(7).server).collect();
+    let mut router = RouterHarness::with_default_site();
+    let mut servers: Vec<_> = (0..5).map(|_| router.attempt_for(7).server).collect();
     servers.dedup();
     assert_eq!(servers.len(), 1);
-    let mut servers: Vec<_> = (0..30).map(|_| g.send(7).server).collect();
+    let mut servers: Vec<_> = (0..30).map(|_| router.attempt_for(7).server).collect();
     servers.sort();
     servers.dedup();
     assert!(servers.len() >= 2, "{servers:?}");
@@ -179,10 +194,10 @@
 
 #[test]
 fn one_off_objects_are_kept_at_the_lowest_rank() {
-    let mut g = Gateway::usual();
+    let mut router = RouterHarness::with_default_site();
     for object in 0..50 {
-        g.fill(object);
+        router.complete_fill(object);
     }
-    assert_eq!(g.send(3).fill.expect("a fill").cache_rank, 2, "asked for again");
-    assert_eq!(g.send(888).fill.expect("a fill").cache_rank, 1, "asked for once");
+    assert_eq!(router.attempt_for(3).fill.expect("a fill").cache_rank, 2, "asked for again");
+    assert_eq!(router.attempt_for(888).fill.expect("a fill").cache_rank, 1, "asked for once");
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,92 +1,95 @@
-//! Odd but legal event sequences, drawn from seeds; the five rules are asserted on every action.
+//! Random but legal event sequences from seeds; the five rules are asserted on every action.
 
 mod common;
 use common::*;
 use foxhold::*;
 use std::collections::BTreeMap;
 
-struct Dice(u64);
+struct RandomNumbers(u64);
 
-impl Dice {
-    fn roll(&mut self, sides: u64) -> u64 {
+impl RandomNumbers {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) % sides
+        (self.0 >> 33) % limit
     }
 }
 
-struct Out {
+struct Attempt {
     server: ServerId,
     at: Micros,
     ended: Option<Outcome>,
 }
 
-struct Open {
+struct PendingRequest {
     request: Request,
-    attempts: Vec<Out>,
-    /// Answered by the router, or ended by an outcome or the client.
-    over: bool,
+    attempts: Vec<Attempt>,
+    /// Has a final response of the router, or was ended by an outcome or the client.
+    finished: bool,
 }
 
-/// What the five rules ask, checked from outside the router.
-struct Judge {
+/// Checks the five rules from outside the router.
+struct RuleChecker {
     settings: Settings,
     now: Micros,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, PendingRequest>,
     departed: BTreeMap<ServerId, Micros>,
     purges: Vec<(ObjectId, Micros, Micros)>,
-    cold: BTreeMap<ServerId, (Micros, Vec<(Micros, f64)>)>,
-    wakes: Vec<(Micros, TimerToken)>,
+    slow_start: BTreeMap<ServerId, (Micros, Vec<(Micros, f64)>)>,
+    timers: Vec<(Micros, TimerToken)>,
 }
 
-impl Judge {
+impl RuleChecker {
     fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Attempt { request, server, fill, .. } => self.check_attempt(*request, *server, *fill),
-                Action::Reject { request, .. } => self.check_answer(*request, true),
-                Action::Fail(request) => self.check_answer(*request, false),
+                Action::Reject { request, .. } => self.check_final_response(*request, true),
+                Action::Fail(request) => self.check_final_response(*request, false),
                 Action::Cancel { request, attempt } => {
                     let open = &self.open[request];
-                    assert!(open.attempts[*attempt as usize].ended.is_none(), "cancelled what has ended");
+                    assert!(
+                        open.attempts[*attempt as usize].ended.is_none(),
+                        "an attempt was cancelled after its end"
+                    );
                 }
                 Action::SetTimer { at, token } => {
-                    self.wakes.push((*at, *token));
+                    self.timers.push((*at, *token));
                 }
                 _ => {}
             }
         }
     }
 
-    fn may_have_run(out: &Out) -> bool {
-        out.ended.is_none_or(|o| !o.never_ran())
+    fn may_have_run(attempt: &Attempt) -> bool {
+        attempt.ended.is_none_or(|o| !o.never_ran())
     }
 
-    fn check_answer(&mut self, id: RequestId, refused: bool) {
+    fn check_final_response(&mut self, id: RequestId, is_rejection: bool) {
         let open = self.open.get_mut(&id).expect("a request that was taken");
-        assert!(!open.over, "rule 1: a second final answer");
-        assert!(self.now <= open.request.deadline + 8_000, "rule 1: an answer past the deadline");
-        open.over = true;
+        assert!(!open.finished, "rule 1: a second final response");
+        assert!(self.now <= open.request.deadline + 8_000, "rule 1: a response past the deadline");
+        open.finished = true;
         let ran = open.attempts.iter().any(Self::may_have_run);
-        let free = match self.settings.classes[open.request.class].idempotency {
+        let is_safe = match self.settings.classes[open.request.class].idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
             _ => !ran,
         };
-        assert!(!refused || free, "rule 2: a refusal of what may have run");
+        assert!(!is_rejection || is_safe, "rule 2: a request that may have run was rejected");
     }
 
     fn check_attempt(&mut self, id: RequestId, server: ServerId, fill: Option<Fill>) {
         let now = self.now;
         let open = self.open.get_mut(&id).expect("a request that was taken");
-        assert!(!open.over, "rule 1: a send after the end");
-        assert!(now <= open.request.deadline, "rule 1: a send after the deadline");
+        assert!(!open.finished, "rule 1: an attempt after the end");
+        assert!(now <= open.request.deadline, "rule 1: an attempt after the deadline");
         assert!(open.attempts.len() < self.settings.max_attempts as usize);
         if !self.settings.hedging {
-            assert!(open.attempts.iter().all(|a| a.ended.is_some()), "two attempts out together");
+            assert!(open.attempts.iter().all(|a| a.ended.is_some()), "two attempts in flight");
         }
         for earlier in open.attempts.iter().filter(|a| Self::may_have_run(a)) {
             match self.settings.classes[open.request.class].idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::AtMostOnce => panic!("rule 2: an unsafe request sent again"),
+                Idempotency::AtMostOnce => panic!("rule 2: an at-most-once request was retried"),
                 Idempotency::IdempotencyKey { scope, window } => {
                     assert!(now - earlier.at < window, "rule 2: past the window");
                     let cell = |s: ServerId| (member(s.0).zone, member(s.0).cell);
@@ -104,14 +107,14 @@
         }
         let work = open.request.size_kb * 1000.0;
         for used in [server, fill.map_or(server, |f| f.source)] {
-            if let Some((since, log)) = self.cold.get_mut(&used) {
+            if let Some((since, log)) = self.slow_start.get_mut(&used) {
                 log.push((now, work));
                 let rule = self.settings.cache_slow_start;
                 let warm = rule.initial_capacity_share
                     + (1.0 - rule.initial_capacity_share) * (now - *since) as f64 / rule.warm_up_time as f64;
                 let sum: f64 = log.iter().filter(|l| l.0 + rule.overload_window > now).map(|l| l.1).sum();
                 let sharers = if used.0 > 10 { 2.0 } else { 1.0 };
-                // A server that is both asked and named as source counts twice here, which is stricter.
+                // A server that is both the cache and the source counts twice here, which is stricter.
                 let budget =
                     rule.overload_multiple * 20.0 * warm.min(1.0) * rule.overload_window as f64 / sharers;
                 assert!(sum <= budget, "rule 4: {used:?} asked for {sum} of {budget}");
@@ -127,70 +130,70 @@
                 }
             }
         }
-        open.attempts.push(Out { server, at: now, ended: None });
+        open.attempts.push(Attempt { server, at: now, ended: None });
     }
 }
 
 fn run(seed: u64) -> usize {
-    let mut dice = Dice(seed);
+    let mut dice = RandomNumbers(seed);
     let mut settings = settings();
-    settings.hedging = dice.roll(3) > 0;
-    settings.can_cancel = dice.roll(3) > 0;
-    settings.direct_requests = dice.roll(2) > 0;
-    settings.request_collapsing = dice.roll(2) > 0;
+    settings.hedging = dice.below(3) > 0;
+    settings.can_cancel = dice.below(3) > 0;
+    settings.direct_requests = dice.below(2) > 0;
+    settings.request_collapsing = dice.below(2) > 0;
     settings.cache_status_level =
-        [CacheStatusLevel::None, CacheStatusLevel::Hit, CacheStatusLevel::All][dice.roll(3) as usize];
-    let mut judge = Judge {
+        [CacheStatusLevel::None, CacheStatusLevel::Hit, CacheStatusLevel::All][dice.below(3) as usize];
+    let mut checker = RuleChecker {
         settings: settings.clone(),
         now: 100_000_000,
         open: BTreeMap::new(),
         departed: BTreeMap::new(),
         purges: Vec::new(),
-        cold: BTreeMap::new(),
-        wakes: Vec::new(),
+        slow_start: BTreeMap::new(),
+        timers: Vec::new(),
     };
     let ids = [1, 2, 3, 4, 11, 12, 13, 20];
-    let mut g = Gateway::with(settings, &ids);
+    let mut router = RouterHarness::with_servers(settings, &ids);
     let mut taken = 0;
     for _ in 0..3000 {
-        judge.now += dice.roll(40_000);
-        g.now = judge.now;
-        // Deadlines and other wake-ups first, as the gateway would.
-        let now = judge.now;
-        let due: Vec<TimerToken> = judge.wakes.iter().filter(|w| w.0 <= now).map(|w| w.1).collect();
-        judge.wakes.retain(|w| w.0 > now);
+        checker.now += dice.below(40_000);
+        router.now = checker.now;
+        // Timers fire first, as they would at a host.
+        let now = checker.now;
+        let due: Vec<TimerToken> = checker.timers.iter().filter(|w| w.0 <= now).map(|w| w.1).collect();
+        checker.timers.retain(|w| w.0 > now);
         for token in due {
-            // The wake-up comes within a tick of its time.
-            let actions = g.event(Event::Timer(token));
+            // A timer fires within a tick of its time.
+            let actions = router.handle(Event::Timer(token));
             for action in &actions {
                 if let Action::Reject { request, .. } | Action::Fail(request) = action {
-                    let open = judge.open.get_mut(request).expect("taken");
+                    let open = checker.open.get_mut(request).expect("taken");
                     open.request.deadline = open.request.deadline.max(now);
                 }
             }
-            judge.check(&actions);
+            checker.check(&actions);
         }
-        let event = match dice.roll(20) {
+        let event = match dice.below(20) {
             0..=8 => {
-                let mut request = g.request(dice.roll(4) as usize, 1 + dice.roll(40));
-                request.deadline = judge.now + dice.roll(2_500_000);
-                request.part = dice.roll(3) as u32;
-                let open = Open { request: request.clone(), attempts: Vec::new(), over: false };
-                judge.open.insert(request.id, open);
+                let mut request = router.new_request(dice.below(4) as usize, 1 + dice.below(40));
+                request.deadline = checker.now + dice.below(2_500_000);
+                request.part = dice.below(3) as u32;
+                let open = PendingRequest { request: request.clone(), attempts: Vec::new(), finished: false };
+                checker.open.insert(request.id, open);
                 taken += 1;
                 Event::Request(request)
             }
             9..=15 => {
-                let waiting: Vec<(RequestId, usize)> = judge
+                let waiting: Vec<(RequestId, usize)> = checker
                     .open
                     .iter()
                     .flat_map(|(id, o)| (0..o.attempts.len()).map(move |n| (*id, n)))
-                    .filter(|(id, n)| judge.open[id].attempts[*n].ended.is_none())
+                    .filter(|(id, n)| checker.open[id].attempts[*n].ended.is_none())
                     .collect();
                 if waiting.is_empty() {
                     continue;
                 }
-                let (request, n) = waiting[dice.roll(waiting.len() as u64) as usize];
+                let (request, n) = waiting[dice.below(waiting.len() as u64) as usize];
                 let kinds = [Outcome::Ok, Outcome::Ok, Outcome::Failed, Outcome::Rejected, Outcome::TimedOut];
                 let more = [
                     Outcome::ConnectError,
@@ -199,7 +202,7 @@
                     Outcome::Miss,
                     Outcome::NotSent,
                 ];
-                let at = dice.roll(10) as usize;
+                let at = dice.below(10) as usize;
                 let outcome = if at < 5 { kinds[at] } else { more[at - 5] };
                 let notes = [
                     CacheStatus::Unknown,
@@ -208,92 +211,93 @@
                     CacheStatus::SourceUnreachable,
                     CacheStatus::SourceRejected,
                 ];
-                let open = judge.open.get_mut(&request).expect("open");
+                let open = checker.open.get_mut(&request).expect("open");
                 let out = &mut open.attempts[n];
                 out.ended = Some(outcome);
-                let (server, took) = (out.server, judge.now - out.at);
-                open.over |= outcome == Outcome::Ok;
+                let (server, took) = (out.server, checker.now - out.at);
+                open.finished |= outcome == Outcome::Ok;
                 Event::AttemptEnded(AttemptEnd {
                     request,
                     attempt: n as u32,
                     server,
                     outcome,
                     elapsed: took,
-                    request_finished: open.over,
-                    cache_status: notes[dice.roll(5) as usize],
+                    request_finished: open.finished,
+                    cache_status: notes[dice.below(5) as usize],
                     source_wait: 0,
                     load_report: Vec::new(),
                 })
             }
             16 => {
-                let live: Vec<RequestId> = judge.open.iter().filter(|o| !o.1.over).map(|o| *o.0).collect();
-                let Some(id) = live.get(dice.roll(8) as usize) else { continue };
-                judge.open.get_mut(id).expect("open").over = true;
+                let live: Vec<RequestId> =
+                    checker.open.iter().filter(|o| !o.1.finished).map(|o| *o.0).collect();
+                let Some(id) = live.get(dice.below(8) as usize) else { continue };
+                checker.open.get_mut(id).expect("open").finished = true;
                 Event::ClientCancelled(*id)
             }
             17 => {
-                let object = ObjectId(1 + dice.roll(40));
-                let age = dice.roll(400_000);
-                judge.purges.push((object, judge.now - age, judge.now));
+                let object = ObjectId(1 + dice.below(40));
+                let age = dice.below(400_000);
+                checker.purges.push((object, checker.now - age, checker.now));
                 Event::Purged { object: Some(object), group: 0, age }
             }
             _ => {
-                let id = ids[dice.roll(7) as usize];
+                let id = ids[dice.below(7) as usize];
                 let mut entry = member(id);
                 let server = ServerId(id);
-                match dice.roll(3) {
+                match dice.below(3) {
                     0 => {
                         entry.state = MemberState::Draining;
-                        judge.departed.entry(server).or_insert(judge.now);
+                        checker.departed.entry(server).or_insert(checker.now);
                     }
                     1 => {
                         entry.state = MemberState::Gone;
-                        judge.departed.entry(server).or_insert(judge.now);
+                        checker.departed.entry(server).or_insert(checker.now);
                     }
                     _ => {
-                        entry.started_at = judge.now;
-                        judge.departed.remove(&server);
-                        judge.cold.insert(server, (judge.now, Vec::new()));
+                        entry.started_at = checker.now;
+                        checker.departed.remove(&server);
+                        checker.slow_start.insert(server, (checker.now, Vec::new()));
                     }
                 }
                 Event::Members { kind: MemberUpdate::Incremental, members: vec![entry] }
             }
         };
-        let actions = g.event(event);
-        judge.check(&actions);
+        let actions = router.handle(event);
+        checker.check(&actions);
     }
-    // Every request that was not over has a wake-up at its deadline that ends it.
-    judge.now += 5_000_000;
-    g.now = judge.now;
-    for (_, token) in std::mem::take(&mut judge.wakes) {
-        for action in g.event(Event::Timer(token)) {
+    // Every request that is not finished has a timer at its deadline that ends it.
+    checker.now += 5_000_000;
+    router.now = checker.now;
+    for (_, token) in std::mem::take(&mut checker.timers) {
+        for action in router.handle(Event::Timer(token)) {
             if let Action::Reject { request, .. } | Action::Fail(request) = action {
-                let open = judge.open.get_mut(&request).expect("taken");
-                assert!(!std::mem::replace(&mut open.over, true), "rule 1: a second final answer");
+                let open = checker.open.get_mut(&request).expect("taken");
+                assert!(!std::mem::replace(&mut open.finished, true), "rule 1: a second final response");
             }
         }
     }
-    let lost = judge.open.values().filter(|o| !o.over).count();
-    assert_eq!(lost, 0, "rule 1: requests with no final answer");
+    let lost = checker.open.values().filter(|o| !o.finished).count();
+    assert_eq!(lost, 0, "rule 1: requests without a final response");
     taken
 }
 
 #[test]
-fn the_five_rules_hold_on_odd_sequences() {
+fn the_five_rules_hold_in_random_event_sequences() {
     let taken: usize = (1..=16).map(run).sum();
     assert!(taken > 10_000, "{taken}");
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let play = || {
-        let mut g = Gateway::usual();
+    let run = || {
+        let mut router = RouterHarness::with_default_site();
         let mut all = Vec::new();
         for n in 0..500 {
-            g.now += 3_000;
-            all.extend(g.ask(n % 3, 1 + (n as u64 * 7) % 11));
+            router.now += 3_000;
+            all.extend(router.send_request(n % 3, 1 + (n as u64 * 7) % 11));
         }
         all
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Many routers at once, each with its own traffic only: what all of them together do to one server.
+//! Many routers at once, each of which observes only its own traffic: their combined effect on one server.
 
 mod common;
 use common::*;
@@ -6,56 +6,66 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// `n` routers of one zone that know each other's number only.
-fn fleet(n: u32, settings: &Settings, ids: &[u32]) -> Vec<Gateway> {
+/// `n` routers of one zone that know only how many they are.
+fn fleet(n: u32, settings: &Settings, ids: &[u32]) -> Vec<RouterHarness> {
     let settings = Settings { routers: n, routers_by_zone: vec![0, 0, n, 0], ..settings.clone() };
-    let one = |seed| {
-        let mut g = Gateway::seeded(settings.clone(), u64::from(seed) + 1);
-        g.list(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
-        g
+    let harness = |seed| {
+        let mut router = RouterHarness::with_seed(settings.clone(), u64::from(seed) + 1);
+        router.update_members(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
+        router
     };
-    (0..n).map(one).collect()
+    (0..n).map(harness).collect()
 }
 
-/// Asks for objects of one size at the routers in turn, every answer a fill; what named `id`, and when.
-fn play(fleet: &mut [Gateway], id: ServerId, kb: f64, gap: Micros, lasting: Micros) -> Vec<(Micros, f64)> {
+/// Sends requests for objects of one size to the routers in turn, and completes all as fills. Returns when
+/// attempts named `id` as their server or source, and their transfer times.
+fn run(
+    fleet: &mut [RouterHarness],
+    id: ServerId,
+    kb: f64,
+    gap: Micros,
+    lasting: Micros,
+) -> Vec<(Micros, f64)> {
     let (mut log, start, mut object) = (Vec::new(), fleet[0].now, 0);
     while gap * object < lasting {
         object += 1;
         let now = start + gap * object;
         let n = fleet.len();
-        let g = &mut fleet[(object as usize * 7919) % n];
-        g.now = now;
-        let mut request = g.request(0, object * 31);
+        let router = &mut fleet[(object as usize * 7919) % n];
+        router.now = now;
+        let mut request = router.new_request(0, object * 31);
         (request.size_kb, request.deadline) = (kb, now + 5 * SECOND);
-        for one in sent(&g.event(Event::Request(request))) {
-            if one.server == id || one.fill.is_some_and(|f| f.source == id) {
+        for attempt in attempts_in(&router.handle(Event::Request(request))) {
+            if attempt.server == id || attempt.fill.is_some_and(|f| f.source == id) {
                 log.push((now, kb * 1000.0));
             }
-            g.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
+            router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
         }
     }
     log
 }
 
 #[test]
-fn a_cold_server_is_used_early_and_stays_under_its_limit_with_any_number_of_routers() {
+fn a_server_in_slow_start_is_used_early_and_within_its_limit_by_any_number_of_routers() {
     for (id, kb) in [(11, 50.0), (11, 350.0), (1, 50.0), (1, 350.0)] {
         for routers in [4, 40, 180] {
             for multiple in [1.3, 2.0, 3.0] {
                 let rule = SlowStartRule { overload_multiple: multiple, ..settings().parent_slow_start };
                 let settings = Settings { parent_slow_start: rule, cache_slow_start: rule, ..settings() };
                 let mut fleet = fleet(routers, &settings, &[1, 2, 3, 11, 12, 13, 20]);
-                play(&mut fleet, ServerId(99), kb, SECOND / 200, 8 * SECOND);
+                run(&mut fleet, ServerId(99), kb, SECOND / 200, 8 * SECOND);
                 let since = fleet[0].now.max(fleet[1].now);
-                for g in &mut fleet {
-                    g.now = since;
-                    g.list(MemberUpdate::Incremental, vec![Member { started_at: since, ..member(id) }]);
+                for router in &mut fleet {
+                    router.now = since;
+                    router.update_members(
+                        MemberUpdate::Incremental,
+                        vec![Member { started_at: since, ..member(id) }],
+                    );
                 }
-                let log = play(&mut fleet, ServerId(id), kb, (kb * 40.0) as Micros, 10 * SECOND);
+                let log = run(&mut fleet, ServerId(id), kb, (kb * 40.0) as Micros, 10 * SECOND);
                 let what = format!("server {id}, {kb} KB, {routers} routers, multiple {multiple}");
                 let early: f64 = log.iter().filter(|l| l.0 < since + 5 * SECOND).map(|l| l.1).sum();
-                // Half of the warm-up at 0.4 of its capacity in the middle, 20 transfers at full pace.
+                // Half of the warm-up at a mean of 0.4 of its capacity, which is 20 transfers at full rate.
                 let possible = 5.0 * 0.4 * 20.0 * SECOND as f64;
                 assert!(early > 0.1 * possible, "{what}: {early} of {possible} in the first half");
                 for (at, _) in &log {
@@ -70,36 +80,39 @@
     }
 }
 
-/// Incidents i537137 and ic85c23: parents lost, and every gateway turned to the origin at once.
+/// Regression: the parents were lost, and every router turned to the origin at once.
 #[test]
-fn the_origin_is_not_rushed_when_the_parents_are_lost_and_is_found_again() {
+fn the_origin_is_not_overloaded_when_the_parents_are_lost() {
     for routers in [4, 40, 180] {
         let mut fleet = fleet(routers, &settings(), &[1, 2, 3, 11, 20]);
-        for g in &mut fleet {
-            g.list(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(11) }]);
+        for router in &mut fleet {
+            router.update_members(
+                MemberUpdate::Incremental,
+                vec![Member { state: MemberState::Gone, ..member(11) }],
+            );
         }
-        // No fill ends: what is under way at the origin is all that ever named it.
-        let named = |fleet: &mut [Gateway], rounds: u64| {
+        // No fill ends: all attempts that named the origin are in flight there.
+        let named = |fleet: &mut [RouterHarness], rounds: u64| {
             let mut named = 0;
             for object in 0..rounds {
-                for g in fleet.iter_mut() {
-                    let actions = g.ask(0, object);
-                    let to_origin = |s: &&Sent| s.fill.is_some_and(|f| f.source == ORIGIN);
-                    named += sent(&actions).iter().filter(to_origin).count();
+                for router in fleet.iter_mut() {
+                    let actions = router.send_request(0, object);
+                    let to_origin = |s: &&SentAttempt| s.fill.is_some_and(|f| f.source == ORIGIN);
+                    named += attempts_in(&actions).iter().filter(to_origin).count();
                 }
             }
             named
         };
         let first = named(&mut fleet, 1);
-        assert!((1..=72).contains(&first), "{routers} routers: {first} fills under way at the origin");
+        assert!((1..=72).contains(&first), "{routers} routers: {first} fills in flight at the origin");
         let more = first + named(&mut fleet, 20);
-        assert!(more <= 96.max(routers as usize), "{routers} routers: {more} fills under way at the origin");
-        // Fills in time widen what each may have there.
+        assert!(more <= 96.max(routers as usize), "{routers} routers: {more} fills in flight at the origin");
+        // Fills in time widen each router's window there.
         let mut fleet = self::fleet(routers, &settings(), &[1, 2, 3, 20]);
         for object in 100..160 {
-            for g in &mut fleet {
-                for one in sent(&g.ask(0, object)) {
-                    g.end(&one, 0, Outcome::Ok, CacheStatus::Filled);
+            for router in &mut fleet {
+                for attempt in attempts_in(&router.send_request(0, object)) {
+                    router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
                 }
             }
         }
@@ -108,154 +121,153 @@
     }
 }
 
-/// A window of less than one fill is drawn for; were it at least one for each, 180 would be a crowd.
+/// A fill window below one is decided by a draw: with at least one each, 180 routers would overload a source.
 #[test]
-fn a_source_whose_fills_are_late_is_relieved_to_less_than_one_fill_a_gateway() {
-    let mut g = Gateway::with(settings(), &[1, 2, 3, 11, 20]);
+fn a_source_with_late_fills_gets_less_than_one_fill_from_each_router() {
+    let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 20]);
     for object in 0..60 {
-        let one = g.send(object);
-        g.now += 450_000;
-        let over = |took| AttemptEnd {
-            request: one.request,
-            attempt: 0,
-            server: one.server,
-            outcome: Outcome::Ok,
-            elapsed: took,
-            request_finished: true,
-            cache_status: CacheStatus::Filled,
-            source_wait: 0,
-            load_report: Vec::new(),
-        };
-        g.event(Event::AttemptEnded(over(450_000)));
+        let attempt = router.attempt_for(object);
+        router.now += 450_000;
+        let over = |took| attempt.ended(Outcome::Ok, CacheStatus::Filled, took);
+        router.handle(Event::AttemptEnded(over(450_000)));
     }
-    let at_parent = (100..200).filter(|o| g.peek(*o) == ServerId(11)).count();
+    let at_parent = (100..200).filter(|o| router.peek_source(*o) == ServerId(11)).count();
     assert!((1..60).contains(&at_parent), "{at_parent} of 100 lone fills");
 }
 
-/// Big-1 of the later branch deployment: a gateway that sends a parent one fill in some seconds took connects
-/// that failed for mere fullness, for as long as the list named it.
+/// Regression: a router that sends a parent one fill in some seconds went on naming one that refused
+/// connections, for as long as the member list held it.
 #[test]
-fn a_first_strike_asks_for_a_probe_and_a_failed_one_makes_the_server_suspected() {
-    let mut g = Gateway::with(Settings { health_checks: true, ..settings() }, &[1, 2, 3, 11, 12, 20]);
-    let probes = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::HealthCheck(_))).count();
-    let object = g.pair_of(11);
-    let one = g.send(object);
-    let actions = g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable);
+fn a_first_failure_triggers_a_health_check_and_a_failed_check_ejects_the_server() {
+    let mut router =
+        RouterHarness::with_servers(Settings { health_checks: true, ..settings() }, &[1, 2, 3, 11, 12, 20]);
+    let health_checks =
+        |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::HealthCheck(_))).count();
+    let object = router.object_with_first_parent(11);
+    let attempt = router.attempt_for(object);
+    let actions = router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable);
     assert!(actions.contains(&Action::HealthCheck(ServerId(11))), "{actions:?}");
-    g.now += 100_000;
-    let probe = |outcome| Event::HealthChecked {
+    router.now += 100_000;
+    let health_checked = |outcome| Event::HealthChecked {
         server: ServerId(11),
         outcome,
         elapsed: 250_000,
         load_report: Vec::new(),
     };
-    g.event(probe(Outcome::Ok));
-    assert_eq!(g.peek(object), ServerId(11), "an answer leaves it as it was");
-    let one = g.send(object);
-    assert_eq!(probes(&g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable)), 1);
-    g.now += 100_000;
-    g.event(probe(Outcome::ConnectError));
-    assert_eq!(g.peek(object), ServerId(12));
-    let mut g = Gateway::usual();
-    let one = g.send(object);
+    router.handle(health_checked(Outcome::Ok));
+    assert_eq!(router.peek_source(object), ServerId(11), "an answer leaves it as it was");
+    let attempt = router.attempt_for(object);
+    assert_eq!(
+        health_checks(&router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
+        1
+    );
+    router.now += 100_000;
+    router.handle(health_checked(Outcome::ConnectError));
+    assert_eq!(router.peek_source(object), ServerId(12));
+    let mut router = RouterHarness::with_default_site();
+    let attempt = router.attempt_for(object);
     assert_eq!(
-        probes(&g.end(&one, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
+        health_checks(&router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
         0,
         "not where it is not allowed"
     );
 }
 
-/// Mass days: where a gateway sends little, three late answers were three strikes, each with a probe.
+/// Regression: at a router that sends little, three late responses were three failures.
 #[test]
-fn late_answers_of_a_server_that_answers_probes_are_no_strikes() {
-    let probed = |outcome| {
-        let mut g = Gateway::with(Settings { health_checks: true, ..settings() }, &[1, 11, 12, 20]);
-        let (mut probes, mut suspected) = (0, false);
+fn late_responses_of_a_server_that_passes_health_checks_are_no_failures() {
+    let run = |outcome| {
+        let mut router =
+            RouterHarness::with_servers(Settings { health_checks: true, ..settings() }, &[1, 11, 12, 20]);
+        let (mut health_checks, mut ejected) = (0, false);
         for object in 0..6 {
-            if suspected {
+            if ejected {
                 break;
             }
-            let actions = g.ask(0, object);
+            let actions = router.send_request(0, object);
             let late = actions.iter().find_map(|a| match a {
-                Action::SetTimer { at, token } if *at < g.now + 500_000 => Some((*at, *token)),
+                Action::SetTimer { at, token } if *at < router.now + 500_000 => Some((*at, *token)),
                 _ => None,
             });
-            let (at, token) = late.expect("a look at it while it can still be in time");
-            g.now = at;
-            let mut asked = g.event(Event::Timer(token));
+            let (at, token) = late.expect("a timer before the objective");
+            router.now = at;
+            let mut asked = router.handle(Event::Timer(token));
             while let Some(action) = asked.pop() {
-                suspected |= matches!(action, Action::Log(_));
+                ejected |= matches!(action, Action::Log(_));
                 if let Action::HealthCheck(server) = action {
-                    probes += 1;
+                    health_checks += 1;
                     let probe =
                         Event::HealthChecked { server, outcome, elapsed: 1_000, load_report: Vec::new() };
-                    asked.extend(g.event(probe));
+                    asked.extend(router.handle(probe));
                 }
             }
         }
-        (probes, suspected)
+        (health_checks, ejected)
     };
-    assert_eq!(probed(Outcome::Ok), (6, false));
-    assert!(probed(Outcome::TimedOut).1, "silence to probes as well makes it suspected");
+    assert_eq!(run(Outcome::Ok), (6, false));
+    assert!(run(Outcome::TimedOut).1, "silence to health checks as well ejects it");
 }
 
-/// Trouble `answer_lost`: the work is done, the answer does not come back; the same cache holds it by now.
+/// Lost responses: the work is done, so that the same cache holds the object by now.
 #[test]
-fn where_answers_are_lost_at_large_the_same_cache_is_asked_again() {
-    let late = |g: &mut Gateway, object| {
-        let actions = g.ask(0, object);
-        let one = sent(&actions)[0].clone();
-        let ok = g.send(object);
-        g.now += 400_000;
-        g.end(&ok, 0, Outcome::Ok, CacheStatus::Filled);
+fn where_responses_get_lost_in_general_the_same_cache_gets_a_hedged_request() {
+    let late = |router: &mut RouterHarness, object| {
+        let actions = router.send_request(0, object);
+        let attempt = attempts_in(&actions)[0].clone();
+        let ok = router.attempt_for(object);
+        router.now += 400_000;
+        router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Filled);
         let due = |a: &Action| match a {
-            Action::SetTimer { at, token } if *at <= g.now => Some(*token),
+            Action::SetTimer { at, token } if *at <= router.now => Some(*token),
             _ => None,
         };
         let tokens: Vec<TimerToken> = actions.iter().filter_map(due).collect();
-        let again: Vec<Sent> = tokens.into_iter().flat_map(|t| sent(&g.event(Event::Timer(t)))).collect();
-        (one, again)
+        let again: Vec<SentAttempt> =
+            tokens.into_iter().flat_map(|t| attempts_in(&router.handle(Event::Timer(t)))).collect();
+        (attempt, again)
     };
-    let mut g = Gateway::usual();
-    assert!(late(&mut g, 5).1.is_empty(), "an answer that is only late is waited for");
+    let mut router = RouterHarness::with_default_site();
+    assert!(late(&mut router, 5).1.is_empty(), "a response that is only late is waited for");
     for object in 10..16 {
-        let one = g.send(object);
-        let ok = g.send(object);
-        g.now += 1_000;
-        g.end(&ok, 0, Outcome::Ok, CacheStatus::Hit);
-        g.end(&one, 0, Outcome::TimedOut, CacheStatus::Unknown);
+        let attempt = router.attempt_for(object);
+        let ok = router.attempt_for(object);
+        router.now += 1_000;
+        router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Hit);
+        router.end_attempt(&attempt, 0, Outcome::TimedOut, CacheStatus::Unknown);
     }
-    let (one, again) = late(&mut g, 5);
-    assert_eq!(again.iter().map(|s| s.server).collect::<Vec<_>>(), [one.server]);
-    let mut g =
-        Gateway::with(Settings { request_collapsing: false, ..settings() }, &[1, 2, 3, 11, 12, 13, 20]);
+    let (attempt, again) = late(&mut router, 5);
+    assert_eq!(again.iter().map(|s| s.server).collect::<Vec<_>>(), [attempt.server]);
+    let mut router = RouterHarness::with_servers(
+        Settings { request_collapsing: false, ..settings() },
+        &[1, 2, 3, 11, 12, 13, 20],
+    );
     for object in 10..16 {
-        let one = g.send(object);
-        let ok = g.send(object);
-        g.now += 1_000;
-        g.end(&ok, 0, Outcome::Ok, CacheStatus::Hit);
-        g.end(&one, 0, Outcome::TimedOut, CacheStatus::Unknown);
+        let attempt = router.attempt_for(object);
+        let ok = router.attempt_for(object);
+        router.now += 1_000;
+        router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Hit);
+        router.end_attempt(&attempt, 0, Outcome::TimedOut, CacheStatus::Unknown);
     }
-    assert!(late(&mut g, 5).1.is_empty(), "without joining it would fill the bytes twice");
+    assert!(late(&mut router, 5).1.is_empty(), "without request collapsing it would fill the bytes twice");
 }
 
 #[test]
-fn ids_of_sixty_four_bits_have_their_own_wake_ups() {
-    let mut g = Gateway::usual();
+fn ids_of_64_bits_have_distinct_timers() {
+    let mut router = RouterHarness::with_default_site();
     let ids = [u64::MAX, u64::MAX >> 8, u64::MAX - 1];
-    let mut wakes = Vec::new();
+    let mut timers = Vec::new();
     for id in ids {
-        let request = Request { id: RequestId(id), ..g.request(0, 5) };
+        let request = Request { id: RequestId(id), ..router.new_request(0, 5) };
         let deadline = request.deadline;
-        for action in g.event(Event::Request(request)) {
+        for action in router.handle(Event::Request(request)) {
             if let Action::SetTimer { at, token } = action {
-                wakes.extend((at == deadline).then_some(token));
+                timers.extend((at == deadline).then_some(token));
             }
         }
     }
-    g.now += 2_000_000;
-    for (id, token) in ids.into_iter().zip(wakes) {
-        let actions = g.event(Event::Timer(token));
+    router.now += 2_000_000;
+    for (id, token) in ids.into_iter().zip(timers) {
+        let actions = router.handle(Event::Timer(token));
         let own = |a: &Action| matches!(a, Action::Reject { request, .. } if request.0 == id);
         assert_eq!(actions.iter().filter(|a| own(a)).count(), 1, "{id}: {actions:?}");
         assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count(), 1);
@@ -263,7 +275,7 @@
 }
 
 #[test]
-fn odd_figures_in_settings_and_requests_do_no_harm() {
+fn invalid_numbers_in_settings_and_requests_do_no_harm() {
     for odd in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let rule = SlowStartRule {
             initial_capacity_share: odd,
@@ -280,86 +292,90 @@
         settings.classes[0].objective_stretch = odd;
         (settings.classes[0].freshness_lifetime, settings.classes[0].stale_grace) =
             (Micros::MAX, Micros::MAX);
-        let mut g = Gateway::new(settings);
-        let odd_member = |id| Member { size: odd, started_at: g.now, ..member(id) };
+        let mut router = RouterHarness::new(settings);
+        let odd_member = |id| Member { size: odd, started_at: router.now, ..member(id) };
         let members = [1, 2, 11, 12, 20].map(odd_member).to_vec();
-        g.list(MemberUpdate::Full, members);
-        for now in [g.now, g.now + 2 * SECOND, Micros::MAX - 1] {
-            g.now = now;
-            let mut request = g.request_until(5, Micros::MAX);
+        router.update_members(MemberUpdate::Full, members);
+        for now in [router.now, router.now + 2 * SECOND, Micros::MAX - 1] {
+            router.now = now;
+            let mut request = router.new_request_until(5, Micros::MAX);
             request.size_kb = odd;
-            let actions = g.event(Event::Request(request));
-            let answered = !sent(&actions).is_empty() || refused(&actions);
+            let actions = router.handle(Event::Request(request));
+            let answered = !attempts_in(&actions).is_empty() || is_rejected(&actions);
             assert!(answered, "{odd} at {now}: {actions:?}");
-            g.event(Event::Purged { object: None, group: 5, age: Micros::MAX });
+            router.handle(Event::Purged { object: None, group: 5, age: Micros::MAX });
         }
     }
 }
 
-/// A choice must not cost a sort of the whole list; nor may one event that names thousands of servers fail.
+/// A decision must not sort the whole list, and one event may name thousands of servers.
 #[test]
-fn a_list_of_several_thousand_servers_is_no_trouble() {
-    let mut g = Gateway::new(settings());
+fn a_list_of_several_thousand_servers_is_handled() {
+    let mut router = RouterHarness::new(settings());
     let entry =
         |n: u32| Member { server: ServerId(1000 + n), ..member(if n.is_multiple_of(5) { 11 } else { 1 }) };
     let mut members: Vec<Member> = (0..5000).map(entry).collect();
     members.push(member(20));
-    g.list(MemberUpdate::Full, members);
+    router.update_members(MemberUpdate::Full, members);
     for object in 0..200 {
-        let one = g.fill(object);
-        assert_ne!(one.source(), ORIGIN);
+        let attempt = router.complete_fill(object);
+        assert_ne!(attempt.source(), ORIGIN);
     }
 }
 
-/// Day hb91594: past the windows of their pair fills wandered on, and each parent fetched the same anew.
+/// Regression: fills went on to a third parent and further, and each fetched the same object again.
 #[test]
-fn past_the_windows_of_its_pair_a_fill_goes_to_the_origin_and_not_to_a_third_parent() {
-    let mut g = Gateway::with(settings(), &[1, 2, 3, 11, 12, 13, 14, 20]);
-    let object = g.pair_of(11);
-    let source = |g: &mut Gateway, object| {
-        let one = g.send(object);
-        g.end(&one, 0, Outcome::Rejected, CacheStatus::SourceRejected);
-        one.source()
+fn a_fill_goes_to_the_origin_when_both_parents_reject_fills() {
+    let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 13, 14, 20]);
+    let object = router.object_with_first_parent(11);
+    let source = |router: &mut RouterHarness, object| {
+        let attempt = router.attempt_for(object);
+        router.end_attempt(&attempt, 0, Outcome::Rejected, CacheStatus::SourceRejected);
+        attempt.source()
     };
-    // Both of the pair turn fills away and are passed over for a moment.
-    let first = source(&mut g, object);
-    let second = g.peek(object);
+    // Both parents reject fills, and are backed off from for a moment.
+    let first = source(&mut router, object);
+    let second = router.peek_source(object);
     assert!(first == ServerId(11) && second != first && second != ORIGIN);
-    let theirs: Vec<u64> = (2000..9000).filter(|o| g.peek(*o) == second).take(1).collect();
-    source(&mut g, theirs[0]);
-    assert_eq!(g.peek(object), ORIGIN);
+    let theirs: Vec<u64> = (2000..9000).filter(|o| router.peek_source(*o) == second).take(1).collect();
+    source(&mut router, theirs[0]);
+    assert_eq!(router.peek_source(object), ORIGIN);
 }
 
-/// A source that a cache could not reach, told by a refusal (`AGAIN` with `up_lost`), is as lost as one
-/// told by an error: nothing ran, yet its objects go to the next parent. Before, each gateway went on
-/// sending there.
+/// A source that a cache could not reach is as lost if the cache rejects the request for it as if it fails:
+/// its objects go to the next parent.
 #[test]
-fn a_source_that_caches_can_t_reach_is_suspected_though_they_turn_the_fill_away() {
-    let mut g = Gateway::with(settings(), &[1, 2, 3, 11, 12, 20]);
-    let object = g.pair_of(11);
+fn a_source_that_caches_report_as_unreachable_is_ejected() {
+    let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 20]);
+    let object = router.object_with_first_parent(11);
     for _ in 0..3 {
-        let one = g.send(object);
-        assert_eq!(one.source(), ServerId(11));
-        g.end(&one, 0, Outcome::Rejected, CacheStatus::SourceUnreachable);
-        g.now += 10_000;
+        let attempt = router.attempt_for(object);
+        assert_eq!(attempt.source(), ServerId(11));
+        router.end_attempt(&attempt, 0, Outcome::Rejected, CacheStatus::SourceUnreachable);
+        router.now += 10_000;
     }
-    assert_ne!(g.peek(object), ServerId(11), "a lost parent is passed over");
+    assert_ne!(router.peek_source(object), ServerId(11), "a lost parent is not named");
 }
 
-/// Trials at a server that stays lost come ever further apart: a hundred gateways each trying every 0.7 s
-/// made a steady share of all fills fail.
+/// Regression: a hundred routers that each sent a probation request every 0.7 s made a steady share of all
+/// fills fail.
 #[test]
-fn trials_at_a_lost_source_back_off() {
-    let mut g = Gateway::with(settings(), &[1, 2, 3, 11, 12, 20]);
-    let object = g.pair_of(11);
-    let (mut trials, start) = (0, g.now);
-    while g.now < start + 20 * SECOND {
-        let one = g.send(object);
-        let lost = one.source() == ServerId(11);
-        trials += usize::from(lost);
-        g.end(&one, 0, if lost { Outcome::Failed } else { Outcome::Ok }, CacheStatus::SourceUnreachable);
-        g.now += 50_000;
+fn probation_requests_to_a_lost_source_back_off() {
+    let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 20]);
+    let object = router.object_with_first_parent(11);
+    let (mut probations, start) = (0, router.now);
+    while router.now < start + 20 * SECOND {
+        let attempt = router.attempt_for(object);
+        let lost = attempt.source() == ServerId(11);
+        probations += usize::from(lost);
+        router.end_attempt(
+            &attempt,
+            0,
+            if lost { Outcome::Failed } else { Outcome::Ok },
+            CacheStatus::SourceUnreachable,
+        );
+        router.now += 50_000;
     }
-    // Three strikes, then a trial at 0.7, 1.4, 2.8 and 5.6 s at most (each between half and half again).
-    assert!((4..=10).contains(&trials), "{trials} trials in 20 s; every 0.7 s would be 28");
+    // Three failures, then probation requests after 0.7, 1.4, 2.8 and 5.6 s (each with half of it as jitter).
+    assert!((4..=10).contains(&probations), "{probations} in 20 s; every 0.7 s would be 28");
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Cold servers under the sum of what thirty routers send, in drawn runs against simulated time.
+//! Servers in slow start under the load of thirty routers, in random runs in simulated time.
 
 #[path = "slow_start/budget.rs"]
 mod budget;
@@ -14,10 +14,10 @@
 use std::sync::OnceLock;
 
 const RUNS: u64 = 50;
-/// Where many transfers fit a budget, what is used of it is looked at in each so many runs.
+/// Of the runs with large budgets, every fifth measures how much of the budget is used.
 const MANY_ASKED: u64 = 5;
 
-/// A site drawn from a seed: its rule, classes, load and the number of its routers.
+/// A random site: its slow-start rule, classes, load and number of routers.
 fn drawn(role: Role, few: bool, seed: u64) -> Site {
     let mut random = StdRng::seed_from_u64(seed);
     let rule = SlowStartRule {
@@ -53,7 +53,7 @@
     site.sized(allowed)
 }
 
-/// What was sent, in mean requests, of what could be borne.
+/// Requests sent to servers, and those that they could have served, in mean requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Used {
     sent: f64,
@@ -61,8 +61,7 @@
 }
 
 impl Used {
-    /// What came to a server, held against what it would be asked were it warm and a multiple of its
-    /// capacity.
+    /// What a server received, against the demand for a warm one up to a multiple of its capacity.
     fn of(cold: &ColdServer, asked: &ColdServer, multiple: f64) -> Used {
         let bearable = cold.bearable(&asked.windows(), multiple);
         let sent = cold.windows().iter().zip(&bearable).map(|(sent, bears)| sent.min(*bears)).sum();
@@ -81,18 +80,18 @@
 /// All runs of one kind of site.
 #[derive(Debug, Default)]
 struct Summary {
-    /// The window that came nearest to a fall.
+    /// The window that came nearest to an overload.
     worst: Worst,
-    falls: usize,
-    /// What was used of the budget, and of what such a server can do.
+    overloads: usize,
+    /// What was used of the budget, and of the capacity.
     budget: Used,
     capacity: Used,
-    /// The least share of the capacity that was used in one run.
-    least: f64,
+    /// The smallest share of the capacity that was used in one run.
+    min_share: f64,
 }
 
 fn summary(role: Role, few: bool) -> Summary {
-    let mut summary = Summary { least: f64::INFINITY, ..Summary::default() };
+    let mut summary = Summary { min_share: f64::INFINITY, ..Summary::default() };
     for seed in 0..RUNS {
         let site = drawn(role, few, seed);
         let fleet = Fleet::play(&site);
@@ -101,7 +100,7 @@
         let mut run = Used::default();
         for (id, cold) in &fleet.cold {
             let worst = cold.worst();
-            summary.falls += usize::from(worst.margin < 0.0);
+            summary.overloads += usize::from(worst.margin < 0.0);
             if worst.ratio > summary.worst.ratio {
                 summary.worst = worst;
             }
@@ -112,72 +111,72 @@
         }
         if open.is_some() {
             summary.capacity = summary.capacity.plus(run);
-            summary.least = summary.least.min(run.share());
+            summary.min_share = summary.min_share.min(run.share());
         }
     }
     println!(
-        "{role:?}, few {few}: {} falls, worst window {:.2} of a fall ({:?}); used {:.2} of the budget, \
-         {:.2} of the capacity, {:.2} in the least run",
-        summary.falls,
+        "{role:?}, few {few}: {} overloads, worst window {:.2} of an overload ({:?}); used \
+         {:.2} of the budget, {:.2} of the capacity, {:.2} in the least run",
+        summary.overloads,
         summary.worst.ratio,
         summary.worst,
         summary.budget.share(),
         summary.capacity.share(),
-        summary.least
+        summary.min_share
     );
     summary
 }
 
-/// The runs of a kind of site, played once for all tests.
-fn played(role: Role, few: bool) -> &'static Summary {
-    static PLAYED: [OnceLock<Summary>; 4] = [const { OnceLock::new() }; 4];
-    PLAYED[usize::from(role == Role::Parent) * 2 + usize::from(few)].get_or_init(|| summary(role, few))
+/// The summary of a kind of site, computed once for all tests.
+fn cached_summary(role: Role, few: bool) -> &'static Summary {
+    static SUMMARIES: [OnceLock<Summary>; 4] = [const { OnceLock::new() }; 4];
+    SUMMARIES[usize::from(role == Role::Parent) * 2 + usize::from(few)].get_or_init(|| summary(role, few))
 }
 
-/// Nothing falls, and a server that starts gets at least half of the work that it can do.
-fn holds(role: Role, few: bool) {
-    let summary = played(role, few);
-    assert_eq!(summary.falls, 0, "{summary:?}");
+/// Asserts that no server is overloaded, and that one that starts gets at least half of what it can serve.
+fn assert_within_limits_and_used(role: Role, few: bool) {
+    let summary = cached_summary(role, few);
+    assert_eq!(summary.overloads, 0, "{summary:?}");
     assert!(summary.capacity.share() >= 0.5, "{summary:?}");
 }
 
 #[test]
-fn caches_with_few_transfers_in_their_budget_do_not_fall_and_are_used() {
-    holds(Role::Cache, true);
+fn caches_with_small_budgets_are_not_overloaded_and_are_used() {
+    assert_within_limits_and_used(Role::Cache, true);
 }
 
 #[test]
-fn caches_with_many_transfers_in_their_budget_do_not_fall_and_are_used() {
-    holds(Role::Cache, false);
+fn caches_with_large_budgets_are_not_overloaded_and_are_used() {
+    assert_within_limits_and_used(Role::Cache, false);
 }
 
 #[test]
-fn parents_with_few_transfers_in_their_budget_do_not_fall_and_are_used() {
-    holds(Role::Parent, true);
+fn parents_with_small_budgets_are_not_overloaded_and_are_used() {
+    assert_within_limits_and_used(Role::Parent, true);
 }
 
 #[test]
-fn parents_with_many_transfers_in_their_budget_do_not_fall_and_are_used() {
-    holds(Role::Parent, false);
+fn parents_with_large_budgets_are_not_overloaded_and_are_used() {
+    assert_within_limits_and_used(Role::Parent, false);
 }
 
-/// The same against the whole budget, which is a multiple of what the server can do.
+/// The same against the whole budget, which is a multiple of the capacity.
 #[test]
 fn a_cold_server_gets_half_of_its_budget_where_so_much_is_asked() {
     for (role, few) in
         [(Role::Cache, true), (Role::Cache, false), (Role::Parent, true), (Role::Parent, false)]
     {
-        let share = played(role, few).budget.share();
+        let share = cached_summary(role, few).budget.share();
         assert!(share >= 0.5, "{role:?}, few {few}: {share:.2} of the budget");
     }
 }
 
-/// The check of the tests above finds routers that know of no start.
+/// The tests above would find routers that do not know of the starts.
 #[test]
-fn a_fleet_that_takes_cold_servers_for_warm_is_found() {
-    let falls = (0..RUNS / 5).filter(|seed| {
+fn a_fleet_without_slow_start_overloads_servers() {
+    let overloads = (0..RUNS / 5).filter(|seed| {
         let fleet = Fleet::play(&Site { told: false, ..drawn(Role::Cache, true, *seed) });
         fleet.cold.values().any(|cold| cold.worst().margin < 0.0)
     });
-    assert!(falls.count() >= 5);
+    assert!(overloads.count() >= 5);
 }
