--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -6,7 +6,7 @@
 use crate::cluster;
 use crate::config::operator::{Operator, PeersSection, SignedSection};
 use crate::config::platform::PlatformConfig;
-use crate::director::start_core;
+use crate::director::start_dispatcher;
 use crate::discovery::watched_file::WatchedFile;
 use crate::discovery::{DiscoveryService, EndpointSource, XdsFile};
 use crate::dispatch::{Clock, Dispatcher, DispatcherMessage, DispatcherSender, RunningDispatcher};
@@ -152,7 +152,8 @@
         }));
         let servers = Box::new(UpstreamConnector::new(config.connections.clone(), shares.servers));
         let RunningDispatcher { dispatcher: core, task } =
-            start_core(config.settings.clone(), config.seed, clock, servers, sources)?;
+            start_dispatcher(config.settings.clone(), config.seed, clock, servers, sources)
+                .map_err(|error| error.to_string())?;
         #[cfg(feature = "peers")]
         let peers = match self.peers.zip(notices) {
             Some((section, notices)) => {
--- a/src/director/error.rs
+++ b/src/director/error.rs
@@ -1,15 +1,31 @@
-//! What can go wrong, and how far things had come.
+//! Errors of a director's start, of requests and of calls, and the result of a shutdown.
 
+use crate::policy::types::SettingsError;
 use std::time::Duration;
 
+/// Why the dispatcher did not start.
+#[derive(Debug, thiserror::Error)]
+#[non_exhaustive]
+pub enum StartError {
+    /// A source of the endpoint list can't be used; the text says why.
+    #[error("{0}")]
+    Source(String),
+    /// The settings can't be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
 /// Why a director did not start. Nothing was sent anywhere.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum BuildError {
-    /// The configuration, the settings or a source can't be used.
+    /// The configuration file can't be used; the text says why.
     #[error("{0}")]
     Config(String),
-    /// The thread or its runtime did not come up.
+    /// The settings or a source can't be used.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// The thread or its runtime did not start.
     #[error("the director's thread: {0}")]
     Thread(#[from] std::io::Error),
     /// The thread ended before it was ready.
@@ -17,23 +33,23 @@
     Ended,
 }
 
-/// Why a question has no answer.
+/// Why a request has no response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SendError {
     /// No class of this name is configured at present. Nothing was sent.
     #[error("no class named '{0}'")]
     UnknownClass(String),
-    /// The object's name can't be passed on to servers as it is. Nothing was sent.
+    /// The object's name can't be forwarded to servers unchanged. Nothing was sent.
     #[error("an object's name is 1 to 256 visible characters without ',' and '='")]
     BadName,
-    /// The body is larger than servers take. Nothing was sent.
-    #[error("a body of {len} bytes, {most} at most")]
+    /// The body is larger than servers accept. Nothing was sent.
+    #[error("a body of {len} bytes, {max} at most")]
     TooLarge {
         /// Its length in bytes.
         len: usize,
-        /// The most that servers take.
-        most: usize,
+        /// The largest that servers accept, in bytes.
+        max: usize,
     },
     /// A body for a class that reads. Nothing was sent.
     #[error("a body for a class that reads")]
@@ -41,19 +57,19 @@
     /// The director has ended or is about to.
     #[error("the director has ended{}", if *.may_have_run { "; what was asked may have run" } else { "" })]
     Stopped {
-        /// Whether the question had been taken, so that it may have run.
+        /// Whether the request had been accepted, so that it may have run.
         may_have_run: bool,
     },
 }
 
 impl SendError {
-    /// Whether what was asked may have run. Where not, it can be asked again, whatever its class.
+    /// Whether the request may have run. Where not, it can be sent again, whatever its class.
     pub fn may_have_run(&self) -> bool {
         matches!(self, SendError::Stopped { may_have_run: true })
     }
 }
 
-/// The director has ended: what was told did not reach it.
+/// The director has ended: the call did not reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the director has ended")]
 pub struct Stopped;
@@ -61,10 +77,10 @@
 /// How a shutdown went.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shutdown {
-    /// Questions that were open when it began.
-    pub open: usize,
-    /// Those that were cut off at the deadline; each ends with [`SendError::Stopped`].
-    pub cut_off: usize,
+    /// Requests that were pending when it began.
+    pub pending: usize,
+    /// Those that were aborted at the deadline; each ends with [`SendError::Stopped`].
+    pub aborted: usize,
     /// How long it took.
-    pub took: Duration,
+    pub elapsed: Duration,
 }
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -34,136 +34,45 @@
 //!     .connector(HostTransport::new(Mine))
 //!     .start()?;
 //! # tokio::runtime::Builder::new_multi_thread().build()?.block_on(async {
-//! let answer = director.send(CacheRequest::new("pages", "index.html")).await?;
-//! # assert!(matches!(answer, foxhold::dispatch::ClientResponse::Served(_)));
+//! let response = director.send(CacheRequest::new("pages", "index.html")).await?;
+//! # assert!(matches!(response, foxhold::dispatch::ClientResponse::Served(_)));
 //! # Ok::<(), foxhold::director::SendError>(()) })?;
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
 mod builder;
 mod error;
+mod request;
 
-pub use builder::{start_core, Builder};
-pub use error::{BuildError, SendError, Shutdown, Stopped};
+pub use builder::{start_dispatcher, Builder};
+pub use error::{BuildError, SendError, Shutdown, StartError, Stopped};
+pub use request::CacheRequest;
 
 use crate::config::platform::PlatformConfig;
 use crate::dispatch::{
-    is_name, ClientRequest, ClientResponse, Dispatcher, DispatcherMessage, DispatcherMetrics, DrainCommand,
-    Endpoint, FailureReason, MAX_WRITE_BYTES,
+    ClientResponse, Dispatcher, DispatcherMessage, DispatcherMetrics, DrainCommand, Endpoint, FailureReason,
 };
 use crate::policy::types::{Micros, Settings};
-use bytes::Bytes;
 use std::future::Future;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// What is asked for.
-#[derive(Clone, Debug, Default)]
-pub struct CacheRequest {
-    class: String,
-    ask: ClientRequest,
-    allow: Option<Duration>,
-}
-
-impl CacheRequest {
-    /// Asks for an object of a class, by its name among the settings' classes.
-    pub fn new(class: impl Into<String>, object: impl Into<Arc<str>>) -> Self {
-        let ask = ClientRequest { object: object.into(), ..ClientRequest::default() };
-        CacheRequest { class: class.into(), ask, allow: None }
-    }
-
-    /// A part of the object, counted from 0.
-    pub fn part(mut self, part: u32) -> Self {
-        self.ask.part = Some(part);
-        self
-    }
-
-    /// The object's group, which purges may name. Without one it is taken to belong to all.
-    pub fn group(mut self, group: u32) -> Self {
-        self.ask.group = Some(group);
-        self
-    }
-
-    /// The part's size in KB, where it is known.
-    pub fn size_kb(mut self, size: f64) -> Self {
-        self.ask.size_kb = size;
-        self
-    }
-
-    /// How long an answer is waited for; the class's deadline unless told.
-    pub fn timeout(mut self, wait: Duration) -> Self {
-        self.allow = Some(wait);
-        self
-    }
-
-    /// The tag of a copy that is there already: an answer may be [`ClientResponse::NotModified`] then.
-    pub fn if_none_match(mut self, tag: impl Into<Arc<str>>) -> Self {
-        self.ask.if_none_match = Some(tag.into());
-        self
-    }
-
-    /// What servers know a repeat by, for classes whose repeats they throw away: the same with each repeat.
-    pub fn idempotency_key(mut self, token: impl Into<Arc<str>>) -> Self {
-        self.ask.idempotency_key = Some(token.into());
-        self
-    }
-
-    /// What is to be written, for classes that write.
-    pub fn body(mut self, body: impl Into<Bytes>) -> Self {
-        self.ask.body = body.into();
-        self
-    }
-
-    /// The id that servers are given; one of the director's own unless told. No two open questions may share
-    /// one.
-    pub fn id(mut self, id: impl Into<Arc<str>>) -> Self {
-        self.ask.id = id.into();
-        self
-    }
-
-    /// Marks a client's repeat.
-    pub fn retry(mut self) -> Self {
-        self.ask.is_retry = true;
-        self
-    }
-
-    fn read(self, core: &Dispatcher) -> Result<ClientRequest, SendError> {
-        let (settings, mut ask) = (core.settings(), self.ask);
-        let class = settings.class(&self.class).ok_or(SendError::UnknownClass(self.class))?;
-        let facts = &settings.classes[class];
-        if [Some(&ask.object), ask.if_none_match.as_ref(), ask.idempotency_key.as_ref()]
-            .iter()
-            .flatten()
-            .any(|n| !is_name(n))
-        {
-            return Err(SendError::BadName);
-        }
-        if ask.body.len() > MAX_WRITE_BYTES {
-            return Err(SendError::TooLarge { len: ask.body.len(), most: MAX_WRITE_BYTES });
-        }
-        if !facts.write && !ask.body.is_empty() {
-            return Err(SendError::UnwantedBody);
-        }
-        if ask.id.is_empty() {
-            ask.id = core.generate_request_id();
-        }
-        ask.timeout = self.allow.unwrap_or(Duration::from_micros(facts.deadline));
-        ask.class = class;
-        Ok(ask)
-    }
-}
-
-/// What the director's thread is told.
+/// A command to the director's thread.
 pub(crate) enum Control {
-    /// End within this time.
-    Shutdown(Duration, oneshot::Sender<Shutdown>),
+    /// Shut down.
+    Shutdown {
+        /// Requests that are pending after this time are aborted.
+        deadline: Duration,
+        /// Takes how it went.
+        reply: oneshot::Sender<Shutdown>,
+    },
 }
 
 struct Inner {
-    core: Dispatcher,
-    closing: AtomicBool,
+    dispatcher: Dispatcher,
+    is_shutting_down: AtomicBool,
     /// Dropped with the last handle, which ends the thread.
     control: mpsc::UnboundedSender<Control>,
 }
@@ -175,36 +84,38 @@
 
 impl std::fmt::Debug for Director {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Director").field("ended", &self.0.core.has_ended()).finish_non_exhaustive()
+        f.debug_struct("Director").field("ended", &self.0.dispatcher.has_ended()).finish_non_exhaustive()
     }
 }
 
 impl Director {
-    /// A director with these settings; the builder says the rest.
+    /// A builder of a director with these settings.
     pub fn builder(settings: Settings) -> Builder {
         Builder::new(settings)
     }
 
-    /// A director as the platform's configuration file describes it: settings, board, seed and connections.
+    /// A director as the platform's configuration file describes it: settings, discovery service, seed and connections.
     pub fn from_file(path: impl AsRef<std::path::Path>) -> Result<Builder, BuildError> {
         Ok(Builder::from_config(PlatformConfig::read(path.as_ref()).map_err(BuildError::Config)?))
     }
 
     pub(crate) fn new(core: Dispatcher, control: mpsc::UnboundedSender<Control>) -> Self {
-        Director(Arc::new(Inner { core, closing: AtomicBool::new(false), control }))
+        Director(Arc::new(Inner { dispatcher: core, is_shutting_down: AtomicBool::new(false), control }))
     }
 
-    /// Asks for an object. Dropping the future lets go of the question: nothing new is sent for it. The
-    /// future holds a handle of its own.
+    /// Sends a request. Dropping the future cancels it: nothing new is sent for it. The future holds a handle
+    /// of its own.
     pub fn send(
         &self,
-        question: CacheRequest,
+        request: CacheRequest,
     ) -> impl Future<Output = Result<ClientResponse, SendError>> + Send + 'static {
         let director = self.clone();
-        // Put into the mailbox now, not at the first poll: questions keep the order in which they were asked.
-        let pending = match self.stopped() {
+        // Submitted now, not at the first poll: requests keep the order in which they were sent.
+        let pending = match self.is_stopped() {
             true => Err(SendError::Stopped { may_have_run: false }),
-            false => question.read(&self.0.core).map(|ask| director.0.core.submit(ask)),
+            false => request
+                .into_client_request(&self.0.dispatcher)
+                .map(|request| director.0.dispatcher.submit(request)),
         };
         async move {
             let _director = director;
@@ -215,73 +126,74 @@
                 ClientResponse::Failed(FailureReason::ShuttingDown) => {
                     Err(SendError::Stopped { may_have_run: true })
                 }
-                answer => Ok(answer),
+                response => Ok(response),
             }
         }
     }
 
-    /// Tells of members: all of them, or those that changed. A drain holds within 1 s of this call's return.
+    /// Updates the endpoint list: all of it, or the entries that changed. A drain is in force within 1 s of
+    /// this call's return.
     pub async fn members(&self, full: bool, members: Vec<Endpoint>) -> Result<(), Stopped> {
-        self.tell(DispatcherMessage::Members { full, members }).await
+        self.send_message(DispatcherMessage::Members { full, members }).await
     }
 
-    /// Tells of a purge of one object, or else of all of a group, made at this Unix time in microseconds.
-    /// From 1 s after this call's return nothing is answered from an older copy.
+    /// Purges one object, or else all of a group, as of this Unix time in microseconds. From 1 s after this
+    /// call's return nothing is served from an older copy.
     pub async fn purge(&self, object: Option<Arc<str>>, group: u32, at: Micros) -> Result<(), Stopped> {
-        self.tell(DispatcherMessage::Purged { object, group, at, retention: 0 }).await
+        self.send_message(DispatcherMessage::Purged { object, group, at, retention: 0 }).await
     }
 
-    /// Has a server drain, whatever its source says, until another process runs under its name; returns
-    /// whether it is listed. Nothing new goes there, as request or as source, from 1 s after the call at the
-    /// latest.
+    /// Drains a server, whatever its source says, until another process runs under its name; returns whether
+    /// it is listed. No new request is sent there and no fill names it as its source, from 1 s after the call
+    /// at the latest.
     pub async fn drain(&self, name: &str) -> Result<bool, Stopped> {
-        self.0.core.drain(name, DrainCommand::Drain).await.ok_or(Stopped)
+        self.0.dispatcher.drain(name, DrainCommand::Drain).await.ok_or(Stopped)
     }
 
-    /// Takes a drain back; returns whether the server is listed.
+    /// Ends a drain; returns whether the server is listed.
     pub async fn undrain(&self, name: &str) -> Result<bool, Stopped> {
-        self.0.core.drain(name, DrainCommand::Undrain).await.ok_or(Stopped)
+        self.0.dispatcher.drain(name, DrainCommand::Undrain).await.ok_or(Stopped)
     }
 
-    /// Takes other settings over, for questions to come; open ones keep theirs. Zones and kinds stay as they
-    /// were.
+    /// Puts other settings in force, for requests to come; pending ones keep theirs. Zones and kinds stay as
+    /// they were.
     pub async fn reload(&self, settings: Settings) -> Result<(), Stopped> {
-        self.tell(DispatcherMessage::Settings(Box::new(settings))).await
+        self.send_message(DispatcherMessage::Settings(Box::new(settings))).await
     }
 
-    /// The figures at this moment.
+    /// The metrics at this moment.
     pub async fn metrics(&self) -> Result<DispatcherMetrics, Stopped> {
-        self.0.core.metrics().await.ok_or(Stopped)
+        self.0.dispatcher.metrics().await.ok_or(Stopped)
     }
 
     /// The settings at this moment.
     pub fn settings(&self) -> Arc<Settings> {
-        self.0.core.settings()
+        self.0.dispatcher.settings()
     }
 
-    /// The handle by which fronts and middleware ask.
+    /// The handle by which frontends and middleware submit requests.
     pub fn dispatcher(&self) -> Dispatcher {
-        self.0.core.clone()
+        self.0.dispatcher.clone()
     }
 
-    /// Takes no more questions, waits for those that are open, and ends the thread at the deadline at the
+    /// Accepts no more requests, waits for those that are pending, and ends the thread at the deadline at the
     /// latest. Every handle gives [`SendError::Stopped`] from the call on.
     pub async fn shutdown(&self, deadline: Duration) -> Result<Shutdown, Stopped> {
-        self.0.closing.store(true, Ordering::Release);
+        self.0.is_shutting_down.store(true, Ordering::Release);
         let (reply, done) = oneshot::channel();
-        self.0.control.send(Control::Shutdown(deadline, reply)).map_err(|_| Stopped)?;
+        self.0.control.send(Control::Shutdown { deadline, reply }).map_err(|_| Stopped)?;
         done.await.map_err(|_| Stopped)
     }
 
-    fn stopped(&self) -> bool {
-        self.0.closing.load(Ordering::Acquire) || self.0.core.has_ended()
+    fn is_stopped(&self) -> bool {
+        self.0.is_shutting_down.load(Ordering::Acquire) || self.0.dispatcher.has_ended()
     }
 
-    async fn tell(&self, message: DispatcherMessage) -> Result<(), Stopped> {
-        if self.stopped() {
+    async fn send_message(&self, message: DispatcherMessage) -> Result<(), Stopped> {
+        if self.is_stopped() {
             return Err(Stopped);
         }
-        self.0.core.sender().send(message).await;
+        self.0.dispatcher.sender().send(message).await;
         Ok(())
     }
 }
--- a/tests/library.rs
+++ b/tests/library.rs
@@ -369,7 +369,7 @@
         until("both are sent", async || other.asked().len() == 2).await;
         let begun = Instant::now();
         let shutdown = second.shutdown(Duration::from_millis(100)).await.expect("an end");
-        assert_eq!((shutdown.open, shutdown.cut_off), (2, 2));
+        assert_eq!((shutdown.pending, shutdown.aborted), (2, 2));
         assert!(begun.elapsed() < Duration::from_secs(1));
         for one in open {
             assert_eq!(one.await, Err(SendError::Stopped { may_have_run: true }));
@@ -384,7 +384,7 @@
             "it lives on"
         );
         let shutdown = first.shutdown(Duration::from_secs(5)).await.expect("an end");
-        assert_eq!((shutdown.open, shutdown.cut_off), (0, 0));
+        assert_eq!((shutdown.pending, shutdown.aborted), (0, 0));
     });
 }
 
