--- a/src/middleware/signed.rs
+++ b/src/middleware/signed.rs
@@ -1,6 +1,6 @@
-//! The check of signed URLs and tokens before a service.
+//! The tower layer that checks signed URLs and tokens before a service.
 
-use super::{only, say, Boxed};
+use super::{single_header, to_response, BoxFuture};
 use crate::dispatch::Clock;
 use crate::signed::{self, Counts, Denied, Keys};
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll};
 use tower::{Layer, Service};
 
-/// Checks the credential of each request before the service that it is put round.
+/// Checks the credential of each request before the service that it wraps.
 #[derive(Clone, Debug)]
 pub struct SignedLayer {
     keys: Arc<Keys>,
@@ -20,7 +20,7 @@
 }
 
 impl SignedLayer {
-    /// Checks with these keys by this clock, and counts what is turned down.
+    /// A layer that checks with these keys by this clock, and counts the requests that it denies.
     pub fn new(keys: Arc<Keys>, clock: Clock, counts: Arc<Counts>) -> Self {
         SignedLayer { keys, clock, counts }
     }
@@ -50,7 +50,7 @@
 {
     type Response = Response<R>;
     type Error = S::Error;
-    type Future = Boxed<Result<Response<R>, S::Error>>;
+    type Future = BoxFuture<Result<Response<R>, S::Error>>;
 
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), S::Error>> {
         self.inner.poll_ready(cx)
@@ -61,25 +61,27 @@
             let target = request.uri().path_and_query().map_or("/", |p| p.as_str());
             signed::check(&self.layer.keys, authority, target, self.layer.clock.unix())
         });
-        let stripped = grant.and_then(|grant| {
+        let verified = grant.and_then(|grant| {
             let uri = grant.target.parse::<Uri>().map_err(|_| Denied::Malformed)?;
             Ok((uri, grant))
         });
-        match stripped {
+        match verified {
             Ok((uri, grant)) => {
                 *request.uri_mut() = uri;
                 request.extensions_mut().insert(grant);
                 Box::pin(self.inner.call(request))
             }
-            Err(denied) => Box::pin(ready(Ok(say(&self.layer.counts, signed::to_http_outcome(Err(denied)))))),
+            Err(denied) => {
+                Box::pin(ready(Ok(to_response(&self.layer.counts, signed::to_http_outcome(Err(denied))))))
+            }
         }
     }
 }
 
-/// The host that the request was sent to: HTTP/2 has it in the URI, HTTP/1 in one `Host`.
+/// The host that the request was sent to: HTTP/2 has it in the URI, HTTP/1 in a single `Host` header.
 fn authority<B>(request: &Request<B>) -> Result<&str, Denied> {
     if let Some(authority) = request.uri().authority() {
         return Ok(authority.as_str());
     }
-    only(request.headers(), &HOST).ok_or(Denied::Malformed)
+    single_header(request.headers(), &HOST).ok_or(Denied::Malformed)
 }
