--- /dev/null
+++ b/tests/dispatch/credentials.rs
@@ -0,0 +1,83 @@
+//! Requests whose credentials expire.
+
+use crate::fixture::*;
+use crate::standin::paused;
+use foxhold::dispatch::*;
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+
+#[test]
+fn a_credential_that_expires_while_its_request_is_pending_ends_it_at_that_moment() {
+    for (class, expected) in [
+        (0, ClientResponse::Rejected { retry_after: None, reason: FailureReason::CredentialExpired }),
+        (1, ClientResponse::Failed(FailureReason::CredentialExpired)), // a write that may have run
+    ] {
+        paused(async {
+            let (site, started) = (site(), Instant::now());
+            let expires_at = Some(site.clock.unix() + 300_000);
+            assert_eq!(
+                site.dispatcher
+                    .submit(ClientRequest { credential_expires_at: expires_at, ..request(class) })
+                    .await,
+                expected
+            );
+            assert_eq!(started.elapsed().as_millis(), 300);
+            run_until_idle().await;
+            assert_eq!((site.connector.attempts().len(), site.connector.cancellations()), (1, 1));
+        });
+    }
+}
+
+#[test]
+fn a_credential_is_valid_to_its_last_microsecond_and_no_longer() {
+    for (left, sent) in [(1_000, 1), (0, 0)] {
+        paused(async {
+            let site = site();
+            let expires_at = Some(site.clock.unix() + left);
+            let pending =
+                site.dispatcher.submit(ClientRequest { credential_expires_at: expires_at, ..request(1) });
+            tokio::task::yield_now().await;
+            tokio::task::yield_now().await;
+            assert_eq!(site.connector.attempts().len(), sent);
+            let response = pending.await;
+            // Unsent, it is harmless to retry with a new credential, a write as well.
+            assert_eq!(
+                matches!(response, ClientResponse::Rejected { reason: FailureReason::CredentialExpired, .. }),
+                sent == 0,
+                "{response:?}"
+            );
+        });
+    }
+}
+
+#[test]
+fn a_response_that_began_before_the_credential_expired_is_delivered() {
+    paused(async {
+        let site = site();
+        let expires_at = Some(site.clock.unix() + 300_000);
+        let pending =
+            site.dispatcher.submit(ClientRequest { credential_expires_at: expires_at, ..request(0) });
+        run_until_idle().await;
+        end_attempt(&site, site.connector.attempts()[0].1.attempt_id, served()).await;
+        sleep(Duration::from_secs(1)).await; // the frontend takes it after the credential's expiry
+        assert!(matches!(pending.await, ClientResponse::Served(_)));
+    });
+}
+
+#[test]
+fn no_retry_is_sent_once_the_credential_has_expired() {
+    paused(async {
+        let site = site();
+        let expires_at = Some(site.clock.unix() + 300_000);
+        let pending =
+            site.dispatcher.submit(ClientRequest { credential_expires_at: expires_at, ..request(0) });
+        run_until_idle().await;
+        let attempt_id = site.connector.attempts()[0].1.attempt_id;
+        assert_eq!(
+            pending.await,
+            ClientResponse::Rejected { retry_after: None, reason: FailureReason::CredentialExpired }
+        );
+        end_attempt(&site, attempt_id, Err(AttemptError::NotConnected)).await;
+        assert_eq!(site.connector.attempts().len(), 1);
+    });
+}
--- /dev/null
+++ b/tests/dispatch/purges.rs
@@ -0,0 +1,77 @@
+//! Purges and the bound on the age of copies.
+
+use crate::fixture::*;
+use crate::standin::paused;
+use foxhold::dispatch::*;
+use std::time::Duration;
+use tokio::time::Instant;
+
+#[test]
+fn a_purge_limits_the_age_of_copies_even_where_the_group_is_unknown() {
+    paused(async {
+        let site = site();
+        let purge = DispatcherMessage::Purged {
+            object: None,
+            group: 9,
+            at: site.clock.unix() - 250_000,
+            retention: 0,
+        };
+        site.dispatcher.sender().send(purge).await;
+        for (group, purged) in [(Some(9), true), (Some(8), false), (None, true)] {
+            let pending = site.dispatcher.submit(ClientRequest { group, ..request(0) });
+            run_until_idle().await;
+            let attempt = site.connector.attempts().pop().expect("an attempt").1;
+            assert_eq!(attempt.max_age_ms > 0, purged, "{group:?}");
+            assert!(attempt.max_age_ms <= 260, "{group:?}: {}", attempt.max_age_ms);
+            end_attempt(&site, attempt.attempt_id, served()).await;
+            assert!(matches!(pending.await, ClientResponse::Served(_)));
+        }
+    });
+}
+
+/// Directors that are notified late may have an old copy fetched long after servers have dropped theirs.
+#[test]
+fn a_purge_with_a_retention_is_in_force_for_as_long_as_that() {
+    paused(async {
+        let site = site();
+        let (at, started) = (site.clock.unix(), Instant::now());
+        for (group, retention) in [(8, 0), (9, 60_000_000)] {
+            site.dispatcher
+                .sender()
+                .send(DispatcherMessage::Purged { object: None, group, at, retention })
+                .await;
+        }
+        for (seconds, group, limited) in [(30, 8, false), (30, 9, true), (61, 9, false)] {
+            tokio::time::sleep_until(started + Duration::from_secs(seconds)).await;
+            let pending = site.dispatcher.submit(ClientRequest { group: Some(group), ..request(0) });
+            run_until_idle().await;
+            let attempt = site.connector.attempts().pop().expect("an attempt").1;
+            assert_eq!(attempt.max_age_ms > 0, limited, "{seconds} s, group {group}: {}", attempt.max_age_ms);
+            assert!(!limited || attempt.max_age_ms <= seconds * 1_000 + 100);
+            end_attempt(&site, attempt.attempt_id, served()).await;
+            assert!(matches!(pending.await, ClientResponse::Served(_)));
+        }
+    });
+}
+
+#[test]
+fn not_before_bars_older_copies_and_joining_fills_until_it_is_lifted() {
+    paused(async {
+        let site = site();
+        for (at, limited) in [(Some(site.clock.unix() - 250_000), true), (None, false)] {
+            site.dispatcher.sender().send(DispatcherMessage::NotBefore(at)).await;
+            let pending = site.dispatcher.submit(request(0));
+            run_until_idle().await;
+            let attempt = site.connector.attempts().pop().expect("an attempt").1;
+            assert_eq!(
+                attempt.max_age_ms > 0 && attempt.max_age_ms <= 300,
+                limited,
+                "{}",
+                attempt.max_age_ms
+            );
+            assert!(!(limited && attempt.collapse));
+            end_attempt(&site, attempt.attempt_id, served()).await;
+            assert!(matches!(pending.await, ClientResponse::Served(_)));
+        }
+    });
+}
