--- /dev/null
+++ b/tests/library/drains.rs
@@ -0,0 +1,126 @@
+//! Drains by the handle, and a host that blocks its own runtime.
+
+use crate::fixture::*;
+use crate::standin::local;
+use foxhold::director::{CacheRequest, Director, SendError};
+use foxhold::dispatch::*;
+use foxhold::policy::types::*;
+use std::future::Future;
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tokio::time::sleep;
+
+/// Sends a request for a small object of its own.
+fn send_for_object(director: &Director, n: usize) -> impl Future<Output = Result<ClientResponse, SendError>> {
+    director.send(CacheRequest::new("videos", format!("object-{n}")).size_kb(1.0))
+}
+
+/// A transport that serves each attempt by a fill of 30 ms.
+fn filling_transport() -> RecordingTransport {
+    RecordingTransport::new(|_, _| {
+        Box::pin(async {
+            sleep(Duration::from_millis(30)).await;
+            served_as(Representation::default(), CacheStatus::Filled)
+        })
+    })
+}
+
+/// Sends requests for 1.2 s, while a source that does not know of the drain lists all servers as running.
+async fn send_requests_against_the_source(director: &Director, drained_at: Instant) {
+    director.members(true, members()).await.expect("a director");
+    for n in 0..400 {
+        let batch: Vec<_> = (0..10).map(|k| send_for_object(director, 1_000 + n * 10 + k)).collect();
+        for response in batch {
+            let _ = response.await;
+        }
+        if n % 100 == 0 {
+            director.members(true, members()).await.expect("a director");
+        }
+        if drained_at.elapsed() > Duration::from_millis(1_200) && n > 20 {
+            break;
+        }
+    }
+}
+
+#[test]
+fn a_drain_by_the_handle_stands_above_the_source_with_requests_queued_and_fills_in_progress() {
+    threads(async {
+        let transport = filling_transport();
+        let director = director(&transport);
+        let pending: Vec<_> = (0..200).map(|n| send_for_object(&director, n)).collect();
+        wait_until("fills are in progress", async || transport.exchanges().len() > 50).await;
+        // Hundreds of tasks clone and drop the handle meanwhile.
+        let clones: Vec<_> = (0..300)
+            .map(|_| {
+                let director = director.clone();
+                tokio::spawn(async move { drop(director.clone()) })
+            })
+            .collect();
+        assert_eq!(director.drain("parent-1").await, Ok(true));
+        assert_eq!(director.drain("cache-1").await, Ok(true));
+        let drained_at = Instant::now();
+        assert_eq!(director.drain("cache-9").await, Ok(false), "it is not listed");
+        send_requests_against_the_source(&director, drained_at).await;
+        for response in pending {
+            let _ = response.await;
+        }
+        for task in clones {
+            task.await.expect("a task");
+        }
+        let in_force_at = drained_at + Duration::from_millis(20); // far within the second that it may take
+        let is_drained = |name: &str| matches!(name, "parent-1" | "cache-1");
+        let after: Vec<_> = transport.exchanges().into_iter().filter(|e| e.at > in_force_at).collect();
+        assert!(after.len() > 100, "{}", after.len());
+        let uses_drained =
+            |e: &&Exchanged| is_drained(&e.server) || e.fill_source.as_deref().is_some_and(is_drained);
+        assert_eq!(after.iter().find(uses_drained), None);
+        assert_eq!(director.undrain("cache-1").await, Ok(true));
+        let before = transport.exchanges().len();
+        for n in 0..100 {
+            let _ = send_for_object(&director, 5_000 + n).await;
+        }
+        assert!(transport.exchanges()[before..].iter().any(|e| e.server == "cache-1"), "undrained");
+    });
+}
+
+#[test]
+fn a_host_that_blocks_its_own_runtime_delays_neither_deadlines_nor_drains() {
+    // One thread for the host, which is blocked for 800 ms.
+    local(async {
+        let dropped_at = Arc::new(Mutex::new(None));
+        let recorded = dropped_at.clone();
+        struct RecordDrop(Arc<Mutex<Option<Instant>>>);
+        impl Drop for RecordDrop {
+            fn drop(&mut self) {
+                self.0.lock().expect("a time").get_or_insert_with(Instant::now);
+            }
+        }
+        let transport = RecordingTransport::new(move |_, _| {
+            let record = RecordDrop(recorded.clone());
+            Box::pin(async move {
+                let _record = record;
+                std::future::pending().await
+            })
+        });
+        let director = director(&transport);
+        let started = Instant::now();
+        let pending = director.send(CacheRequest::new("videos", "one").timeout(Duration::from_millis(300)));
+        wait_until("it is sent", async || !transport.exchanges().is_empty()).await;
+        let handle = director.clone();
+        let drained_at = std::thread::spawn(move || {
+            // Another thread of the host orders a drain meanwhile.
+            std::thread::sleep(Duration::from_millis(100));
+            let runtime = tokio::runtime::Builder::new_current_thread().build().expect("one");
+            runtime.block_on(handle.drain("parent-2")).expect("a director");
+            Instant::now()
+        });
+        std::thread::sleep(Duration::from_millis(800));
+        let cancelled_at = dropped_at.lock().expect("a time").expect("a cancelled attempt");
+        assert!(cancelled_at < started + Duration::from_millis(400), "{:?}", cancelled_at - started);
+        assert!(drained_at.join().expect("a thread") < started + Duration::from_millis(300));
+        assert!(matches!(
+            pending.await,
+            Ok(ClientResponse::Rejected { reason: FailureReason::DeadlineExceeded, .. })
+        ));
+    });
+}
--- /dev/null
+++ b/tests/library/fixture.rs
@@ -0,0 +1,127 @@
+//! A director whose transport is the host's own and records what it is to exchange.
+
+use crate::standin::{listing, settings};
+use foxhold::director::{CacheRequest, Director};
+use foxhold::discovery::StaticEndpoints;
+use foxhold::dispatch::*;
+use foxhold::policy::types::*;
+use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tokio::time::sleep;
+
+/// What a host's own transport does with each attempt.
+type Behavior = dyn Fn(&Endpoint, &UpstreamRequest) -> BoxFuture<AttemptResult> + Send;
+
+/// An attempt that the transport was given.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Exchanged {
+    pub server: String,
+    pub fill_source: Option<String>,
+    pub at: Instant,
+}
+
+/// A host's transport that records the attempts that it is given.
+#[derive(Clone)]
+pub struct RecordingTransport {
+    exchanges: Arc<Mutex<Vec<Exchanged>>>,
+    behavior: Arc<Mutex<Box<Behavior>>>,
+}
+
+impl RecordingTransport {
+    pub fn new(
+        behavior: impl Fn(&Endpoint, &UpstreamRequest) -> BoxFuture<AttemptResult> + Send + 'static,
+    ) -> Self {
+        RecordingTransport { exchanges: Arc::default(), behavior: Arc::new(Mutex::new(Box::new(behavior))) }
+    }
+
+    /// The attempts so far.
+    pub fn exchanges(&self) -> Vec<Exchanged> {
+        self.exchanges.lock().expect("a list").clone()
+    }
+}
+
+impl Exchange for RecordingTransport {
+    fn exchange(&self, server: &Endpoint, request: UpstreamRequest) -> BoxFuture<AttemptResult> {
+        let fill_source = request.fill_source.as_ref().map(|source| source.to_string());
+        let exchanged = Exchanged { server: server.name.to_string(), fill_source, at: Instant::now() };
+        self.exchanges.lock().expect("a list").push(exchanged);
+        self.behavior.lock().expect("a behavior")(server, &request)
+    }
+}
+
+/// A response with this representation and cache status.
+pub fn served_as(representation: Representation, cache_status: CacheStatus) -> AttemptResult {
+    let status = ResponseStatus::Ok(representation);
+    Ok(UpstreamResponse { status, cache_status, source_wait: 0, load_report: Vec::new() })
+}
+
+/// Served at once.
+pub fn served() -> BoxFuture<AttemptResult> {
+    let representation = Representation { etag: None, body: "bytes".into() };
+    Box::pin(async { served_as(representation, CacheStatus::Hit) })
+}
+
+/// Never answered.
+pub fn never_answered() -> BoxFuture<AttemptResult> {
+    Box::pin(std::future::pending())
+}
+
+/// Three caches, two parents and an origin.
+pub fn members() -> Vec<Endpoint> {
+    let mut members: Vec<Endpoint> =
+        (1..=3).map(|n| listing(&format!("cache-{n}"), "a", "edge", "cache")).collect();
+    members.extend((1..=2).map(|n| listing(&format!("parent-{n}"), "b", "hub", "parent")));
+    members.push(listing("origin-1", "c", "hub", "origin"));
+    members
+}
+
+/// A director that sends to these by the host's transport.
+pub fn director(transport: &RecordingTransport) -> Director {
+    let builder = Director::builder(settings()).endpoint_source(StaticEndpoints(members())).seed(7);
+    builder.connector(HostTransport::new(transport.clone())).start().expect("a director")
+}
+
+/// Waits until a condition holds, for 5 s at most.
+pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let started = Instant::now();
+    while !condition().await {
+        assert!(started.elapsed() < Duration::from_secs(5), "{what}");
+        sleep(Duration::from_millis(2)).await;
+    }
+}
+
+/// The counts of a class.
+pub async fn counts(director: &Director, class: &str) -> ClassCounts {
+    director.metrics().await.expect("metrics").requests[class]
+}
+
+/// Requests of a class that were cancelled: those that never ran, and those that may have run.
+pub async fn cancelled(director: &Director, class: &str) -> (u64, u64) {
+    let counts = counts(director, class).await;
+    (counts.cancelled_not_run, counts.cancelled_may_have_run)
+}
+
+/// Whether nothing is pending or in flight any more.
+pub async fn is_idle(director: &Director) -> bool {
+    let tables = director.metrics().await.expect("metrics").tables;
+    tables.pending_requests == 0
+        && tables.attempts_in_flight == 0
+        && tables.cancelled_requests == 0
+        && tables.health_checks == 0
+}
+
+/// A write of a class that must not run twice.
+pub fn filing(object: &str) -> CacheRequest {
+    CacheRequest::new("filing", object).body("a filing")
+}
+
+/// Runs a test on a runtime of two threads.
+pub fn threads<T>(test: impl std::future::Future<Output = T>) -> T {
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()
+        .expect("a runtime")
+        .block_on(test)
+}
