--- /dev/null
+++ b/tests/races/upstream.rs
@@ -0,0 +1,195 @@
+//! Races on connections to servers.
+
+use crate::standin::{self, *};
+use foxhold::config::settings::ConnectionSettings;
+use foxhold::dispatch::{
+    AttemptError, AttemptId, AttemptResult, CancellationToken, DispatcherMessage, DispatcherSender,
+    EndpointCommand, EndpointConnector,
+};
+use foxhold::policy::types::ServerId;
+use foxhold::upstream::servers::UpstreamConnector;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpSocket;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout, Instant};
+
+/// The connection actor of one server.
+struct ConnectionActor {
+    commands: mpsc::Sender<EndpointCommand>,
+    reports: mpsc::Receiver<DispatcherMessage>,
+}
+
+impl ConnectionActor {
+    fn start(address: &str, connections: ConnectionSettings, max_descriptors: usize) -> ConnectionActor {
+        let (sender, reports) = mpsc::channel(64);
+        let listing = listing("s-1", address, "edge", "cache");
+        let mut connector = UpstreamConnector::new(connections, max_descriptors);
+        let commands = connector.connect(ServerId(1), &listing, DispatcherSender::new(sender));
+        ConnectionActor { commands, reports }
+    }
+
+    /// Puts an attempt into the mailbox, with nothing run meanwhile.
+    fn send(&self, attempt: u32, id: &str, body: Vec<u8>) -> CancellationToken {
+        let deadline = Instant::now() + Duration::from_secs(20);
+        let request = standin::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
+        let cancellation = request.cancellation.clone();
+        self.commands.try_send(EndpointCommand::Send(request)).expect("capacity");
+        cancellation
+    }
+
+    async fn attempt_end(&mut self) -> (u32, AttemptResult) {
+        loop {
+            match timeout(SOON, self.reports.recv()).await.expect("an end in time") {
+                Some(DispatcherMessage::AttemptEnded(id, result)) => return (id.attempt, result),
+                Some(DispatcherMessage::AttemptWritten(_) | DispatcherMessage::AttemptCancelled(..)) => {}
+                other => panic!("{other:?}"),
+            }
+        }
+    }
+
+    async fn attempt_error(&mut self) -> (u32, AttemptError) {
+        let (attempt, result) = self.attempt_end().await;
+        (attempt, result.expect_err("an attempt without a response"))
+    }
+
+    async fn expect_served(&mut self, attempt: u32) {
+        let (ended, result) = self.attempt_end().await;
+        assert_eq!((ended, result.map(|_| ())), (attempt, Ok(())));
+    }
+}
+
+/// The server's close has arrived, the runtime has not noticed, and an attempt is put to the connection: it
+/// was written, had to count as run, and one of a class that must not run twice failed.
+#[test]
+fn an_attempt_that_meets_an_idle_connection_just_closed_is_sent_on_another() {
+    local(async {
+        let (server, address) = Stepped::start().await;
+        let mut actor = ConnectionActor::start(&address, transport(), 9);
+        actor.send(0, "a", Vec::new());
+        let mut first = server.connection().await;
+        assert!(line(&mut first).await.starts_with("want a "));
+        first.write_all(b"a ACK - 0\r\n\r\n").await.expect("a reader");
+        actor.expect_served(0).await;
+        drop(first);
+        actor.send(1, "b", Vec::new());
+        let mut second = server.connection().await;
+        assert!(line(&mut second).await.starts_with("want b "));
+        second.write_all(b"b ACK - 0\r\n\r\n").await.expect("a reader");
+        actor.expect_served(1).await;
+    });
+}
+
+/// The command that cancels an attempt can find a mailbox full, or cross the attempt on its way from a
+/// connection that has ended to another: the request's token is checked right before the first byte.
+#[test]
+fn an_attempt_queued_behind_another_is_not_sent_once_cancelled_even_if_the_command_is_lost() {
+    for ended in [false, true] {
+        local(async {
+            let (server, address) = Stepped::start().await;
+            let mut actor = ConnectionActor::start(&address, transport(), 1);
+            actor.send(0, "a", vec![0; 64 << 20]);
+            let cancellation = actor.send(1, "b", Vec::new());
+            let mut first = server.connection().await;
+            first.read_exact(&mut [0; 100]).await.expect("its beginning");
+            cancellation.cancel(); // and no command to cancel it
+            if ended {
+                drop(first); // handed back to the actor, which would put it on another connection
+                assert_eq!(actor.attempt_error().await, (0, AttemptError::PartiallyWritten));
+            } else {
+                let mut all = vec![0; 1 << 20];
+                while first.read(&mut all).await.expect("more") > 0 {
+                    if let Ok(DispatcherMessage::AttemptWritten(attempt_id)) = actor.reports.try_recv() {
+                        assert_eq!(attempt_id.attempt, 0);
+                        break;
+                    }
+                }
+            }
+            assert_eq!(actor.attempt_error().await, (1, AttemptError::Cancelled));
+            assert!(!ended || !server.is_asked().await);
+        });
+    }
+}
+
+/// What the kernel has buffered and not sent can't be taken back: requests were sent after their clients had
+/// disconnected, once a server that had not read began to.
+#[test]
+fn an_attempt_queued_behind_another_is_not_written_to_the_socket_before_that_is_sent() {
+    local(async {
+        let socket = TcpSocket::new_v4().expect("a socket");
+        socket.set_recv_buffer_size(4096).expect("a socket");
+        socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+        let server = Stepped(socket.listen(8).expect("a listener"));
+        let address = server.0.local_addr().expect("an address").to_string();
+        let mut actor = ConnectionActor::start(&address, transport(), 1);
+        actor.send(0, "a", vec![b'x'; 300_000]);
+        let mut stream = server.connection().await;
+        sleep(Duration::from_millis(50)).await; // as much as the kernel takes
+        let cancellation = actor.send(1, "b", Vec::new());
+        sleep(Duration::from_millis(50)).await;
+        cancellation.cancel();
+        assert!(line(&mut stream).await.starts_with("want a "));
+        stream.write_all(b"a ACK - 0\r\n\r\n").await.expect("a reader");
+        let ends = [actor.attempt_end().await, actor.attempt_end().await];
+        assert!(ends.contains(&(1, Err(AttemptError::Cancelled))), "{ends:?}");
+    });
+}
+
+/// A connection that is established late delayed what established ones had capacity for.
+#[test]
+fn an_attempt_prefers_an_established_connection_to_one_being_established() {
+    local(async {
+        let (listener, address) = short_listener();
+        let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
+        let mut actor = ConnectionActor::start(&address, slow, 9);
+        (0..4).for_each(|n| drop(actor.send(n, &format!("a{n}"), Vec::new())));
+        let mut up = BufReader::new(listener.accept().await.expect("a connection").0);
+        for n in 0..4 {
+            assert!(line(&mut up).await.starts_with(&format!("want a{n} ")));
+        }
+        let _waiting = fill(&address).await;
+        actor.send(4, "late", Vec::new()); // one carries four at most before another is opened
+        tokio::task::yield_now().await;
+        for n in 0..3 {
+            up.write_all(format!("a{n} ACK - 0\r\n\r\n").as_bytes()).await.expect("a reader");
+            actor.expect_served(n).await;
+        }
+        // As many attempts are in flight on the one as on the other.
+        actor.send(5, "soon", Vec::new());
+        assert!(line(&mut up).await.starts_with("want soon "));
+    });
+}
+
+/// In the queue for a connection being established: cancelled by a command, or by the request's token alone,
+/// as on sites whose servers can't cancel.
+#[test]
+fn a_request_cancelled_before_its_connection_is_established_is_not_sent() {
+    for by_command in [true, false] {
+        local(async {
+            let (listener, address) = short_listener();
+            let waiting = fill(&address).await;
+            let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
+            let mut actor = ConnectionActor::start(&address, slow, 9);
+            let cancellation = actor.send(0, "a", Vec::new());
+            tokio::task::yield_now().await; // the connection is begun
+            cancellation.cancel();
+            if by_command {
+                let cancel = EndpointCommand::Cancel(AttemptId { request: 1, attempt: 0 });
+                actor.commands.try_send(cancel).expect("room");
+            }
+            actor.send(1, "b", Vec::new());
+            for _ in waiting.iter() {
+                listener.accept().await.expect("one of ours");
+            }
+            // The kernel retries after about a second.
+            let accepted = timeout(SOON, listener.accept()).await.expect("a connection in time");
+            let mut stream = BufReader::new(accepted.expect("the director's").0);
+            assert!(line(&mut stream).await.starts_with("want b "), "by command: {by_command}");
+            stream.write_all(b"b ACK - 0\r\n\r\n").await.expect("a reader");
+            if !by_command {
+                assert_eq!(actor.attempt_error().await, (0, AttemptError::Cancelled));
+            }
+            actor.expect_served(1).await;
+        });
+    }
+}
