--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -11,10 +11,10 @@
 use super::store::Store;
 use super::transport::Transport;
 use crate::config::operator::PeersSection;
-use crate::discovery::client::WatchEvent;
+use crate::discovery::WatchEvent;
 use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
-use crate::replication::entry::{Key, Kind, Value};
+use crate::replication::entry::{DrainCommand, Key, Kind, Value};
 use crate::replication::gossip::{GossipProtocol, Update};
 use crate::replication::state::{ClockReading, MergeError};
 use std::net::SocketAddr;
@@ -70,14 +70,14 @@
             replication: parts.replication,
             membership: Membership::new(parts.members, section.seeds, now),
             transport: parts.transport,
-            core: CoreFeed::new(parts.core, section.purges_kept.as_micros() as Micros),
+            core: CoreFeed::new(parts.core, section.purge_retention.as_micros() as Micros),
             persistence: Persistence::new(parts.store, now),
-            catch_up: CatchUp::new(section.careful, now),
+            catch_up: CatchUp::new(section.catch_up_timeout, now),
             clock: parts.clock,
             commands: parts.commands,
             notices: parts.notices,
         };
-        let stored = Kind::ALL.into_iter().flat_map(|kind| actor.replication.state.of(kind));
+        let stored = Kind::ALL.into_iter().flat_map(|kind| actor.replication.state.entries_of_kind(kind));
         let stored: Vec<Update> =
             stored.map(|(key, entry)| Update { key: key.clone(), value: entry.clone() }).collect();
         stored.into_iter().for_each(|update| actor.accept(update));
@@ -172,7 +172,8 @@
         let now = self.now();
         match command {
             ClusterCommand::Drain(name, on, reply) => {
-                let change = self.replication.state.drain(&name, on, now);
+                let drain = if on { DrainCommand::Drain } else { DrainCommand::Undrain };
+                let change = self.replication.state.set_drain(&name, drain, now);
                 self.finish_change(change, reply);
             }
             ClusterCommand::Purge(key, reply) => {
--- a/src/director/builder.rs
+++ b/src/director/builder.rs
@@ -4,10 +4,10 @@
 use crate::config::operator::LibrarySection;
 use crate::config::platform::PlatformConfig;
 use crate::config::settings::ConnectionSettings;
-use crate::discovery::{DiscoveryService, EndpointSource};
+use crate::discovery::{DiscoveryService, EndpointSource, WatchScope};
 use crate::dispatch::{self, Clock, Dispatcher, EndpointConnector, RunningDispatcher};
 use crate::policy::types::Settings;
-use crate::upstream::servers::UpstreamConnector;
+use crate::upstream::UpstreamConnector;
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -34,13 +34,13 @@
             sources: Vec::new(),
             connector: Box::new(UpstreamConnector::new(
                 ConnectionSettings::default(),
-                LibrarySection::default().descriptors,
+                LibrarySection::default().max_descriptors,
             )),
         }
     }
 
     pub(super) fn from_config(config: PlatformConfig) -> Self {
-        let connector = config.servers();
+        let connector = config.upstream_connector();
         let PlatformConfig { discovery_address, seed, settings, discovery_revision, initial_events, .. } =
             config;
         // The address stays: nobody else holds the sender.
@@ -49,7 +49,7 @@
             address,
             revision: discovery_revision,
             initial_events,
-            purges_only: false,
+            scope: WatchScope::MembersAndPurges,
             subscriber: None,
         })
     }
@@ -168,7 +168,7 @@
 ) -> Result<RunningDispatcher, StartError> {
     let mut initial = Vec::new();
     for source in &mut sources {
-        initial.extend(source.initial().map_err(|error| StartError::Source(error.to_string()))?);
+        initial.extend(source.initial()?);
     }
     let running = dispatch::start(settings, seed, clock, connector, initial)?;
     for source in sources {
--- a/src/director/error.rs
+++ b/src/director/error.rs
@@ -1,5 +1,7 @@
 //! Errors of a director's start, of requests and of calls, and the result of a shutdown.
 
+use crate::config::platform::PlatformConfigError;
+use crate::discovery::SourceError;
 use crate::policy::types::SettingsError;
 use std::time::Duration;
 
@@ -7,9 +9,9 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// A source of the endpoint list can't be used; the text says why.
-    #[error("{0}")]
-    Source(String),
+    /// A source of the endpoint list can't be used.
+    #[error(transparent)]
+    Source(#[from] SourceError),
     /// The settings can't be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -19,9 +21,9 @@
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum BuildError {
-    /// The configuration file can't be used; the text says why.
-    #[error("{0}")]
-    Config(String),
+    /// The configuration file can't be used.
+    #[error(transparent)]
+    Config(#[from] PlatformConfigError),
     /// The settings or a source can't be used.
     #[error(transparent)]
     Start(#[from] StartError),
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -96,7 +96,7 @@
 
     /// A director as the platform's configuration file describes it: settings, discovery service, seed and connections.
     pub fn from_file(path: impl AsRef<std::path::Path>) -> Result<Builder, BuildError> {
-        Ok(Builder::from_config(PlatformConfig::read(path.as_ref()).map_err(BuildError::Config)?))
+        Ok(Builder::from_config(PlatformConfig::read(path.as_ref())?))
     }
 
     pub(crate) fn new(core: Dispatcher, control: mpsc::UnboundedSender<Control>) -> Self {
--- a/src/director/request.rs
+++ b/src/director/request.rs
@@ -81,7 +81,7 @@
     /// The request as the dispatcher takes it, by the settings in force.
     pub(super) fn into_client_request(self, dispatcher: &Dispatcher) -> Result<ClientRequest, SendError> {
         let (settings, mut request) = (dispatcher.settings(), self.request);
-        let place = settings.class(&self.class).ok_or(SendError::UnknownClass(self.class))?;
+        let place = settings.class_index(&self.class).ok_or(SendError::UnknownClass(self.class))?;
         let class = &settings.classes[place];
         if !has_valid_names(&request) {
             return Err(SendError::BadName);
--- a/src/dispatch/actor/mod.rs
+++ b/src/dispatch/actor/mod.rs
@@ -220,7 +220,7 @@
             kinds: self.settings.kinds.clone(),
             parent_kind: self.settings.parent_kind,
             origin_kind: self.settings.origin_kind,
-            ..self.settings.renewed(later, in_use)
+            ..self.settings.updated_to(later, in_use)
         };
         self.counters.update_classes(&settings);
         self.settings.replace(settings.clone());
@@ -248,7 +248,7 @@
             requests: self.counters.by_class(&self.settings),
             attempts: self.counters.attempts_written,
             endpoints_known: self.endpoints.listed(),
-            endpoints_excluded: self.router.excluded(),
+            endpoints_excluded: self.router.excluded_endpoints(),
             tables: TableSizes {
                 pending_requests: self.requests.len(),
                 attempts_in_flight: self.attempts.len(),
--- a/src/middleware/director.rs
+++ b/src/middleware/director.rs
@@ -5,7 +5,7 @@
 use crate::config::operator::LibrarySection;
 use crate::director::Director;
 use crate::dispatch::Dispatcher;
-use crate::signed::{Counts, Grant};
+use crate::signed::{Grant, OutcomeCounters};
 use bytes::Bytes;
 use http::{Request, Response};
 use std::sync::Arc;
@@ -53,18 +53,18 @@
 
 impl DirectorService {
     /// A service that counts outcomes here, within the default limits.
-    pub fn new(handle: impl Into<DirectorHandle>, counts: Arc<Counts>) -> Self {
+    pub fn new(handle: impl Into<DirectorHandle>, counts: Arc<OutcomeCounters>) -> Self {
         Self::with(handle, counts, None, &LibrarySection::default())
     }
 
     /// The same by routes and within the limits of the operator's file.
     pub fn with(
         handle: impl Into<DirectorHandle>,
-        counts: Arc<Counts>,
+        counts: Arc<OutcomeCounters>,
         routes: Option<Routes>,
         limits: &LibrarySection,
     ) -> Self {
-        let slots = Arc::new(Semaphore::new(limits.open));
+        let slots = Arc::new(Semaphore::new(limits.max_open_requests));
         let budget = BodyBudget::new(limits.body_budget_kb * 1024);
         let handle = handle.into();
         let handler = RequestHandler { handle, counts, routes, budget, slots: slots.clone() };
@@ -108,7 +108,7 @@
     /// A layer for these routes, within the limits of the operator's file.
     pub fn new(
         handle: impl Into<DirectorHandle>,
-        counts: Arc<Counts>,
+        counts: Arc<OutcomeCounters>,
         routes: Routes,
         limits: &LibrarySection,
     ) -> Self {
--- a/src/middleware/handler.rs
+++ b/src/middleware/handler.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::{
     bare_tag, ClientHandle, ClientRequest, ClientResponse, FailureReason, PendingResponse, MAX_WRITE_BYTES,
 };
-use crate::signed::{self, Counts, Grant, InvalidRequest};
+use crate::signed::{self, Grant, InvalidRequest, OutcomeCounters};
 use bytes::Bytes;
 use http::header::{ALLOW, IF_NONE_MATCH};
 use http::{HeaderValue, Request, Response, Uri};
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(super) struct RequestHandler {
     pub(super) handle: DirectorHandle,
-    pub(super) counts: Arc<Counts>,
+    pub(super) counts: Arc<OutcomeCounters>,
     pub(super) routes: Option<Routes>,
     pub(super) budget: BodyBudget,
     pub(super) slots: Arc<Semaphore>,
@@ -60,7 +60,7 @@
         let (parts, body) = request.into_parts();
         let request = match self.client_request(&parts, target) {
             Ok(request) => request,
-            Err(invalid) => return self.bad_request(invalid.status, invalid.allow),
+            Err(invalid) => return self.bad_request(invalid.status, invalid.allowed_method),
         };
         let Ok(mut reservation) = self.budget.reserve(max_body_bytes(&body)) else {
             return self.overloaded();
@@ -80,7 +80,7 @@
         parts: &http::request::Parts,
         target: Option<String>,
     ) -> Result<ClientRequest, InvalidRequest> {
-        let target = target.ok_or(InvalidRequest { status: 404, allow: None })?;
+        let target = target.ok_or(InvalidRequest { status: 404, allowed_method: None })?;
         // Without the layer that checks credentials nothing expires.
         let expires_at = parts.extensions.get::<Grant>().and_then(|grant| grant.expires_at);
         let grant = Grant { target, expires_at };
@@ -104,7 +104,7 @@
     }
 
     fn bad_request<R: From<Bytes>>(&self, status: u16, allow: Option<&'static str>) -> Response<R> {
-        self.counts.add("bad_request");
+        self.counts.increment("bad_request");
         let mut response = empty_response(status);
         response.headers_mut().extend(allow.map(|methods| (ALLOW, HeaderValue::from_static(methods))));
         response
--- a/src/middleware/mod.rs
+++ b/src/middleware/mod.rs
@@ -29,7 +29,7 @@
 pub use routes::{Route, Routes, RoutesError};
 pub use signed::{SignedLayer, SignedService};
 
-use crate::signed::{Counts, HttpOutcome};
+use crate::signed::{HttpOutcome, OutcomeCounters};
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE, ETAG, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
@@ -52,8 +52,8 @@
 }
 
 /// Counts an outcome and puts it into a response.
-fn to_response<R: From<Bytes>>(counts: &Counts, outcome: HttpOutcome) -> Response<R> {
-    counts.add(outcome.outcome);
+fn to_response<R: From<Bytes>>(counts: &OutcomeCounters, outcome: HttpOutcome) -> Response<R> {
+    counts.increment(outcome.outcome);
     let mut response = empty_response(outcome.status);
     let headers = response.headers_mut();
     let text = |value: &str| HeaderValue::from_str(value).ok();
--- a/tests/library.rs
+++ b/tests/library.rs
@@ -164,7 +164,7 @@
         let mut later = settings();
         later.classes[0].name = "pages".into();
         director.reload(later).await.expect("a director");
-        wait_until("they are in force", async || director.settings().class("pages").is_some()).await;
+        wait_until("they are in force", async || director.settings().class_index("pages").is_some()).await;
         assert!(matches!(
             director.send(CacheRequest::new("pages", "a")).await,
             Ok(ClientResponse::Served(_))
--- a/tests/library/cancellation.rs
+++ b/tests/library/cancellation.rs
@@ -75,7 +75,7 @@
     local(async {
         let server = Server::start(Manner::Silent).await;
         let (reports, mut inbox) = tokio::sync::mpsc::channel(16);
-        let mut connector = foxhold::upstream::servers::UpstreamConnector::new(standin::transport(), 4);
+        let mut connector = foxhold::upstream::UpstreamConnector::new(standin::transport(), 4);
         let commands = connector.connect(
             ServerId(1),
             &server.listing("s", "edge", "cache"),
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -8,7 +8,7 @@
 mod upstream;
 
 use foxhold::dispatch::{AttemptId, Clock, Dispatcher, DispatcherMessage};
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
 use standin::*;
 use std::cell::Cell;
@@ -38,7 +38,7 @@
         shutdown,
         requests_in_flight: Rc::new(Cell::new(0)),
     };
-    tokio::task::spawn_local(serve::accept(listener, context, Platform(dispatcher.clone())));
+    tokio::task::spawn_local(serve::accept(listener, context, PlatformFrontend(dispatcher.clone())));
     TestFrontend { address, close, slots }
 }
 
@@ -179,13 +179,13 @@
     let frontend = frontend(dispatcher, 0).await;
     let connect = |_| std::net::TcpStream::connect(&frontend.address).expect("a frontend");
     let mut occupied: Vec<_> = (0..2).map(connect).collect();
-    while frontend.slots.waiting() < 2 {
+    while frontend.slots.waiting_connections() < 2 {
         tokio::task::yield_now().await;
     }
     for connection in &mut occupied {
         connection.write_all(b"GET ").expect("a reader");
     }
-    while frontend.slots.waiting() > 0 {
+    while frontend.slots.waiting_connections() > 0 {
         tokio::task::yield_now().await;
     }
     (frontend, occupied)
@@ -247,11 +247,11 @@
         for n in 0..8 {
             let frontend = frontend(&dispatcher, 1).await;
             let mut first = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
-            while frontend.slots.waiting() == 0 {
+            while frontend.slots.waiting_connections() == 0 {
                 tokio::task::yield_now().await;
             }
             first.write_all(get(n).as_bytes()).expect("a reader");
-            frontend.slots.make_room();
+            frontend.slots.close_one_waiting();
             let mut client = first.try_clone().expect("a socket");
             let response = tokio::task::spawn_blocking(move || {
                 client.set_read_timeout(Some(SOON)).expect("a socket");
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -7,7 +7,7 @@
     EndpointCommand, EndpointConnector,
 };
 use foxhold::policy::types::ServerId;
-use foxhold::upstream::servers::UpstreamConnector;
+use foxhold::upstream::UpstreamConnector;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpSocket;
