--- a/tests/director.rs
+++ b/tests/director.rs
@@ -1,4 +1,4 @@
-//! The platform's front on loopback, from a client to stand-in servers and back.
+//! The platform's frontend on loopback, from a client to emulated servers and back.
 
 mod standin;
 
@@ -20,8 +20,8 @@
 
 async fn site(manner: Manner) -> Site {
     let ([cache, parent, origin], members) = trio(manner).await;
-    let core = start(settings(), Clock::system(), members);
-    let address = serve(&core, PlatformFrontend(core.clone())).await;
+    let dispatcher = start(settings(), Clock::system(), members);
+    let address = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
     Site { cache, parent, origin, address }
 }
 
@@ -40,15 +40,15 @@
     )
 }
 
-const COPY: Manner = Manner::Says("ID ACK tag=4be0c1927d55a6f3,minted=1,res=cached 5\r\nbytes\r\n");
+const SERVED: Manner = Manner::Says("ID ACK tag=4be0c1927d55a6f3,minted=1,res=cached 5\r\nbytes\r\n");
 
 #[test]
-fn a_hit_passes_id_class_object_part_and_bytes_unchanged() {
+fn a_hit_forwards_id_class_object_part_and_bytes_unchanged() {
     local(async {
-        let site = site(COPY).await;
-        let answer = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
-        assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes"[..]));
-        assert_eq!(answer.header("etag"), Some("\"4be0c1927d55a6f3\""));
+        let site = site(SERVED).await;
+        let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
+        assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
+        assert_eq!(response.header("etag"), Some("\"4be0c1927d55a6f3\""));
         let wants = site.cache.wants();
         assert_eq!(wants.len(), 1);
         let fields = "want 9b1f03aa5c7e2d41 kind=videos,obj=7f3a9c21e0b4d655,seg=3,ms=";
@@ -59,29 +59,29 @@
 }
 
 #[test]
-fn a_clients_copy_that_holds_is_a_304_without_a_body() {
+fn a_current_copy_of_the_clients_is_a_304_without_a_body() {
     local(async {
         let site = site(Manner::Says("ID NOMOD tag=aa,res=cached 0\r\n\r\n")).await;
-        let answer = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
-        assert_eq!((answer.status, answer.body.len()), (304, 0));
-        assert_eq!(answer.header("etag"), Some("\"aa\""));
+        let response = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
+        assert_eq!((response.status, response.body.len()), (304, 0));
+        assert_eq!(response.header("etag"), Some("\"aa\""));
         assert!(site.cache.wants()[0].contains(",known=aa "), "{:?}", site.cache.wants());
     });
 }
 
-/// What servers know a repeat by is the client's word: without it a class whose repeats they throw away can't
-/// be served.
+/// The key by which servers recognize a retry is the client's: without it a class whose retries they discard
+/// can't be served.
 #[test]
-fn a_clients_token_is_passed_on_unchanged_and_none_is_made_up() {
+fn a_clients_idempotency_key_is_forwarded_unchanged_and_none_is_made_up() {
     local(async {
-        let site = site(COPY).await;
+        let site = site(SERVED).await;
         let put = |token: &str| put("x").replace("Content-Length", &format!("{token}Content-Length"));
         assert_eq!(send(&site.address, &put("X-Unique: k-17f\r\n")).await.status, 200);
         assert_eq!(send(&site.address, &put("")).await.status, 200);
         let wants = site.origin.wants();
         assert!(wants[0].contains(",token=k-17f "), "{wants:?}");
         assert!(!wants[1].contains("token"), "{wants:?}");
-        // One that no server can read, or of which there are two, would cost the connection or say nothing.
+        // One that no server can read, or two of them, would cost the connection or be ambiguous.
         for bad in ["X-Unique: a,b=c\r\n", "X-Unique: a\r\nX-Unique: b\r\n", "X-Unique:\r\n"] {
             assert_eq!(send(&site.address, &put(bad)).await.status, 400, "{bad}");
         }
@@ -90,58 +90,58 @@
 }
 
 #[test]
-fn a_refusal_is_given_at_once_and_says_when_to_come_back() {
+fn a_rejection_is_immediate_and_advises_when_to_come_back() {
     local(async {
         let site = site(Manner::Says("ID AGAIN - 0\r\n\r\n")).await;
-        let begun = Instant::now();
-        let answer = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
-        assert_eq!(answer.status, 503);
-        let wait: u64 = answer.header("x-wait-ms").expect("advice").parse().expect("a number");
+        let started = Instant::now();
+        let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
+        assert_eq!(response.status, 503);
+        let wait: u64 = response.header("x-wait-ms").expect("advice").parse().expect("a number");
         assert!((400..=1000).contains(&wait), "{wait}");
-        assert!(begun.elapsed() < Duration::from_millis(700), "held back: {:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_millis(700), "held back: {:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_write_that_may_have_run_is_sent_once_and_not_called_harmless() {
+fn a_write_that_may_have_run_is_sent_once_and_not_called_safe_to_retry() {
     for manner in [Manner::Closes, Manner::BreaksOff, Manner::Silent, Manner::Says("ID EIO - 0\r\n\r\n")] {
         local(async {
             let site = site(manner.clone()).await;
-            let answer = send(&site.address, &put("a filing")).await;
+            let response = send(&site.address, &put("a filing")).await;
             let sent = site.cache.wants().len() + site.parent.wants().len() + site.origin.wants().len();
             assert_eq!(sent, 1, "{manner:?}");
-            assert!(matches!(answer.status, 502 | 504), "{manner:?}: {answer:?}");
+            assert!(matches!(response.status, 502 | 504), "{manner:?}: {response:?}");
         });
     }
 }
 
 #[test]
-fn a_write_that_surely_did_not_run_is_refused_and_may_come_again() {
+fn a_write_that_certainly_did_not_run_is_rejected_and_can_be_retried() {
     local(async {
         let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = gone.local_addr().expect("an address").to_string();
         drop(gone); // nobody listens there any more
         let members = vec![listing("s-origin", &address, "hub", "origin")];
-        let core = start(settings(), Clock::system(), members);
-        let address = serve(&core, PlatformFrontend(core.clone())).await;
+        let dispatcher = start(settings(), Clock::system(), members);
+        let address = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         assert_eq!(send(&address, &put("a filing")).await.status, 503);
     });
 }
 
 #[test]
-fn a_read_that_broke_off_is_asked_for_elsewhere_and_never_half_served() {
+fn an_interrupted_read_is_retried_elsewhere_and_never_partially_served() {
     for manner in [Manner::Closes, Manner::BreaksOff] {
         local(async {
-            let site = site(COPY).await;
+            let site = site(SERVED).await;
             *site.cache.manner.borrow_mut() = manner;
-            let answer = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
-            assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes"[..]));
+            let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
+            assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
         });
     }
 }
 
 #[test]
-fn a_client_that_leaves_has_its_attempt_given_up() {
+fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     local(async {
         let site = site(Manner::Silent).await;
         let mut stream = TcpStream::connect(&site.address).await.expect("a listener");
@@ -150,17 +150,17 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         drop(stream);
-        let given_up = || site.cache.lines.borrow().iter().any(|l| l == "never_mind 9b1f03aa5c7e2d41");
-        while !given_up() {
+        let is_cancelled = || site.cache.lines.borrow().iter().any(|l| l == "never_mind 9b1f03aa5c7e2d41");
+        while !is_cancelled() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     });
 }
 
 #[test]
-fn what_can_t_be_read_is_answered_and_the_connection_ends() {
+fn a_malformed_request_is_answered_and_its_connection_closed() {
     local(async {
-        let site = site(COPY).await;
+        let site = site(SERVED).await;
         let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000));
         let cases = [
             ("GET\r\n\r\n", 400),
@@ -182,9 +182,9 @@
 }
 
 #[test]
-fn a_connection_carries_one_request_after_another_also_when_they_come_together() {
+fn a_connection_carries_one_request_after_another_even_when_pipelined() {
     local(async {
-        let site = site(COPY).await;
+        let site = site(SERVED).await;
         let mut stream = TcpStream::connect(&site.address).await.expect("a listener");
         let both = get("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "").repeat(2);
         stream.write_all(both.as_bytes()).await.expect("a reader");
@@ -196,43 +196,46 @@
 }
 
 #[test]
-fn a_bad_answer_ends_its_connection_and_only_that() {
+fn a_malformed_response_ends_its_connection_and_only_that() {
     local(async {
-        let site = site(COPY).await;
+        let site = site(SERVED).await;
         *site.cache.manner.borrow_mut() = Manner::Says("ID WHAT - 0\r\n\r\n");
         assert_eq!(send(&site.address, &get("7f3a9c21e0b4d655", "")).await.status, 200, "served elsewhere");
-        *site.cache.manner.borrow_mut() = COPY;
+        *site.cache.manner.borrow_mut() = SERVED;
         assert_ne!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
     });
 }
 
 #[test]
-fn when_the_program_is_to_end_a_request_that_has_begun_is_still_answered() {
+fn a_request_that_has_begun_is_still_answered_during_shutdown() {
     local(async {
-        let cache = Server::start(COPY).await;
-        let core = start(settings(), Clock::system(), vec![cache.listing("s-cache", "edge", "cache")]);
+        let cache = Server::start(SERVED).await;
+        let dispatcher = start(settings(), Clock::system(), vec![cache.listing("s-cache", "edge", "cache")]);
         let (close, closing) = tokio::sync::watch::channel(ShutdownPhase::Running);
-        let address = serve_until(&core, PlatformFrontend(core.clone()), closing).await;
+        let address = serve_until(&dispatcher, PlatformFrontend(dispatcher.clone()), closing).await;
         let request = get("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "");
         let mut idle = TcpStream::connect(&address).await.expect("a listener");
         let mut begun = TcpStream::connect(&address).await.expect("a listener");
         begun.write_all(&request.as_bytes()[..20]).await.expect("a reader");
-        tokio::time::sleep(Duration::from_millis(50)).await; // so that it has come
+        tokio::time::sleep(Duration::from_millis(50)).await; // so that it has arrived
         close.send(ShutdownPhase::CloseIdle).expect("a front");
         assert_eq!(idle.read(&mut [0]).await.expect("an end"), 0, "idle connections end");
         begun.write_all(&request.as_bytes()[20..]).await.expect("a reader");
-        let mut answer = String::new();
-        begun.read_to_string(&mut answer).await.expect("an answer and the end");
-        assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains("Connection: close"), "{answer}");
+        let mut response = String::new();
+        begun.read_to_string(&mut response).await.expect("a response and the end");
+        assert!(
+            response.starts_with("HTTP/1.1 200 ") && response.contains("Connection: close"),
+            "{response}"
+        );
     });
 }
 
-/// Guards against connections that say nothing holding all places, while those who ask wait to be accepted.
+/// Guards against silent connections occupying all slots, while clients with requests wait to be accepted.
 #[test]
-fn silent_connections_make_room_for_those_who_ask_and_are_closed_in_time() {
+fn silent_connections_are_evicted_for_clients_with_requests_and_closed_in_time() {
     local(async {
-        let site = site(COPY).await;
-        let begun = Instant::now();
+        let site = site(SERVED).await;
+        let started = Instant::now();
         let mut silent = Vec::new();
         for n in 0..300 {
             silent.push(TcpStream::connect(&site.address).await.expect("a listener"));
@@ -242,7 +245,7 @@
                 assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
             }
         }
-        // Some ask once and stay: they make room as well.
+        // Some send one request and stay: they are evicted as well.
         for n in 0..300 {
             let mut stays = TcpStream::connect(&site.address).await.expect("a listener");
             let request = get(&format!("{n:016x}"), "").replace("Connection: close\r\n", "");
@@ -253,15 +256,15 @@
         for mut stream in silent.into_iter().take(300) {
             let _ = stream.read(&mut [0; 1]).await; // closed or reset
         }
-        assert!(begun.elapsed() < Duration::from_secs(3), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
     });
 }
 
 /// Guards against a message that never ends, and against one that hides another in its body.
 #[test]
-fn what_has_no_clear_end_is_refused_and_the_connection_closed() {
+fn a_request_without_a_clear_end_is_rejected_and_its_connection_closed() {
     local(async {
-        let site = site(COPY).await;
+        let site = site(SERVED).await;
         let hidden = get("7f3a9c21e0b4d655", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n");
         let hidden = hidden.replace("Connection: close\r\n", "") + "0\r\n\r\n" + &get("aa", "");
         let two = get("7f3a9c21e0b4d655", "Content-Length: 1\r\nContent-Length: 2\r\n");
@@ -270,18 +273,18 @@
         for (request, status) in [(hidden, 400), (two, 400), (large, 413), (endless, 431)] {
             assert_eq!(send(&site.address, &request).await.status, status, "{request}");
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         assert_eq!(send(&site.address, "GET /ops/videos/aa HTTP/1.1\r\nX-Job").await.status, 408);
-        assert!(begun.elapsed() < Duration::from_millis(2500), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_millis(2500), "{:?}", started.elapsed());
         assert!(site.cache.wants().is_empty());
     });
 }
 
-/// Guards against passing on what a server can't use or read, which would cost an attempt or a connection.
+/// Guards against forwarding what a server can't use or read, which would cost an attempt or a connection.
 #[test]
-fn figures_that_can_t_be_are_refused_and_no_server_hears_of_them() {
+fn invalid_values_are_rejected_and_not_forwarded() {
     local(async {
-        let site = site(COPY).await;
+        let site = site(SERVED).await;
         let good = get("7f3a9c21e0b4d655", "X-Ram-Kb: 12.5\r\n");
         for (from, to) in [
             ("X-Allow-Ms: 1000", "X-Allow-Ms: NaN"),
@@ -306,9 +309,9 @@
     });
 }
 
-/// Guards the first of two requests with one id: it is answered as if the second had never come.
+/// Guards the first of two requests with one id: it is answered as if the second had never arrived.
 #[test]
-fn the_id_of_an_open_request_is_turned_down_and_the_first_goes_on() {
+fn a_duplicate_of_a_pending_request_is_rejected_and_the_first_goes_on() {
     local(async {
         let site = site(Manner::Says("")).await;
         let address = site.address.clone();
@@ -319,39 +322,40 @@
         }
         assert_eq!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
         assert_eq!(first.await.expect("an answer").status, 503);
-        *site.cache.manner.borrow_mut() = COPY;
+        *site.cache.manner.borrow_mut() = SERVED;
         assert_ne!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
     });
 }
 
-/// Unchanged may only be said of the copy that the client has and a cache has named.
+/// Only the copy that the client has and a cache has named may be called not modified.
 #[test]
-fn an_answer_that_calls_another_copy_or_none_unchanged_is_spoilt() {
+fn a_not_modified_response_for_another_copy_or_none_is_corrupt() {
     for says in ["ID NOMOD tag=bb,res=cached 0\r\n\r\n", "ID NOMOD res=cached 0\r\n\r\n"] {
         local(async {
             let site = site(Manner::Says(says)).await;
-            let answer = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
-            assert!(![200, 304].contains(&answer.status), "{answer:?}");
+            let response = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
+            assert!(![200, 304].contains(&response.status), "{response:?}");
         });
     }
 }
 
-/// Other sites heed less advice, or none.
+/// Clients of other sites follow a shorter Retry-After, or none.
 #[test]
-fn what_a_full_front_advises_is_no_more_than_clients_heed() {
+fn the_retry_after_of_a_frontend_at_capacity_is_no_longer_than_clients_follow() {
     local(async {
-        let ([_cache, ..], members) = trio(COPY).await;
-        for (retry_advice, most, told) in [(true, 300_000, Some("300")), (false, 300_000, None)] {
-            let settings = Settings { retry_after: retry_advice, max_retry_after: most, ..settings() };
-            let core = start(settings, Clock::system(), members.clone());
+        let ([_cache, ..], members) = trio(SERVED).await;
+        for (gives_advice, max_retry_after, advised) in [(true, 300_000, Some("300")), (false, 300_000, None)]
+        {
+            let settings = Settings { retry_after: gives_advice, max_retry_after, ..settings() };
+            let dispatcher = start(settings, Clock::system(), members.clone());
             let wait = Some(Duration::from_millis(500));
-            let refused = PlatformFrontend(core).to_response(ClientResponse::Rejected {
+            let rejected = PlatformFrontend(dispatcher).to_response(ClientResponse::Rejected {
                 retry_after: wait,
                 reason: FailureReason::Overloaded,
             });
-            let head = refused.encode_head(true);
+            let head = rejected.encode_head(true);
             let advice = head.lines().find_map(|l| l.strip_prefix("X-Wait-Ms: "));
-            assert_eq!(advice, told, "{head}");
+            assert_eq!(advice, advised, "{head}");
         }
     });
 }
