--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -1,7 +1,7 @@
 //! The actor: one task that waits for datagrams, commands, events of the discovery source and timers.
 
 use super::catch_up::{stage_name, CatchUpMonitor};
-use super::core_feed::CoreFeed;
+use super::dispatcher_feed::DispatcherFeed;
 use super::frame::MAX_DATAGRAM_BYTES;
 use super::handle::{ChangeEffect, ChangeReply, ClusterCommand};
 use super::members::Members;
@@ -39,8 +39,8 @@
     pub(super) transport: Transport,
     /// The writer to the disk, if the state is stored.
     pub(super) store: Option<Store>,
-    /// Where messages to the core are sent.
-    pub(super) core: DispatcherSender,
+    /// Where messages to the dispatcher are sent.
+    pub(super) dispatcher: DispatcherSender,
     /// The clock.
     pub(super) clock: Clock,
     /// Commands from this process.
@@ -54,7 +54,7 @@
     pub(super) replication: GossipProtocol<SocketAddr>,
     pub(super) membership: Membership,
     pub(super) transport: Transport,
-    pub(super) core: CoreFeed,
+    pub(super) dispatcher_feed: DispatcherFeed,
     pub(super) persistence: Persistence,
     catch_up: CatchUpMonitor,
     clock: Clock,
@@ -70,7 +70,7 @@
             replication: parts.replication,
             membership: Membership::new(parts.members, section.seeds, now),
             transport: parts.transport,
-            core: CoreFeed::new(parts.core, section.purges_kept.as_micros() as Micros),
+            dispatcher_feed: DispatcherFeed::new(parts.dispatcher, section.purges_kept.as_micros() as Micros),
             persistence: Persistence::new(parts.store, now),
             catch_up: CatchUpMonitor::new(section.careful, now),
             clock: parts.clock,
@@ -90,7 +90,7 @@
 
     /// Runs until the last handle is dropped, or until the command to leave.
     pub async fn run(mut self) {
-        self.catch_up.begin(&self.core, self.clock.unix()).await;
+        self.catch_up.begin(&self.dispatcher_feed, self.clock.unix()).await;
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
@@ -132,8 +132,8 @@
         self.tick_replication(now);
         self.tick_membership(at);
         let (stage, entries) = (self.replication.stage(), self.replication.state.len());
-        self.catch_up.update(stage, entries, &self.core, at).await;
-        self.core.flush(&self.replication.state, at);
+        self.catch_up.update(stage, entries, &self.dispatcher_feed, at).await;
+        self.dispatcher_feed.flush(&self.replication.state, at);
         self.persistence.write_if_due(&self.replication.state, at, self.clock.unix());
     }
 
@@ -145,23 +145,23 @@
         let _ = done.send(()); // the sender may have gone
     }
 
-    /// Takes over an entry that is new to this director, to be written and delivered to the core.
+    /// Takes over an entry that is new to this director, to be written and delivered to the dispatcher.
     pub(super) fn accept(&mut self, update: Update) {
         self.persistence.mark(&update.key);
-        self.core.accept(update, &self.replication.state);
+        self.dispatcher_feed.accept(update, &self.replication.state);
     }
 
     /// Applies an event of the discovery source and spreads what changed by it.
     fn apply_watch_event(&mut self, event: &WatchEvent) {
         let now = self.now();
         for (key, entry) in source::apply(&mut self.replication.state, event, now) {
-            // The core has it from the source itself, except for how long a purge is kept here.
+            // The dispatcher has it from the source itself, except for how long a purge is kept here.
             if key.kind() == Kind::Purges {
-                self.core.push(Update { key: key.clone(), value: entry.clone() });
+                self.dispatcher_feed.push(Update { key: key.clone(), value: entry.clone() });
             }
             self.persistence.mark(&key);
             if let Key::Endpoint(name) = &key {
-                self.core.recheck_drain(name, &self.replication.state);
+                self.dispatcher_feed.recheck_drain(name, &self.replication.state);
             }
             self.replication.publish(Some((key, entry)));
         }
@@ -200,6 +200,6 @@
         }
         self.replication.publish(change);
         self.tick_replication(self.now());
-        self.core.flush(&self.replication.state, Instant::now());
+        self.dispatcher_feed.flush(&self.replication.state, Instant::now());
     }
 }
--- a/src/cluster/catch_up.rs
+++ b/src/cluster/catch_up.rs
@@ -1,6 +1,6 @@
 //! Follows how far this director has caught up, and keeps it from serving old copies until then.
 
-use super::core_feed::CoreFeed;
+use super::dispatcher_feed::DispatcherFeed;
 use super::LOG_TARGET;
 use crate::policy::types::Micros;
 use crate::replication::gossip::Stage;
@@ -24,24 +24,30 @@
     }
 
     /// Begins the careful mode: no copy older than this director's start is served.
-    pub(super) async fn begin(&self, core: &CoreFeed, unix: Micros) {
+    pub(super) async fn begin(&self, dispatcher: &DispatcherFeed, unix: Micros) {
         if let Some(limit) = self.max_careful {
-            core.not_before(Some(unix)).await;
+            dispatcher.not_before(Some(unix)).await;
             let max_ms = limit.as_millis() as u64;
             tracing::info!(target: LOG_TARGET, max_ms, "careful mode begins: no older copies are served");
         }
     }
 
     /// Logs a change of the stage, and ends the careful mode once there is no more need for it.
-    pub(super) async fn update(&mut self, stage: Stage, entries: usize, core: &CoreFeed, now: Instant) {
+    pub(super) async fn update(
+        &mut self,
+        stage: Stage,
+        entries: usize,
+        dispatcher: &DispatcherFeed,
+        now: Instant,
+    ) {
         if stage != std::mem::replace(&mut self.stage, stage) {
             log_stage(stage, entries);
         }
         let ends = self.careful_until.is_some_and(|until| until <= now || stage != Stage::CatchingUp);
-        // The core's mailbox keeps the order: it is to have what was received before the mode ends.
-        if ends && core.is_empty() {
+        // The dispatcher's mailbox keeps the order: it is to have what was received before the mode ends.
+        if ends && dispatcher.is_empty() {
             self.careful_until = None;
-            core.not_before(None).await;
+            dispatcher.not_before(None).await;
             tracing::info!(target: LOG_TARGET, "careful mode ended: all copies are served");
         }
     }
--- a/src/cluster/gossip.rs
+++ b/src/cluster/gossip.rs
@@ -60,7 +60,7 @@
         let updates = self.replication.take_updates();
         if !updates.is_empty() {
             updates.into_iter().for_each(|update| self.accept(update));
-            self.core.flush(&self.replication.state, Instant::now());
+            self.dispatcher_feed.flush(&self.replication.state, Instant::now());
         }
     }
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -2,10 +2,10 @@
 //! by datagrams, and stores it on a disk where the operator names a folder. Off unless the operator's file
 //! has a section `peers`.
 //!
-//! It runs beside the core, and requests wait for none of it: events reach it through a queue that drops what
-//! it has no room for, and updates are delivered to the core when that has room. It has one socket, and one
-//! thread, which writes to the disk. The protocols themselves, without I/O, are in [`crate::replication`] and
-//! [`members`].
+//! It runs beside the dispatcher, and requests wait for none of it: events reach it through a queue that
+//! drops what it has no room for, and updates are delivered to the dispatcher when that has room. It has one
+//! socket, and one thread, which writes to the disk. The protocols themselves, without I/O, are in
+//! [`crate::replication`] and [`members`].
 //!
 //! | module | holds |
 //! | --- | --- |
@@ -15,7 +15,7 @@
 //! | `handle` | commands to the actor |
 //! | `membership`, [`members`], `membership_change`, `duplicates` | announcements, protocol, log, names |
 //! | `transport`, [`frame`], `key_file` | the socket, authenticated framing, and the file of its keys |
-//! | `core_feed`, `drain_feed` | delivery of updates and drains to the core |
+//! | `dispatcher_feed`, `drain_feed` | delivery of updates and drains to the dispatcher |
 //! | `catch_up` | the stage of catching up, and the careful mode until then |
 //! | `persistence`, [`store`] | when entries are written, and the writer |
 //! | `source` | events of the local discovery source |
@@ -24,7 +24,7 @@
 mod actor;
 pub mod admin;
 mod catch_up;
-mod core_feed;
+mod dispatcher_feed;
 mod drain_feed;
 mod duplicates;
 pub mod frame;
--- a/src/cluster/persistence.rs
+++ b/src/cluster/persistence.rs
@@ -11,9 +11,9 @@
 
 /// Changes are written this often.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
-/// After a failed write the whole state is written anew, this often until it succeeds: the actor does nothing
-/// else while it encodes all entries.
-const WHOLE_WRITE_RETRY: Duration = Duration::from_secs(5);
+/// After a failed write all entries are written, this often until it succeeds: the actor does nothing else
+/// while it encodes them.
+const FULL_WRITE_INTERVAL: Duration = Duration::from_secs(5);
 /// Without a change the time of the last write is renewed this often.
 const TIMESTAMP_INTERVAL: Duration = Duration::from_secs(5);
 /// How long the last writes are waited for when the director ends.
@@ -24,8 +24,8 @@
     store: Option<Store>,
     dirty: BTreeSet<Key>,
     next_write: Instant,
-    /// When the whole state may be written next, where a write has failed.
-    next_whole_write: Instant,
+    /// When all entries may be written next, where a write has failed.
+    next_full_write: Instant,
     last_write: Instant,
 }
 
@@ -33,7 +33,7 @@
     /// With nothing to write. Without a store the state is kept in memory only.
     pub(super) fn new(store: Option<Store>, now: Instant) -> Persistence {
         let dirty = BTreeSet::new();
-        Persistence { store, dirty, next_write: now, next_whole_write: now, last_write: now }
+        Persistence { store, dirty, next_write: now, next_full_write: now, last_write: now }
     }
 
     /// Marks an entry as changed.
@@ -46,7 +46,7 @@
     /// Writes if it is time to.
     pub(super) fn write_if_due(&mut self, state: &ReplicatedState, now: Instant, unix: Micros) {
         let is_due = now >= self.next_write;
-        if is_due && !(self.is_incomplete() && now < self.next_whole_write) {
+        if is_due && !(self.is_incomplete() && now < self.next_full_write) {
             self.write(state, now, unix);
         }
     }
@@ -71,7 +71,7 @@
                 keys.into_iter().map(|key| (key.clone(), state.get(&key).cloned())).collect()
             }
             BatchScope::AllEntries => {
-                self.next_whole_write = now + WHOLE_WRITE_RETRY;
+                self.next_full_write = now + FULL_WRITE_INTERVAL;
                 let all = Kind::ALL.into_iter().flat_map(|kind| state.entries_of_kind(kind));
                 all.map(|(key, value)| (key.clone(), Some(value.clone()))).collect()
             }
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -1,4 +1,7 @@
 //! Answers to operators' questions: the status with its metrics, and the list of entries.
+//!
+//! The names of metrics are those that operators' scripts read; they meet the program's own names here and in
+//! [`super::status`].
 
 use super::actor::Actor;
 use super::catch_up::stage_name;
@@ -16,7 +19,7 @@
             .state
             .entries_of_kind(kind)
             .into_iter()
-            .map(|(key, entry)| line(key, entry))
+            .map(|(key, entry)| entry_line(key, entry))
             .collect()
     }
 
@@ -41,10 +44,10 @@
     }
 
     fn peers(&self, now: ClockReading) -> Vec<PeerStatus> {
-        let ms_since = |at: Micros| now.monotonic.saturating_sub(at) / 1_000;
+        let millis_since = |at: Micros| now.monotonic.saturating_sub(at) / 1_000;
         let peer = |member: Member| PeerStatus {
-            last_received_ms: self.membership.last_received(&member).map(ms_since),
-            last_in_sync_ms: self.replication.last_in_sync(&member.address).map(ms_since),
+            last_received_ms: self.membership.last_received(&member).map(millis_since),
+            last_in_sync_ms: self.replication.last_in_sync(&member.address).map(millis_since),
             name: member.name,
             address: member.address.to_string(),
         };
@@ -85,7 +88,7 @@
     }
 }
 
-fn line(key: &Key, entry: &Value) -> String {
+fn entry_line(key: &Key, entry: &Value) -> String {
     match entry {
         Value::Purged(at) => format!("{key} purged at {}.{:06}", at / 1_000_000, at % 1_000_000),
         Value::Drain(drain) => {
@@ -93,10 +96,10 @@
             let count = drain.drains_by_incarnation.len() + drain.undrains_by_incarnation.len();
             format!("{key} {verb}, process of {}, {count} words", drain.started_at)
         }
-        Value::Endpoint(rev, place) => match place.to_endpoint("").state {
-            MemberState::Running => format!("{key} in service at {}, event {rev}", place.address),
-            MemberState::Draining => format!("{key} terminating at {}, event {rev}", place.address),
-            MemberState::Gone => format!("{key} terminated, event {rev}"),
+        Value::Endpoint(revision, record) => match MemberState::from(record.state) {
+            MemberState::Running => format!("{key} in service at {}, event {revision}", record.address),
+            MemberState::Draining => format!("{key} terminating at {}, event {revision}", record.address),
+            MemberState::Gone => format!("{key} terminated, event {revision}"),
         },
     }
 }
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -63,7 +63,7 @@
 /// configuration holds; `watch_events`: its further ones.
 pub async fn open(
     section: PeersSection,
-    core: DispatcherSender,
+    dispatcher: DispatcherSender,
     clock: Clock,
     initial_events: &[WatchEvent],
     watch_events: mpsc::Receiver<WatchEvent>,
@@ -85,7 +85,7 @@
         members: Members::new(own, section.about, incarnation),
         transport: Transport::new(socket, codec, section.advertise, incarnation),
         store,
-        core,
+        dispatcher,
         clock,
         commands,
         watch_events,
--- a/src/replication/entry/drain_record.rs
+++ b/src/replication/entry/drain_record.rs
@@ -40,6 +40,15 @@
             .any(|(incarnation, number)| self.undrains_by_incarnation.get(incarnation) < Some(number))
     }
 
+    /// The command that is in force.
+    pub fn command(&self) -> DrainCommand {
+        if self.is_draining() {
+            DrainCommand::Drain
+        } else {
+            DrainCommand::Undrain
+        }
+    }
+
     /// The record after a command at a director, for the process that was started then.
     pub fn with_command(
         &self,
