--- a/tests/peers_status.rs
+++ b/tests/cluster_status.rs
@@ -4,7 +4,7 @@
 use foxhold::cluster::{PeerStatus, Status};
 
 #[test]
-fn the_status_keeps_the_names_of_its_json() {
+fn status_json_keeps_its_names() {
     let peer = PeerStatus {
         name: "b".into(),
         address: "127.0.0.1:2".into(),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn rejected_entries_are_counted_under_the_same_names() {
+fn rejected_entries_keep_their_names_in_metrics() {
     use foxhold::replication::state::MergeError;
     let causes = [MergeError::Malformed, MergeError::Expired, MergeError::FromFuture, MergeError::NoCapacity];
     assert_eq!(causes.map(MergeError::name), ["form", "old", "ahead", "full"]);
