--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -11,7 +11,7 @@
 use super::store::Store;
 use super::transport::Transport;
 use crate::config::operator::PeersSection;
-use crate::discovery::client::WatchEvent;
+use crate::discovery::WatchEvent;
 use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
 use crate::replication::entry::{Key, Kind, Value};
@@ -70,9 +70,12 @@
             replication: parts.replication,
             membership: Membership::new(parts.members, section.seeds, now),
             transport: parts.transport,
-            dispatcher_feed: DispatcherFeed::new(parts.dispatcher, section.purges_kept.as_micros() as Micros),
+            dispatcher_feed: DispatcherFeed::new(
+                parts.dispatcher,
+                section.purge_retention.as_micros() as Micros,
+            ),
             persistence: Persistence::new(parts.store, now),
-            catch_up: CatchUpMonitor::new(section.careful, now),
+            catch_up: CatchUpMonitor::new(section.catch_up_timeout, now),
             clock: parts.clock,
             commands: parts.commands,
             watch_events: parts.watch_events,
--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -1,7 +1,7 @@
 //! Delivers operators' drains to the dispatcher, again until it has taken them.
 
 use super::LOG_TARGET;
-use crate::dispatch::{DispatcherMessage, DispatcherSender};
+use crate::dispatch::{self, DispatcherMessage, DispatcherSender};
 use crate::replication::entry::{DrainCommand, Key, Kind, Value};
 use crate::replication::gossip::Update;
 use crate::replication::state::ReplicatedState;
@@ -102,8 +102,12 @@
     command: DrainCommand,
 ) -> Option<oneshot::Receiver<bool>> {
     let (reply, answer) = oneshot::channel();
-    let drains = command == DrainCommand::Drain;
-    dispatcher.try_send(DispatcherMessage::Drain(server.into(), drains, reply)).then_some(answer)
+    let command = match command {
+        DrainCommand::Drain => dispatch::DrainCommand::Drain,
+        DrainCommand::Undrain => dispatch::DrainCommand::Undrain,
+    };
+    let message = DispatcherMessage::Drain { name: server.into(), command, listed: reply };
+    dispatcher.try_send(message).then_some(answer)
 }
 
 fn endpoint_update(state: &ReplicatedState, server: String) -> Option<Update> {
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -9,7 +9,7 @@
 use super::transport::Transport;
 use super::{random, source, LOG_TARGET};
 use crate::config::operator::PeersSection;
-use crate::discovery::client::WatchEvent;
+use crate::discovery::WatchEvent;
 use crate::dispatch::{Clock, DispatcherSender};
 use crate::policy::types::Micros;
 use crate::replication::entry::Incarnation;
@@ -74,7 +74,7 @@
     let now = ClockReading { monotonic: clock.now(), unix: clock.unix() };
     let incarnation = random();
     let mut state = ReplicatedState::new(Incarnation(incarnation), bounds(&section));
-    let (store, member_incarnation) = open_store(section.folder.as_deref(), &mut state, now)?;
+    let (store, member_incarnation) = open_store(section.state_folder.as_deref(), &mut state, now)?;
     for event in initial_events {
         source::apply(&mut state, event, now);
     }
@@ -82,7 +82,7 @@
     let (sender, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let actor = Actor::new(ActorParts {
         replication: GossipProtocol::new(state, incarnation, now),
-        members: Members::new(own, section.about, incarnation),
+        members: Members::new(own, section.expected_directors, incarnation),
         transport: Transport::new(socket, codec, section.advertise, incarnation),
         store,
         dispatcher,
@@ -95,7 +95,7 @@
 }
 
 fn read_keys(section: &PeersSection) -> Result<FrameCodec, StartError> {
-    let path = &section.key;
+    let path = &section.key_file;
     let text = std::fs::read_to_string(path)
         .map_err(|source| StartError::ReadKeys { path: path.clone(), source })?;
     let keys = parse_keys(&text).map_err(|source| StartError::ParseKeys { path: path.clone(), source })?;
@@ -147,9 +147,9 @@
 
 fn bounds(section: &PeersSection) -> Bounds {
     Bounds {
-        entries: section.entries,
-        bytes: section.entries.saturating_mul(BYTES_PER_ENTRY),
-        purge_retention: section.purges_kept.as_micros() as Micros,
-        tombstone_retention: section.horizon.as_micros() as Micros,
+        entries: section.max_entries,
+        bytes: section.max_entries.saturating_mul(BYTES_PER_ENTRY),
+        purge_retention: section.purge_retention.as_micros() as Micros,
+        tombstone_retention: section.tombstone_retention.as_micros() as Micros,
     }
 }
--- a/src/replication/gossip/random.rs
+++ b/src/replication/gossip/random.rs
@@ -1,6 +1,6 @@
 //! The pseudo-random draws of the protocol, fixed by its seed.
 
-use crate::policy::estimators::hash::{mix, unit};
+use crate::policy::estimators::hash::{mix, unit_interval};
 
 /// The increment of the generator's state (SplitMix64).
 const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -20,7 +20,7 @@
     /// An index below a bound; 0 if the bound is 0.
     pub(super) fn below(&mut self, bound: usize) -> usize {
         self.state = self.state.wrapping_add(INCREMENT);
-        (unit(mix(self.state, 0)) * bound as f64) as usize
+        (unit_interval(mix(self.state, 0)) * bound as f64) as usize
     }
 
     /// Some of these items, drawn without replacement.
