--- /dev/null
+++ b/src/daemon/frontends.rs
@@ -0,0 +1,108 @@
+//! Opens the frontends of the process.
+
+use super::error::DaemonError;
+use super::startup::OptionalCluster;
+use crate::config::operator::SignedSection;
+use crate::discovery::watched_file::WatchedFile;
+use crate::dispatch::{Clock, Dispatcher};
+use crate::frontend::admin::{self, AdminEndpoint, ReloadCounters};
+use crate::frontend::metrics::MetricsFrontend;
+use crate::frontend::platform::PlatformFrontend;
+use crate::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
+use crate::frontend::signed::{follow_keys, parse_keys, SignedUrlFrontend};
+use crate::signed::{KeySet, OutcomeCounters};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+/// The section of the signed frontend, with its key file as it was read first.
+pub(super) struct SignedConfig {
+    section: SignedSection,
+    key_file: WatchedFile,
+    keys: KeySet,
+}
+
+impl SignedConfig {
+    /// Reads the key file.
+    pub(super) fn open(section: SignedSection) -> Result<SignedConfig, DaemonError> {
+        let parse = |text: &str| parse_keys(text).map_err(|error| error.to_string());
+        let (key_file, keys) = WatchedFile::open(section.keys.clone(), parse)
+            .map_err(|error| DaemonError::Keys(error.into()))?;
+        Ok(SignedConfig { section, key_file, keys })
+    }
+}
+
+/// What the frontends of the process share.
+pub(super) struct Frontends {
+    pub(super) dispatcher: Dispatcher,
+    pub(super) slots: Rc<ConnectionSlots>,
+    pub(super) shutdown: watch::Receiver<ShutdownPhase>,
+    pub(super) requests_in_flight: Rc<Cell<usize>>,
+}
+
+impl Frontends {
+    fn context(&self) -> ListenerContext {
+        ListenerContext {
+            dispatcher: self.dispatcher.clone(),
+            slots: self.slots.clone(),
+            shutdown: self.shutdown.clone(),
+            requests_in_flight: self.requests_in_flight.clone(),
+        }
+    }
+
+    /// Opens the platform's frontend, on the inherited socket where there is one.
+    pub(super) async fn open_platform(
+        &self,
+        address: &str,
+        inherited: Option<std::net::TcpListener>,
+    ) -> Result<JoinHandle<()>, DaemonError> {
+        let frontend = PlatformFrontend(self.dispatcher.clone());
+        let task = match inherited {
+            Some(socket) => serve::adopt(socket, self.context(), frontend)?,
+            None => serve::listen(address, self.context(), frontend).await?,
+        };
+        Ok(task)
+    }
+
+    /// Opens the admin endpoint, where there is an address for it. It stays open until the process ends, for the
+    /// metrics of what is still under way.
+    pub(super) async fn open_admin(
+        &self,
+        address: &str,
+        reloads: Rc<ReloadCounters>,
+        #[cfg_attr(not(feature = "peers"), allow(unused_variables))] cluster: &OptionalCluster,
+    ) -> Result<(), DaemonError> {
+        if address.is_empty() {
+            return Ok(());
+        }
+        let endpoint = AdminEndpoint {
+            dispatcher: self.dispatcher.clone(),
+            requests_in_flight: self.requests_in_flight.clone(),
+            shutdown: self.shutdown.clone(),
+            reloads,
+            #[cfg(feature = "peers")]
+            peers: cluster.clone(),
+        };
+        admin::listen(address, endpoint).await?;
+        Ok(())
+    }
+
+    /// Opens the signed frontend, and its metrics where the operators' file says so.
+    pub(super) async fn open_signed(&self, config: SignedConfig) -> Result<Vec<JoinHandle<()>>, DaemonError> {
+        let SignedConfig { section, key_file, keys } = config;
+        let (sender, keys) = watch::channel(Arc::new(keys));
+        tokio::task::spawn_local(follow_keys(key_file, sender));
+        let counts = Arc::new(OutcomeCounters::default());
+        let mut tasks = Vec::new();
+        if let Some(address) = section.metrics {
+            let metrics = MetricsFrontend(counts.clone());
+            tasks.push(serve::listen(&address, self.context(), metrics).await?);
+        }
+        let dispatcher = self.dispatcher.clone();
+        let frontend = SignedUrlFrontend { dispatcher, keys, clock: Clock::system(), counts };
+        tasks.push(serve::listen(&section.listen, self.context(), frontend).await?);
+        Ok(tasks)
+    }
+}
--- /dev/null
+++ b/src/daemon/reload.rs
@@ -0,0 +1,77 @@
+//! Applies configurations that come while the process runs.
+
+use crate::config::platform::PlatformConfig;
+use crate::dispatch::{DispatcherMessage, DispatcherSender};
+use crate::frontend::admin::ReloadCounters;
+use std::error::Error;
+use std::rc::Rc;
+use tokio::sync::{mpsc, watch};
+
+/// A configuration that was read again, or why it can't be used.
+pub type ReloadedConfig = Result<PlatformConfig, Box<dyn Error + Send + Sync>>;
+
+/// Applies what can change while the process runs: the settings, and the discovery service's address. Its
+/// revisions carry on, so the events that a later configuration holds will come from there. A configuration
+/// that can't be used is rejected whole, and the one in force stays.
+pub(super) struct Reloader {
+    pub(super) current: PlatformConfig,
+    pub(super) discovery_address: watch::Sender<String>,
+    pub(super) dispatcher: DispatcherSender,
+    pub(super) counters: Rc<ReloadCounters>,
+}
+
+impl Reloader {
+    pub(super) async fn run(mut self, mut configs: mpsc::Receiver<ReloadedConfig>) {
+        while let Some(config) = configs.recv().await {
+            match self.validate(config) {
+                Ok(config) => {
+                    self.counters.succeeded.set(self.counters.succeeded.get() + 1);
+                    self.apply(config).await;
+                }
+                Err(error) => {
+                    tracing::warn!(reason = %error, "configuration rejected; the one in force stays");
+                    self.counters.failed.set(self.counters.failed.get() + 1);
+                }
+            }
+        }
+    }
+
+    fn validate(&self, config: ReloadedConfig) -> ReloadedConfig {
+        let config = config?;
+        config.can_replace(&self.current)?;
+        Ok(config)
+    }
+
+    async fn apply(&mut self, config: PlatformConfig) {
+        tracing::info!("configuration reloaded");
+        if needs_restart(&self.current, &config) {
+            tracing::info!(
+                "configuration: addresses, limits, connections, zones and kinds wait for a restart"
+            );
+        }
+        if config.settings != self.current.settings {
+            let settings = Box::new(config.settings.clone());
+            self.dispatcher.send(DispatcherMessage::Settings(settings)).await;
+        }
+        self.discovery_address.send_if_modified(|address| {
+            let is_new = *address != config.discovery_address;
+            address.clone_from(&config.discovery_address);
+            is_new
+        });
+        self.current = config;
+    }
+}
+
+/// Whether a new configuration differs in what is fixed when the process starts.
+fn needs_restart(current: &PlatformConfig, new: &PlatformConfig) -> bool {
+    let (old_settings, new_settings) = (&current.settings, &new.settings);
+    current.listen != new.listen
+        || current.admin_address != new.admin_address
+        || current.max_descriptors != new.max_descriptors
+        || current.connections != new.connections
+        || old_settings.zones != new_settings.zones
+        || old_settings.zone != new_settings.zone
+        || old_settings.kinds != new_settings.kinds
+        || old_settings.parent_kind != new_settings.parent_kind
+        || old_settings.origin_kind != new_settings.origin_kind
+}
--- /dev/null
+++ b/src/daemon/startup.rs
@@ -0,0 +1,112 @@
+//! Starts the dispatcher, its sources of endpoints, and the gossip among directors.
+
+use super::error::DaemonError;
+#[cfg(feature = "peers")]
+use crate::cluster::{self, ClusterHandle};
+use crate::config::operator::PeersSection;
+use crate::config::platform::PlatformConfig;
+use crate::director::start_core;
+use crate::discovery::client::WatchEvent;
+use crate::discovery::{DiscoveryService, EndpointSource, XdsFile};
+use crate::dispatch::{Clock, Dispatcher, RunningDispatcher};
+use crate::upstream::servers::UpstreamConnector;
+use std::path::PathBuf;
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinHandle;
+
+/// Discovery events that may wait for the gossip among directors. Where more come, they are lost here, and the
+/// other directors pass them on.
+const EVENT_QUEUE: usize = 1024;
+
+/// The handle of the gossip among directors, where the operators' file has a section for it.
+#[cfg(feature = "peers")]
+pub(super) type OptionalCluster = Option<ClusterHandle>;
+/// There is none in a program that was built without it.
+#[cfg(not(feature = "peers"))]
+pub(super) type OptionalCluster = Option<std::convert::Infallible>;
+
+/// Where endpoints and purges come from.
+pub(super) struct Sources {
+    pub(super) discovery_address: watch::Receiver<String>,
+    pub(super) xds_file: Option<PathBuf>,
+    pub(super) peers: Option<PeersSection>,
+}
+
+/// What serves requests.
+pub(super) struct Backend {
+    pub(super) dispatcher: Dispatcher,
+    pub(super) dispatcher_task: JoinHandle<()>,
+    pub(super) cluster: OptionalCluster,
+}
+
+impl Sources {
+    /// Opens the sources and starts the dispatcher, and the gossip among directors where the operators' file
+    /// has a section for it.
+    pub(super) async fn start(
+        self,
+        config: &PlatformConfig,
+        upstream_limit: usize,
+    ) -> Result<Backend, DaemonError> {
+        #[cfg(not(feature = "peers"))]
+        if self.peers.is_some() {
+            return Err(DaemonError::ClusterNotSupported);
+        }
+        let clock = Clock::system();
+        let (subscriber, events) = self.peers.as_ref().map(|_| mpsc::channel(EVENT_QUEUE)).unzip();
+        let sources = endpoint_sources(self.discovery_address, self.xds_file, config, subscriber);
+        let connector = Box::new(UpstreamConnector::new(config.connections.clone(), upstream_limit));
+        let RunningDispatcher { dispatcher, task: dispatcher_task } =
+            start_core(config.settings.clone(), config.seed, clock, connector, sources)
+                .map_err(|error| DaemonError::Dispatcher(error.into()))?;
+        #[cfg(feature = "peers")]
+        let cluster = match self.peers.zip(events) {
+            Some((section, events)) => {
+                Some(start_cluster(section, &dispatcher, clock, config, events).await?)
+            }
+            None => None,
+        };
+        #[cfg(not(feature = "peers"))]
+        let cluster = {
+            drop(events); // nobody reads them
+            None
+        };
+        Ok(Backend { dispatcher, dispatcher_task, cluster })
+    }
+}
+
+/// The discovery service, and a file in xDS form before it where there is one.
+fn endpoint_sources(
+    discovery_address: watch::Receiver<String>,
+    xds_file: Option<PathBuf>,
+    config: &PlatformConfig,
+    subscriber: Option<mpsc::Sender<WatchEvent>>,
+) -> Vec<Box<dyn EndpointSource>> {
+    // Where the endpoints come from a file, the discovery service gives only purges.
+    let purges_only = xds_file.is_some();
+    let mut sources: Vec<Box<dyn EndpointSource>> = Vec::new();
+    if let Some(path) = xds_file {
+        sources.push(Box::new(XdsFile::new(path)));
+    }
+    sources.push(Box::new(DiscoveryService {
+        address: discovery_address,
+        revision: config.discovery_revision,
+        initial_events: config.initial_events.clone(),
+        purges_only,
+        subscriber,
+    }));
+    sources
+}
+
+#[cfg(feature = "peers")]
+async fn start_cluster(
+    section: PeersSection,
+    dispatcher: &Dispatcher,
+    clock: Clock,
+    config: &PlatformConfig,
+    events: mpsc::Receiver<WatchEvent>,
+) -> Result<ClusterHandle, DaemonError> {
+    let opened = cluster::open(section, dispatcher.sender(), clock, &config.initial_events, events).await;
+    let (handle, actor) = opened.map_err(|error| DaemonError::Cluster(error.into()))?;
+    tokio::task::spawn_local(actor.run());
+    Ok(handle)
+}
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,11 +1,28 @@
-//! The operators' door: one line a connection, answered with a line that begins with `YES` or `NO`, or with
+//! The admin endpoint: one command a connection, answered with a line that begins with `YES` or `NO`, or with
 //! lines of which the last is `END`.
+//!
+//! | command | answer |
+//! | --- | --- |
+//! | `check` | `YES`, with the stage of catching up where directors gossip, or `NO` and a reason |
+//! | `vars` | the metrics on one line of JSON, then `END` |
+//! | others | those of the cluster, where directors gossip |
+//!
+//! | name in `vars` | here |
+//! | --- | --- |
+//! | `requests.CLASS.served`, `refused`, `failed` | `served`, `rejected` and `failed` of [`ClassCounts`] |
+//! | `attempts` | [`DispatcherMetrics::attempts`] |
+//! | `in_flight` | [`AdminEndpoint::requests_in_flight`] |
+//! | `caches_known`, `caches_excluded` | `endpoints_known` and `endpoints_excluded` of [`DispatcherMetrics`] |
+//! | `reloads_ok`, `reloads_failed` | [`ReloadCounters::succeeded`], [`ReloadCounters::failed`] |
 
 use super::serve::ShutdownPhase;
+#[cfg(feature = "peers")]
+use crate::cluster;
 use crate::dispatch::{ClassCounts, Dispatcher, DispatcherMetrics};
 use miniserde::{json, Serialize};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -14,47 +31,64 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Callers at a time; a further one takes the place of the one that came first.
+/// Connections at a time; a further one takes the place of the oldest.
 const MAX_CONNECTIONS: usize = 8;
-/// The descriptors that callers hold at most: one is accepted before another makes room.
+/// The descriptors that connections hold at most: one is accepted before another makes room.
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
-/// The longest call, and the longest where calls may name an object.
-const LONGEST_CALL: usize = 256;
+/// The longest command, in bytes.
+const MAX_COMMAND_BYTES: usize = 256;
+/// The longest command where commands may name an object, in bytes.
 #[cfg(feature = "peers")]
-const LONGEST_NAMED: usize = 600;
-/// A call must have come whole, and its answer have been taken, by then.
-const WHOLE_CALL: Duration = Duration::from_secs(2);
-/// The core answers within this, or can't serve.
-const CORE: Duration = Duration::from_millis(500);
+const MAX_CLUSTER_COMMAND_BYTES: usize = 600;
+const READ_BYTES: usize = 64;
+/// A command must have come whole, and its answer have been taken, by then.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+/// The dispatcher answers within this, or can't serve.
+const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The pause after an accept that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+const CHECK: &[u8] = b"check";
+const VARS: &[u8] = b"vars";
 
-/// Files read at SIGHUP since the start.
+/// Why the admin endpoint can't listen.
+#[derive(Debug, thiserror::Error)]
+#[error("operators at {address}: {source}")]
+pub struct AdminListenError {
+    /// Its address.
+    pub address: String,
+    /// What the system said.
+    pub source: io::Error,
+}
+
+/// Configurations that were read again since the start.
 #[derive(Debug, Default)]
 pub struct ReloadCounters {
-    /// Taken over.
+    /// Those that came into force.
     pub succeeded: Cell<u64>,
-    /// Turned down.
+    /// Those that were rejected.
     pub failed: Cell<u64>,
 }
 
-/// What the door shows.
+/// What the admin endpoint shows.
 #[derive(Clone)]
 pub struct AdminEndpoint {
-    /// The core, whose figures are shown.
+    /// The dispatcher whose metrics are shown.
     pub dispatcher: Dispatcher,
-    /// Requests that are taken and not ended.
+    /// Requests that are accepted and not answered yet.
     pub requests_in_flight: Rc<Cell<usize>>,
-    /// Whether the program is to end.
+    /// How far the graceful shutdown has come.
     pub shutdown: watch::Receiver<ShutdownPhase>,
-    /// Configurations read anew.
+    /// Configurations that were read again.
     pub reloads: Rc<ReloadCounters>,
-    /// Talk among directors, where that is on.
+    /// The cluster of directors, where they gossip.
     #[cfg(feature = "peers")]
-    pub peers: Option<crate::cluster::ClusterHandle>,
+    pub peers: Option<cluster::ClusterHandle>,
 }
 
 #[derive(Serialize)]
-struct Shown {
-    requests: BTreeMap<String, ShownClass>,
+struct MetricsJson {
+    requests: BTreeMap<String, ClassMetricsJson>,
     attempts: u64,
     in_flight: usize,
     caches_known: usize,
@@ -64,112 +98,130 @@
 }
 
 #[derive(Serialize)]
-struct ShownClass {
+struct ClassMetricsJson {
     served: u64,
     refused: u64,
     failed: u64,
 }
 
-/// Listens at an address for as long as the program runs.
-pub async fn listen(address: &str, door: AdminEndpoint) -> Result<(), String> {
-    let listener = TcpListener::bind(address).await.map_err(|e| format!("operators at {address}: {e}"))?;
-    tokio::task::spawn_local(accept(listener, door));
+impl From<ClassCounts> for ClassMetricsJson {
+    fn from(counts: ClassCounts) -> Self {
+        ClassMetricsJson { served: counts.served, refused: counts.rejected, failed: counts.failed }
+    }
+}
+
+/// Listens on an address for as long as the process runs.
+pub async fn listen(address: &str, endpoint: AdminEndpoint) -> Result<(), AdminListenError> {
+    let listener = TcpListener::bind(address).await;
+    let listener = listener.map_err(|source| AdminListenError { address: address.to_owned(), source })?;
+    tokio::task::spawn_local(accept(listener, endpoint));
     Ok(())
 }
 
-/// Gives each caller a task of its own, so that one that says nothing holds up no other.
-pub async fn accept(listener: TcpListener, door: AdminEndpoint) {
-    let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+/// Serves each connection in a task of its own, so that one that sends nothing holds up no other.
+pub async fn accept(listener: TcpListener, endpoint: AdminEndpoint) {
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                callers.retain(|c| !c.is_finished());
-                if callers.len() >= MAX_CONNECTIONS {
-                    if let Some(first) = callers.pop_front() {
-                        first.abort();
-                        // Its descriptor is given back before a further caller is accepted.
-                        let _ = first.await;
-                    }
-                }
-                let door = door.clone();
-                let task = tokio::task::spawn_local(async move {
-                    let _ = timeout(WHOLE_CALL, door.serve(stream)).await; // too slow: closed
-                });
-                callers.push_back(task);
-            }
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!("operators: accept: {error}");
-                sleep(Duration::from_millis(20)).await;
+                tracing::warn!(reason = %error, "admin endpoint: accept failed");
+                sleep(ACCEPT_RETRY_DELAY).await;
+                continue;
             }
-        }
+        };
+        make_room(&mut connections).await;
+        let endpoint = endpoint.clone();
+        connections.push_back(tokio::task::spawn_local(async move {
+            let _ = timeout(COMMAND_TIMEOUT, endpoint.serve(stream)).await; // too slow: closed
+        }));
+    }
+}
+
+/// Closes the oldest connection where there are as many as may be.
+async fn make_room(connections: &mut VecDeque<JoinHandle<()>>) {
+    connections.retain(|connection| !connection.is_finished());
+    if connections.len() < MAX_CONNECTIONS {
+        return;
+    }
+    if let Some(oldest) = connections.pop_front() {
+        oldest.abort();
+        // Its descriptor is free again before a further connection is accepted.
+        let _ = oldest.await;
     }
 }
 
 impl AdminEndpoint {
-    async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        let (mut call, mut byte) = (Vec::new(), [0; 64]);
+    async fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
+        let (mut command, mut bytes) = (Vec::new(), [0; READ_BYTES]);
         let end = loop {
-            if let Some(end) = call.iter().position(|b| *b == b'\n') {
+            if let Some(end) = command.iter().position(|b| *b == b'\n') {
                 break end;
             }
-            let n = stream.read(&mut byte).await?;
+            let n = stream.read(&mut bytes).await?;
             if n == 0 {
                 return Ok(());
             }
-            call.extend_from_slice(&byte[..n]);
-            if call.len() > self.longest_call() {
+            command.extend_from_slice(&bytes[..n]);
+            if command.len() > self.max_command_bytes() {
                 return stream.write_all(b"NO the call is too long\n").await;
             }
         };
-        let answer = self.answer(call[..end].trim_ascii()).await;
+        let answer = self.answer(command[..end].trim_ascii()).await;
         stream.write_all(answer.as_bytes()).await?;
         stream.shutdown().await
     }
 
-    fn longest_call(&self) -> usize {
+    fn max_command_bytes(&self) -> usize {
         #[cfg(feature = "peers")]
         if self.peers.is_some() {
-            return LONGEST_NAMED;
+            return MAX_CLUSTER_COMMAND_BYTES;
         }
-        LONGEST_CALL
+        MAX_COMMAND_BYTES
     }
 
-    async fn answer(&self, call: &[u8]) -> String {
+    async fn answer(&self, command: &[u8]) -> String {
         #[cfg(feature = "peers")]
-        if let (Some(peers), Ok(call)) = (&self.peers, std::str::from_utf8(call)) {
-            if let Some(answer) = crate::cluster::door::answer(peers, call).await {
+        if let (Some(cluster), Ok(command)) = (&self.peers, std::str::from_utf8(command)) {
+            if let Some(answer) = cluster::admin::answer(cluster, command).await {
                 return answer;
             }
         }
-        if !matches!(call, b"check" | b"vars") {
+        if !matches!(command, CHECK | VARS) {
             return "NO such call; there are 'check' and 'vars'\n".into();
         }
-        let Ok(Some(figures)) = timeout(CORE, self.dispatcher.metrics()).await else {
+        let Ok(Some(metrics)) = timeout(DISPATCHER_TIMEOUT, self.dispatcher.metrics()).await else {
             return "NO the core does not answer\n".into();
         };
-        match call {
-            b"check" if *self.shutdown.borrow() != ShutdownPhase::Running => "NO it is about to end\n".into(),
-            #[cfg(feature = "peers")]
-            b"check" if self.peers.is_some() => match &self.peers {
-                Some(peers) => format!("YES {}\n", crate::cluster::door::stage(peers).await),
-                None => "YES\n".into(),
-            },
-            b"check" => "YES\n".into(),
-            _ => format!("{}\nEND\n", self.show(figures)),
+        match command {
+            CHECK => self.check().await,
+            _ => format!("{}\nEND\n", self.metrics_json(metrics)),
         }
     }
 
-    fn show(&self, figures: DispatcherMetrics) -> String {
-        let class = |c: ClassCounts| {
-            let ClassCounts { served, rejected: refused, failed, .. } = c;
-            ShownClass { served, refused, failed }
-        };
-        json::to_string(&Shown {
-            requests: figures.requests.iter().map(|(name, c)| (name.to_string(), class(*c))).collect(),
-            attempts: figures.attempts,
+    /// The answer to `check` where the dispatcher answers.
+    async fn check(&self) -> String {
+        if *self.shutdown.borrow() != ShutdownPhase::Running {
+            return "NO it is about to end\n".into();
+        }
+        #[cfg(feature = "peers")]
+        if let Some(cluster) = &self.peers {
+            return format!("YES {}\n", cluster::admin::stage(cluster).await);
+        }
+        "YES\n".into()
+    }
+
+    fn metrics_json(&self, metrics: DispatcherMetrics) -> String {
+        json::to_string(&MetricsJson {
+            requests: metrics
+                .requests
+                .iter()
+                .map(|(name, counts)| (name.to_string(), (*counts).into()))
+                .collect(),
+            attempts: metrics.attempts,
             in_flight: self.requests_in_flight.get(),
-            caches_known: figures.endpoints_known,
-            caches_excluded: figures.endpoints_excluded,
+            caches_known: metrics.endpoints_known,
+            caches_excluded: metrics.endpoints_excluded,
             reloads_ok: self.reloads.succeeded.get(),
             reloads_failed: self.reloads.failed.get(),
         })
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,18 +1,59 @@
-//! The platform's front: clients that speak the platform's HTTP.
+//! Codec of the platform's HTTP: the one place that knows its paths, headers and statuses.
+//!
+//! | platform | here |
+//! | --- | --- |
+//! | `GET /alive` | whether this process is ready: 200, or 503 once its dispatcher has ended |
+//! | `/ops/CLASS/OBJECT` | [`ClientRequest::class`] and [`ClientRequest::object`] |
+//! | `?block=NUMBER` | [`ClientRequest::part`] |
+//! | `X-Job-Id` | [`ClientRequest::id`] |
+//! | `X-Family` | [`ClientRequest::group`] |
+//! | `X-Ram-Kb` | [`ClientRequest::size_kb`] |
+//! | `X-Again` | [`ClientRequest::is_retry`]: anything but `0` |
+//! | `X-Allow-Ms` | [`ClientRequest::timeout`]; the class's deadline where it is absent |
+//! | `X-Unique` | [`ClientRequest::idempotency_key`] |
+//! | `If-None-Match` | [`ClientRequest::if_none_match`] |
+//! | `X-Wait-Ms` on a 503 | `retry_after` of [`ClientResponse::Rejected`] |
+//!
+//! | response | status |
+//! | --- | --- |
+//! | served, not modified | 200, 304 |
+//! | rejected: nothing ran that may not run again | 503 |
+//! | failed: duplicate id, deadline exceeded, else | 409, 504, 502 |
 
-use super::http::{RequestHead, Response};
+use super::http::{BadRequest, RequestHead, Response};
 use super::serve::Frontend;
-use crate::dispatch::{bare_tag, is_name, ClientRequest, ClientResponse, Dispatcher, FailureReason};
+use crate::dispatch::{
+    bare_tag, is_name, ClientRequest, ClientResponse, Dispatcher, FailureReason, Representation,
+};
 use bytes::Bytes;
+use std::ops::RangeInclusive;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest that a client may wait, in milliseconds, and the largest size that it may tell, in KB: what
-/// lies beyond is no figure of a client's.
-const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
-const MAX_SIZE_KB: f64 = 1e9;
+const READINESS_PATH: &str = "/alive";
+const REQUEST_PATH_PREFIX: &str = "/ops/";
+const PART_PARAMETER: &str = "block=";
 
-/// The platform's own protocol.
+const REQUEST_ID: &str = "x-job-id";
+const GROUP: &str = "x-family";
+const SIZE_KB: &str = "x-ram-kb";
+const IS_RETRY: &str = "x-again";
+const TIMEOUT_MS: &str = "x-allow-ms";
+const IDEMPOTENCY_KEY: &str = "x-unique";
+const IF_NONE_MATCH: &str = "if-none-match";
+const RETRY_AFTER_MS: &str = "X-Wait-Ms";
+
+/// The value of [`IS_RETRY`] for a first attempt.
+const FIRST_ATTEMPT: &str = "0";
+/// What clients may say: how long they wait in milliseconds, an object's size in KB, and its group. What lies
+/// beyond is no figure of a client's.
+const TIMEOUTS_MS: RangeInclusive<f64> = 0.0..=3_600_000.0;
+const SIZES_KB: RangeInclusive<f64> = 0.0..=1e9;
+const GROUPS: RangeInclusive<f64> = 0.0..=255.0;
+/// Hex digits of an id and of an object.
+const ID_DIGITS: usize = 16;
+
+/// The frontend for clients that speak the platform's HTTP.
 pub struct PlatformFrontend(
     /// Where requests go.
     pub Dispatcher,
@@ -22,79 +63,38 @@
     const NAME: &'static str = "clients";
 
     fn parse_request(&self, head: &RequestHead, body: Bytes) -> Result<ClientRequest, Response> {
-        if head.target == "/alive" {
-            return Err(Response::empty(self.alive(&head.method)));
+        if head.target == READINESS_PATH {
+            return Err(Response::empty(self.readiness_status(&head.method)));
         }
-        let bad = || Response::empty(400);
-        let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
-        let (class, object) =
-            path.strip_prefix("/ops/").and_then(|p| p.split_once('/')).ok_or_else(|| Response::empty(404))?;
+        let target = Target::parse(&head.target).ok_or_else(|| Response::empty(404))?;
         let settings = self.0.settings();
-        let class = settings.class(class).ok_or_else(|| Response::empty(404))?;
-        let facts = &settings.classes[class];
-        let method = if facts.write { "PUT" } else { "GET" };
+        let class = settings.class(target.class).ok_or_else(|| Response::empty(404))?;
+        let is_write = settings.classes[class].write;
+        let method = if is_write { "PUT" } else { "GET" };
         if head.method != method {
             return Err(Response::empty(405).with_header("Allow", method.into()));
         }
         // What a server can't use would cost an attempt, and what it can't read the connection and all on it.
-        if !is_hex(object) || !facts.write && !body.is_empty() {
-            return Err(bad());
-        }
-        let digits = |n: &str| n.parse().ok().filter(|_| n.bytes().all(|b| b.is_ascii_digit()));
-        let part = match query {
-            "" => None,
-            _ => Some(query.strip_prefix("block=").and_then(digits).ok_or_else(bad)?),
-        };
-        let id = head.single_header("x-job-id").filter(|id| is_hex(id)).ok_or_else(bad)?;
-        let number = |name: &str, least: f64, most: f64| match head.header(name) {
-            None => Ok(None),
-            Some(text) => {
-                let number = text.parse::<f64>().ok().filter(|n| (least..=most).contains(n));
-                number.map(Some).ok_or_else(bad)
-            }
-        };
-        let family = number("x-family", 0.0, 255.0)?;
-        if family.is_some_and(|n| n.fract() != 0.0) {
-            return Err(bad());
+        if !is_write && !body.is_empty() {
+            return Err(bad_request(BadRequest::Malformed));
         }
-        let allow = number("x-allow-ms", 0.0, MAX_TIMEOUT_MS)?.unwrap_or(facts.deadline as f64 / 1e3);
-        let token = match head.header("x-unique") {
-            None => None,
-            Some(_) => Some(head.single_header("x-unique").filter(|token| is_name(token)).ok_or_else(bad)?),
-        };
-        let known = head.header("if-none-match").map(bare_tag).filter(|tag| is_name(tag));
-        Ok(ClientRequest {
-            id: id.into(),
-            class,
-            object: object.into(),
-            part,
-            group: family.map(|n| n as u32),
-            size_kb: number("x-ram-kb", 0.0, MAX_SIZE_KB)?.unwrap_or(0.0),
-            is_retry: head.header("x-again").is_some_and(|v| v != "0"),
-            timeout: Duration::from_secs_f64(allow / 1e3),
-            if_none_match: known.map(Into::into),
-            idempotency_key: token.map(Into::into),
-            body,
-            credential_expires_at: None,
-        })
+        let default_timeout = Duration::from_micros(settings.classes[class].deadline);
+        let request = parse_fields(head, &target, default_timeout).map_err(bad_request)?;
+        Ok(ClientRequest { class, body, ..request })
     }
 
     fn to_response(&self, answer: ClientResponse) -> Response {
-        let tagged = |response: Response, tag: Option<Arc<str>>| match tag {
-            Some(tag) => response.with_header("ETag", format!("\"{tag}\"")),
-            None => response,
-        };
         match answer {
-            ClientResponse::Served(copy) => tagged(
-                Response { body: copy.body, ..Response::empty(200) }
-                    .with_header("Content-Type", "application/octet-stream".into()),
-                copy.etag,
-            ),
-            ClientResponse::NotModified(tag) => tagged(Response::empty(304), tag),
-            ClientResponse::Rejected { retry_after: wait, .. } => {
-                match wait.and_then(|wait| self.advice(wait)) {
+            ClientResponse::Served(Representation { etag, body }) => {
+                let response = Response { body, ..Response::empty(200) };
+                with_etag(response.with_header("Content-Type", "application/octet-stream".into()), etag)
+            }
+            ClientResponse::NotModified(etag) => with_etag(Response::empty(304), etag),
+            ClientResponse::Rejected { retry_after, .. } => {
+                match retry_after.and_then(|wait| self.effective_retry_after(wait)) {
                     Some(wait) => {
-                        Response::empty(503).with_header("X-Wait-Ms", wait.as_millis().max(1).to_string())
+                        let milliseconds = wait.as_millis().max(1).to_string();
+                        Response::empty(503).with_header(RETRY_AFTER_MS, milliseconds)
                     }
                     None => Response::empty(503),
                 }
@@ -107,8 +107,8 @@
 }
 
 impl PlatformFrontend {
-    /// The status of the answer to whether this director is ready: it is where its core can be asked.
-    fn alive(&self, method: &str) -> u16 {
+    /// The status that says whether this process is ready: it is where its dispatcher can be asked.
+    fn readiness_status(&self, method: &str) -> u16 {
         match method {
             "GET" if self.0.has_ended() => 503,
             "GET" => 200,
@@ -117,14 +117,101 @@
     }
 
     /// What a client is told of when to come back: no longer than clients heed, and only where they do.
-    fn advice(&self, wait: Duration) -> Option<Duration> {
+    fn effective_retry_after(&self, wait: Duration) -> Option<Duration> {
         let settings = self.0.settings();
-        let most = Duration::from_micros(settings.max_retry_after);
-        settings.retry_after.then_some(wait.min(most)).filter(|wait| !wait.is_zero())
+        let max_retry_after = Duration::from_micros(settings.max_retry_after);
+        settings.retry_after.then_some(wait.min(max_retry_after)).filter(|wait| !wait.is_zero())
+    }
+}
+
+/// The parts of a request's target.
+struct Target<'a> {
+    class: &'a str,
+    object: &'a str,
+    query: &'a str,
+}
+
+impl<'a> Target<'a> {
+    fn parse(target: &'a str) -> Option<Self> {
+        let (path, query) = target.split_once('?').unwrap_or((target, ""));
+        let (class, object) = path.strip_prefix(REQUEST_PATH_PREFIX)?.split_once('/')?;
+        Some(Target { class, object, query })
+    }
+
+    /// The part that is asked for; none: all of the object.
+    fn part(&self) -> Result<Option<u32>, BadRequest> {
+        if self.query.is_empty() {
+            return Ok(None);
+        }
+        let digits = self.query.strip_prefix(PART_PARAMETER).ok_or(BadRequest::Malformed)?;
+        if !digits.bytes().all(|b| b.is_ascii_digit()) {
+            return Err(BadRequest::Malformed);
+        }
+        digits.parse().map(Some).map_err(|_| BadRequest::Malformed)
+    }
+}
+
+fn bad_request(error: BadRequest) -> Response {
+    Response::empty(error.status())
+}
+
+/// The request without its class and body.
+fn parse_fields(
+    head: &RequestHead,
+    target: &Target<'_>,
+    default_timeout: Duration,
+) -> Result<ClientRequest, BadRequest> {
+    let id = head.single_header(REQUEST_ID).filter(|id| is_hex_id(id)).ok_or(BadRequest::Malformed)?;
+    let object = Some(target.object).filter(|object| is_hex_id(object)).ok_or(BadRequest::Malformed)?;
+    let group = parse_number(head, GROUP, GROUPS)?;
+    if group.is_some_and(|group| group.fract() != 0.0) {
+        return Err(BadRequest::Malformed);
+    }
+    let timeout_ms = parse_number(head, TIMEOUT_MS, TIMEOUTS_MS)?;
+    let timeout_ms = timeout_ms.unwrap_or(default_timeout.as_micros() as f64 / 1e3);
+    let if_none_match = head.header(IF_NONE_MATCH).map(bare_tag).filter(|tag| is_name(tag));
+    Ok(ClientRequest {
+        id: id.into(),
+        object: object.into(),
+        part: target.part()?,
+        group: group.map(|group| group as u32),
+        size_kb: parse_number(head, SIZE_KB, SIZES_KB)?.unwrap_or(0.0),
+        is_retry: head.header(IS_RETRY).is_some_and(|value| value != FIRST_ATTEMPT),
+        timeout: Duration::from_secs_f64(timeout_ms / 1e3),
+        if_none_match: if_none_match.map(Into::into),
+        idempotency_key: parse_idempotency_key(head)?,
+        ..ClientRequest::default()
+    })
+}
+
+/// The number in a header, where that is there.
+fn parse_number(
+    head: &RequestHead,
+    name: &str,
+    range: RangeInclusive<f64>,
+) -> Result<Option<f64>, BadRequest> {
+    let Some(text) = head.header(name) else { return Ok(None) };
+    let number = text.parse::<f64>().ok().filter(|number| range.contains(number));
+    number.map(Some).ok_or(BadRequest::Malformed)
+}
+
+/// The idempotency key, where there is one.
+fn parse_idempotency_key(head: &RequestHead) -> Result<Option<Arc<str>>, BadRequest> {
+    if head.header(IDEMPOTENCY_KEY).is_none() {
+        return Ok(None);
+    }
+    let key = head.single_header(IDEMPOTENCY_KEY).filter(|key| is_name(key));
+    key.map(|key| Some(key.into())).ok_or(BadRequest::Malformed)
+}
+
+fn with_etag(response: Response, etag: Option<Arc<str>>) -> Response {
+    match etag {
+        Some(etag) => response.with_header("ETag", format!("\"{etag}\"")),
+        None => response,
     }
 }
 
 /// Ids and objects are 16 hex digits on the platform.
-fn is_hex(text: &str) -> bool {
-    text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit())
+fn is_hex_id(text: &str) -> bool {
+    text.len() == ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
--- a/src/frontend/serve/slots.rs
+++ b/src/frontend/serve/slots.rs
@@ -17,8 +17,8 @@
 /// The slots of client connections.
 ///
 /// Beyond the soft limit each new connection has another one close, if one waits for a request: first one
-/// that has sent nothing since it was accepted, then the one that has been idle for longest. A connection with
-/// a request in flight is never closed for this, and the hard limit is never passed.
+/// that has sent nothing since it was accepted, then the one that has been idle for longest. A connection
+/// with a request in flight is never closed for this, and the hard limit is never passed.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     soft_limit: usize,
--- a/src/frontend/stream.rs
+++ b/src/frontend/stream.rs
@@ -1,4 +1,5 @@
-//! A client's connection, which one task reads and writes and others may look at.
+//! A client's connection: one task reads and writes it, and the dispatcher can see whether the client has
+//! gone.
 
 use crate::dispatch::Client;
 use crate::upstream::has_closed;
@@ -10,12 +11,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A client's connection. It is closed when this is dropped, whoever still looks at it.
+/// A client's connection. It closes when this is dropped, whatever the dispatcher still holds.
 #[derive(Debug)]
 pub struct ClientStream(Arc<TcpStream>);
 
 impl ClientStream {
-    /// Takes a connection.
+    /// Takes over a connection.
     pub fn new(stream: TcpStream) -> Self {
         ClientStream(Arc::new(stream))
     }
@@ -25,24 +26,24 @@
         &self.0
     }
 
-    /// By which the core sees that the client has left before this connection's task does.
+    /// By which the dispatcher sees that the client has gone before this connection's task does.
     pub fn client(&self) -> impl Client {
-        Peer(Arc::downgrade(&self.0))
+        ConnectedClient(Arc::downgrade(&self.0))
     }
 }
 
-/// The other side of a connection.
+/// The client at the other end of a connection.
 #[derive(Debug)]
-struct Peer(Weak<TcpStream>);
+struct ConnectedClient(Weak<TcpStream>);
 
-impl Client for Peer {
+impl Client for ConnectedClient {
     fn has_disconnected(&self) -> bool {
         self.0.upgrade().is_none_or(|stream| has_closed(&stream))
     }
 }
 
-/// Turns "not now" into none: the socket is waited for again.
-fn settled<T>(result: Result<T>) -> Option<Result<T>> {
+/// The result of a read or write that was ready; none: the socket must be awaited again.
+fn unless_would_block<T>(result: Result<T>) -> Option<Result<T>> {
     match result {
         Err(error) if error.kind() == ErrorKind::WouldBlock => None,
         result => Some(result),
@@ -53,7 +54,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
-            if let Some(read) = settled(self.0.try_read(buffer.initialize_unfilled())) {
+            if let Some(read) = unless_would_block(self.0.try_read(buffer.initialize_unfilled())) {
                 return Poll::Ready(read.map(|n| buffer.advance(n)));
             }
         }
@@ -72,7 +73,7 @@
     ) -> Poll<Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(cx))?;
-            if let Some(written) = settled(self.0.try_write_vectored(slices)) {
+            if let Some(written) = unless_would_block(self.0.try_write_vectored(slices)) {
                 return Poll::Ready(written);
             }
         }
@@ -83,7 +84,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Result<()>> {
-        Poll::Ready(Ok(())) // nothing is held back
+        Poll::Ready(Ok(())) // nothing is buffered
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Result<()>> {
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,46 +1,77 @@
-//! The log of the daemon: structured events on standard error.
+//! The daemon's log: its filter, and a writer to standard error that never blocks.
 
 use crate::config::operator::{LogForm, LogSection};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
-use tracing_subscriber::filter::Targets;
+use tracing_subscriber::filter::{ParseError, Targets};
 use tracing_subscriber::layer::SubscriberExt;
-use tracing_subscriber::util::SubscriberInitExt;
+use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{fmt, Layer};
 
+/// The variable that overrides the level in the operators' file.
+const LEVEL_VARIABLE: &str = "FOXHOLD_LOG";
 /// The longest line, in bytes: a pipe that has room for anything takes that much without blocking (PIPE_BUF).
-const LONGEST: usize = 4096;
+const MAX_LINE_BYTES: usize = 4096;
+/// Bytes of a line for what is added to the message.
+const RESERVED_LINE_BYTES: usize = 64;
 
-/// Lines that found no room.
-static LOST: AtomicU64 = AtomicU64::new(0);
+/// Modules by the names of earlier versions, which filters may still use, and what they are called now.
+const MODULE_ALIASES: [(&str, &str); 11] = [
+    ("foxhold::core", "foxhold::dispatch"),
+    ("foxhold::decide", "foxhold::policy"),
+    ("foxhold::fronts", "foxhold::frontend"),
+    ("foxhold::operator", "foxhold::config::operator"),
+    ("foxhold::peers", "foxhold::cluster"),
+    ("foxhold::replica", "foxhold::replication"),
+    ("foxhold::settings", "foxhold::config::settings"),
+    ("foxhold::director::config", "foxhold::config::platform"),
+    ("foxhold::sources", "foxhold::discovery"),
+    ("foxhold::transport", "foxhold::upstream"),
+    ("foxhold::wire", "foxhold::simulator"),
+];
 
-/// Standard error for a program that must not wait for its readers: a line that finds no room is dropped and
-/// counted, and the count goes ahead of the next that does.
+/// Why the log can't begin.
+#[derive(Debug, thiserror::Error)]
+pub enum LogError {
+    /// The level can't be read.
+    #[error("log level '{level}': {source}")]
+    Level {
+        /// The level as it was given.
+        level: String,
+        /// Why.
+        source: ParseError,
+    },
+    /// A log has begun already.
+    #[error(transparent)]
+    AlreadyInitialized(#[from] TryInitError),
+}
+
+/// Lines that were dropped since the last one that was written.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
+
+/// Standard error for a program that must not wait for its readers: a line that would block is dropped and
+/// counted, and the count is written ahead of the next line that does not.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lossy;
+pub struct LossyStderr;
 
-impl Write for Lossy {
+impl Write for LossyStderr {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let error = io::stderr();
-        let mut ready = [PollFd::new(&error, PollFlags::OUT)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let room = matches!(poll(&mut ready, Some(&at_once)), Ok(n) if n > 0)
-            && ready[0].revents().contains(PollFlags::OUT);
-        if !room {
-            LOST.fetch_add(1, Ordering::Relaxed);
+        let stderr = io::stderr();
+        if !is_writable(&stderr) {
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
         }
-        let lost = LOST.swap(0, Ordering::Relaxed);
-        let mut out = Vec::with_capacity(line.len().min(LONGEST) + 32);
-        if lost > 0 {
-            let _ = writeln!(out, "{lost} lines of the log found no room");
+        let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
+        let mut out = Vec::with_capacity(line.len().min(MAX_LINE_BYTES) + RESERVED_LINE_BYTES);
+        if dropped > 0 {
+            let _ = writeln!(out, "{dropped} lines of the log found no room");
         }
-        out.extend_from_slice(&line[..line.len().min(LONGEST - 64)]);
+        out.extend_from_slice(&line[..line.len().min(MAX_LINE_BYTES - RESERVED_LINE_BYTES)]);
         if out.last() != Some(&b'\n') {
             out.push(b'\n');
         }
-        let _ = error.lock().write_all(&out); // a reader that has gone is none
+        let _ = stderr.lock().write_all(&out); // nobody may read it any more
         Ok(line.len())
     }
 
@@ -49,16 +80,52 @@
     }
 }
 
-/// Begins the log. `FOXHOLD_LOG` stands above what the file says; a level that can't be read is an error of
-/// one line.
-pub fn begin(section: &LogSection) -> Result<(), String> {
-    let level = std::env::var("FOXHOLD_LOG").unwrap_or_else(|_| section.level.clone());
-    let targets: Targets = level.parse().map_err(|e| format!("log level '{level}': {e}"))?;
-    let lines =
-        fmt::layer().with_writer(|| Lossy).with_target(false).with_ansi(false).log_internal_errors(false);
+/// Whether a line can be written without blocking.
+fn is_writable(stderr: &io::Stderr) -> bool {
+    let mut polled = [PollFd::new(stderr, PollFlags::OUT)];
+    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+    matches!(poll(&mut polled, Some(&at_once)), Ok(n) if n > 0)
+        && polled[0].revents().contains(PollFlags::OUT)
+}
+
+/// Reads a filter: a level, or levels of modules as in `info,foxhold::dispatch=debug`. Modules may be given by
+/// the names of earlier versions.
+pub fn parse_filter(level: &str) -> Result<Targets, LogError> {
+    let parsed: Result<Targets, ParseError> = level.parse();
+    let given = parsed.map_err(|source| LogError::Level { level: level.to_owned(), source })?;
+    let mut filter = Targets::new();
+    if let Some(default) = given.default_level() {
+        filter = filter.with_default(default);
+    }
+    Ok(filter.with_targets(given.iter().map(|(module, level)| (resolve_alias(module), level))))
+}
+
+/// A module's present name.
+fn resolve_alias(module: &str) -> String {
+    for (alias, name) in MODULE_ALIASES {
+        match module.strip_prefix(alias) {
+            Some(submodule) if submodule.is_empty() || submodule.starts_with("::") => {
+                return format!("{name}{submodule}");
+            }
+            _ => {}
+        }
+    }
+    module.to_owned()
+}
+
+/// Begins the log. The variable `FOXHOLD_LOG` overrides the level of the section.
+pub fn init(section: &LogSection) -> Result<(), LogError> {
+    let level = std::env::var(LEVEL_VARIABLE).unwrap_or_else(|_| section.level.clone());
+    let filter = parse_filter(&level)?;
+    let lines = fmt::layer()
+        .with_writer(|| LossyStderr)
+        .with_target(false)
+        .with_ansi(false)
+        .log_internal_errors(false);
     let lines = match section.form {
-        LogForm::Text => lines.without_time().with_filter(targets).boxed(),
-        LogForm::Json => lines.json().with_filter(targets).boxed(),
+        LogForm::Text => lines.without_time().with_filter(filter).boxed(),
+        LogForm::Json => lines.json().with_filter(filter).boxed(),
     };
-    tracing_subscriber::registry().with(lines).try_init().map_err(|e| e.to_string())
+    tracing_subscriber::registry().with(lines).try_init()?;
+    Ok(())
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,23 +1,33 @@
-//! The director: reads its configuration, serves until SIGTERM, and then ends what it has taken. On SIGHUP it
-//! reads the configuration anew.
+//! The command line of the director.
 
 use clap::{Parser, Subcommand};
 use foxhold::config::operator::Operator;
 use foxhold::config::platform::PlatformConfig;
+use foxhold::daemon::{self, DaemonError, ReloadedConfig};
 use foxhold::discovery::xds;
 use foxhold::frontend::signed::parse_keys;
-use foxhold::{daemon, log};
+use foxhold::log::{self, LogError};
 use rustix::process::{getrlimit, Resource};
+use std::error::Error;
+use std::io;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Where the operator's own file is, unless `FOXHOLD_FRONT` names another: the first of these that is there.
+/// Where the operators' file is, unless [`OPERATOR_FILE_VARIABLE`] names another: the first that exists.
 const OPERATOR_FILES: [&str; 2] = ["deploy/foxhold.yaml", "deploy/front.json"];
-/// How a program ends whose files can't be used.
-const FAULTS: u8 = 2;
+const OPERATOR_FILE_VARIABLE: &str = "FOXHOLD_FRONT";
+const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
+const INHERITED_SOCKET_VARIABLE: &str = "ROUTER_FD";
+/// Descriptors up to this one are the standard streams.
+const MAX_STANDARD_STREAM: RawFd = 2;
+/// The exit code where a file can't be used, or no admin endpoint answers.
+const EXIT_UNUSABLE: u8 = 2;
+/// How long an admin endpoint may take to answer.
+#[cfg(feature = "peers")]
+const ADMIN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
 /// A director for cache networks.
 #[derive(Parser)]
@@ -36,12 +46,12 @@
 enum Command {
     /// Serve until SIGTERM; the default
     Serve,
-    /// Show who of the other directors is there, and how far each is behind
+    /// Show the other directors, and how far each is behind
     #[cfg(feature = "peers")]
     Peers {
         #[command(flatten)]
-        door: Door,
-        /// As the door gives it, in JSON
+        admin: AdminAddress,
+        /// As the admin endpoint gives it, in JSON
         #[arg(long)]
         json: bool,
     },
@@ -49,35 +59,35 @@
     #[cfg(feature = "peers")]
     State {
         #[command(subcommand)]
-        what: StateCommand,
+        command: StateCommand,
     },
-    /// Have a server drain at all directors, by an operator's word
+    /// Drain a server at all directors, as an operator's override
     #[cfg(feature = "peers")]
     Drain {
-        /// Its name in the list
+        /// Its name in the endpoint list
         server: String,
         #[command(flatten)]
-        door: Door,
+        admin: AdminAddress,
     },
-    /// Take that word back
+    /// Withdraw that override
     #[cfg(feature = "peers")]
     Undrain {
-        /// Its name in the list
+        /// Its name in the endpoint list
         server: String,
         #[command(flatten)]
-        door: Door,
+        admin: AdminAddress,
     },
     /// Have no director serve copies of an object or a group that are older than now
     #[cfg(feature = "peers")]
     Purge {
         /// `object` or `group`
-        what: String,
+        kind: String,
         /// The object's name or the group's number
-        which: String,
+        target: String,
         #[command(flatten)]
-        door: Door,
+        admin: AdminAddress,
     },
-    /// Say of each file whether it can be used, and what is wrong with it; exit 2 where one can't
+    /// Validate files, and say what is wrong with them; exit 2 where one can't be used
     Check {
         /// Platform configurations in JSON, and operators' files in YAML
         #[arg(required = true)]
@@ -93,193 +103,260 @@
         /// The kind
         kind: String,
         #[command(flatten)]
-        door: Door,
+        admin: AdminAddress,
     },
 }
 
 /// Which director is asked.
 #[cfg(feature = "peers")]
 #[derive(clap::Args)]
-struct Door {
-    /// The address of its operators' door; else that of the configuration in ROUTER_CONFIG
-    #[arg(long, value_name = "ADDRESS")]
-    door: Option<String>,
+struct AdminAddress {
+    /// The address of its admin endpoint; else that of the configuration in ROUTER_CONFIG
+    #[arg(long = "admin", alias = "door", value_name = "ADDRESS")]
+    address: Option<String>,
 }
 
-#[cfg(feature = "peers")]
-impl Door {
-    /// Shows the others, as a table or as they come.
-    fn peers(&self, json: bool) -> ExitCode {
-        let shown = self.answer("peers").map(|answer| answer.lines().next().unwrap_or_default().to_owned());
-        let table = shown.as_deref().map(miniserde::json::from_str::<foxhold::cluster::Status>);
-        match table {
-            Ok(Ok(shown)) if !json => {
-                print!("{shown}");
-                ExitCode::SUCCESS
-            }
-            _ => self.ask("peers"),
-        }
+/// Why a command failed. Its text is one line.
+#[derive(Debug, thiserror::Error)]
+enum CliError {
+    #[error("ROUTER_CONFIG does not name a configuration")]
+    NoConfig,
+    #[error("ROUTER_FD is not the number of a descriptor")]
+    InvalidInheritedSocket,
+    #[cfg(feature = "peers")]
+    #[error("neither --admin nor ROUTER_CONFIG says where the door is")]
+    NoAdminAddress,
+    #[cfg(feature = "peers")]
+    #[error("the door at {address}: {source}")]
+    AdminEndpoint { address: String, source: io::Error },
+    #[error("{0}")]
+    Config(#[source] Box<dyn Error + Send + Sync>),
+    #[error("{}: {source}", .file.display())]
+    File { file: PathBuf, source: Box<dyn Error + Send + Sync> },
+    #[error("{}: {}: {source}", .file.display(), .named.display())]
+    NamedFile { file: PathBuf, named: PathBuf, source: Box<dyn Error + Send + Sync> },
+    #[cfg(feature = "peers")]
+    #[error("{}: peers.folder: {} is no folder", .file.display(), .folder.display())]
+    NotAFolder { file: PathBuf, folder: PathBuf },
+    #[error(transparent)]
+    Log(#[from] LogError),
+    #[error(transparent)]
+    Daemon(#[from] DaemonError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+impl CliError {
+    fn config(error: impl Into<Box<dyn Error + Send + Sync>>) -> CliError {
+        CliError::Config(error.into())
     }
+}
 
-    /// Asks one line and prints the answer: 0 where it is no refusal, 2 where nobody answers.
-    fn ask(&self, line: &str) -> ExitCode {
-        match self.answer(line) {
-            Ok(answer) => {
-                print!("{}", answer.strip_suffix("END\n").unwrap_or(&answer));
-                if answer.starts_with("NO") {
-                    ExitCode::FAILURE
-                } else {
-                    ExitCode::SUCCESS
-                }
-            }
+fn main() -> ExitCode {
+    match Arguments::parse().command {
+        None | Some(Command::Serve) => match serve() {
+            Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
                 eprintln!("foxhold: {error}");
-                FAULTS.into()
+                ExitCode::FAILURE
             }
+        },
+        Some(Command::Check { files }) => check_all(&files),
+        #[cfg(feature = "peers")]
+        Some(Command::Peers { admin, json: true }) => admin.run("peers"),
+        #[cfg(feature = "peers")]
+        Some(Command::Peers { admin, json: false }) => admin.show_peers(),
+        #[cfg(feature = "peers")]
+        Some(Command::State { command: StateCommand::Show { kind, admin } }) => {
+            admin.run(&format!("state {kind}"))
         }
+        #[cfg(feature = "peers")]
+        Some(Command::Drain { server, admin }) => admin.run(&format!("drain {server}")),
+        #[cfg(feature = "peers")]
+        Some(Command::Undrain { server, admin }) => admin.run(&format!("undrain {server}")),
+        #[cfg(feature = "peers")]
+        Some(Command::Purge { kind, target, admin }) => admin.run(&format!("purge {kind} {target}")),
     }
+}
 
-    fn answer(&self, line: &str) -> Result<String, String> {
-        use std::io::{Read, Write};
-        let door = match (&self.door, std::env::var_os("ROUTER_CONFIG")) {
-            (Some(door), _) => door.clone(),
-            (None, Some(path)) => PlatformConfig::read(&PathBuf::from(path))?.admin_address,
-            (None, None) => return Err("neither --door nor ROUTER_CONFIG says where the door is".into()),
-        };
-        let failed = |e: std::io::Error| format!("the door at {door}: {e}");
-        let mut stream = std::net::TcpStream::connect(&door).map_err(failed)?;
-        stream.set_read_timeout(Some(std::time::Duration::from_secs(5))).map_err(failed)?;
-        stream.write_all(format!("{line}\n").as_bytes()).map_err(failed)?;
+#[cfg(feature = "peers")]
+impl AdminAddress {
+    /// Shows the other directors as a table.
+    fn show_peers(&self) -> ExitCode {
+        let answer = self.send("peers");
+        print_answer(answer, |answer| {
+            let json = answer.lines().next().unwrap_or_default();
+            let status = miniserde::json::from_str::<foxhold::cluster::Status>(json).ok();
+            status.map(|status| status.to_string())
+        })
+    }
+
+    /// Sends a command and prints the answer as it comes.
+    fn run(&self, command: &str) -> ExitCode {
+        print_answer(self.send(command), |_| None)
+    }
+
+    fn send(&self, command: &str) -> Result<String, CliError> {
+        use io::{Read, Write};
+        let address = self.resolve()?;
+        let failed = |source| CliError::AdminEndpoint { address: address.clone(), source };
+        let mut stream = std::net::TcpStream::connect(&address).map_err(failed)?;
+        stream.set_read_timeout(Some(ADMIN_TIMEOUT)).map_err(failed)?;
+        stream.write_all(format!("{command}\n").as_bytes()).map_err(failed)?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).map_err(failed)?;
         Ok(answer)
     }
+
+    fn resolve(&self) -> Result<String, CliError> {
+        if let Some(address) = &self.address {
+            return Ok(address.clone());
+        }
+        let path = std::env::var_os(CONFIG_VARIABLE).ok_or(CliError::NoAdminAddress)?;
+        let config = PlatformConfig::read(Path::new(&path)).map_err(CliError::config)?;
+        Ok(config.admin_address)
+    }
 }
 
-fn main() -> ExitCode {
-    match Arguments::parse().command {
-        #[cfg(feature = "peers")]
-        Some(Command::Peers { door, json }) => door.peers(json),
-        #[cfg(feature = "peers")]
-        Some(Command::State { what: StateCommand::Show { kind, door } }) => {
-            door.ask(&format!("state {kind}"))
+/// Prints an answer, in another form where `render` knows one: 0 unless it is `NO`, 2 where nobody answers.
+#[cfg(feature = "peers")]
+fn print_answer(answer: Result<String, CliError>, render: impl Fn(&str) -> Option<String>) -> ExitCode {
+    let answer = match answer {
+        Ok(answer) => answer,
+        Err(error) => {
+            eprintln!("foxhold: {error}");
+            return EXIT_UNUSABLE.into();
         }
-        #[cfg(feature = "peers")]
-        Some(Command::Drain { server, door }) => door.ask(&format!("drain {server}")),
-        #[cfg(feature = "peers")]
-        Some(Command::Undrain { server, door }) => door.ask(&format!("undrain {server}")),
-        #[cfg(feature = "peers")]
-        Some(Command::Purge { what, which, door }) => door.ask(&format!("purge {what} {which}")),
-        None | Some(Command::Serve) => match serve() {
-            Ok(()) => ExitCode::SUCCESS,
+    };
+    if let Some(rendered) = render(&answer) {
+        print!("{rendered}");
+        return ExitCode::SUCCESS;
+    }
+    print!("{}", answer.strip_suffix("END\n").unwrap_or(&answer));
+    if answer.starts_with("NO") {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
+    }
+}
+
+/// Says of each file what it is, or why it can't be used.
+fn check_all(files: &[PathBuf]) -> ExitCode {
+    let mut exit_code = ExitCode::SUCCESS;
+    for file in files {
+        match check(file) {
+            Ok(description) => println!("{}: {description}", file.display()),
             Err(error) => {
-                eprintln!("foxhold: {error}");
-                ExitCode::FAILURE
-            }
-        },
-        Some(Command::Check { files }) => {
-            let mut good = true;
-            for file in &files {
-                match check(file) {
-                    Ok(what) => println!("{}: {what}", file.display()),
-                    Err(fault) => {
-                        good = false;
-                        eprintln!("{fault}");
-                    }
-                }
-            }
-            if good {
-                ExitCode::SUCCESS
-            } else {
-                FAULTS.into()
+                exit_code = EXIT_UNUSABLE.into();
+                eprintln!("{error}");
             }
         }
     }
+    exit_code
 }
 
 /// What a file is, where it and the files that it names can be used.
-fn check(file: &Path) -> Result<String, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let platform = text.trim_start().starts_with('{') && text.contains("\"settings\"");
-    if platform {
-        let config = PlatformConfig::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?;
+fn check(file: &Path) -> Result<String, CliError> {
+    let failed = |source| CliError::File { file: file.to_owned(), source };
+    let text = std::fs::read_to_string(file).map_err(|error| failed(error.into()))?;
+    let is_platform_config = text.trim_start().starts_with('{') && text.contains("\"settings\"");
+    if is_platform_config {
+        let config = PlatformConfig::parse(&text).map_err(|error| failed(error.into()))?;
         let (classes, events) = (config.settings.classes.len(), config.initial_events.len());
         return Ok(format!("a platform configuration, {classes} classes, {events} events known"));
     }
-    let operator = Operator::read(file).map_err(|e| e.to_string())?;
-    let named = |path: &Path, parse: &dyn Fn(&str) -> Result<(), String>| {
-        let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-        text.and_then(|t| parse(&t)).map_err(|e| format!("{}: {}: {e}", file.display(), path.display()))
-    };
+    let operator = Operator::read(file).map_err(CliError::config)?;
+    check_named_files(file, &operator)?;
+    let peers = operator.peers.map_or("off".into(), |peers| peers.listen.to_string());
+    let signed = operator.signed.map_or("off".into(), |signed| signed.listen);
+    let members = operator.xds.map_or("the notice board".into(), |path| path.display().to_string());
+    Ok(format!(
+        "an operator's file, signed front {signed}, members from {members}, talk among directors {peers}"
+    ))
+}
+
+/// Validates the files that an operators' file names.
+fn check_named_files(file: &Path, operator: &Operator) -> Result<(), CliError> {
     if let Some(signed) = &operator.signed {
-        named(&signed.keys, &|t| parse_keys(t).map(drop))?;
+        check_named_file(file, &signed.keys, parse_keys)?;
     }
     if let Some(path) = &operator.xds {
-        named(path, &|t| xds::parse(t).map(drop))?;
+        check_named_file(file, path, xds::parse)?;
     }
     #[cfg(feature = "peers")]
     if let Some(peers) = &operator.peers {
-        named(&peers.key, &|t| foxhold::cluster::frame::parse_keys(t).map(drop))?;
-        if let Some(folder) = peers.folder.as_ref().filter(|f| !f.is_dir()) {
-            return Err(format!("{}: peers.folder: {} is no folder", file.display(), folder.display()));
+        check_named_file(file, &peers.key, foxhold::cluster::frame::parse_keys)?;
+        if let Some(folder) = peers.folder.as_ref().filter(|folder| !folder.is_dir()) {
+            return Err(CliError::NotAFolder { file: file.to_owned(), folder: folder.clone() });
         }
     }
-    let peers = operator.peers.map_or("off".into(), |p| p.listen.to_string());
-    let front = operator.signed.map_or("off".into(), |s| s.listen);
-    let members = operator.xds.map_or("the notice board".into(), |p| p.display().to_string());
-    Ok(format!(
-        "an operator's file, signed front {front}, members from {members}, talk among directors {peers}"
-    ))
+    Ok(())
+}
+
+fn check_named_file<T, E: Into<Box<dyn Error + Send + Sync>>>(
+    file: &Path,
+    named: &Path,
+    parse: impl Fn(&str) -> Result<T, E>,
+) -> Result<(), CliError> {
+    let failed = |source| CliError::NamedFile { file: file.to_owned(), named: named.to_owned(), source };
+    let text = std::fs::read_to_string(named).map_err(|error| failed(error.into()))?;
+    parse(&text).map_err(|error| failed(error.into()))?;
+    Ok(())
 }
 
-fn serve() -> Result<(), String> {
-    let inherited = inherited()?;
-    let path = std::env::var_os("ROUTER_CONFIG").ok_or("ROUTER_CONFIG does not name a configuration")?;
-    let path = PathBuf::from(path);
-    let config = read_config(&path)?;
-    // All off on the platform, where no file says otherwise.
-    let file = std::env::var_os("FOXHOLD_FRONT").map(PathBuf::from);
-    let file = file.or_else(|| OPERATOR_FILES.iter().map(PathBuf::from).find(|f| f.exists()));
-    let operator =
-        file.map(|f| Operator::read(&f)).transpose().map_err(|e| e.to_string())?.unwrap_or_default();
-    log::begin(&operator.log)?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+fn serve() -> Result<(), CliError> {
+    let inherited = inherited_socket()?;
+    let path = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from).ok_or(CliError::NoConfig)?;
+    let config = read_config(&path).map_err(CliError::Config)?;
+    let operator = read_operator_file()?;
+    log::init(&operator.log)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let mut term = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-        // Taken before anything is served: by default this signal ends a program.
-        let hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
-        let (to_director, configs) = mpsc::channel(1);
-        tokio::task::spawn_local(reload(path, hangup, to_director));
-        daemon::run(config, operator, inherited, configs, async move {
-            term.recv().await;
-        })
-        .await
+        let mut terminate = signal(SignalKind::terminate())?;
+        // Registered before anything is served: by default this signal ends a process.
+        let hangup = signal(SignalKind::hangup())?;
+        let (sender, configs) = mpsc::channel(1);
+        tokio::task::spawn_local(reload_on_hangup(path, hangup, sender));
+        let terminated = async move {
+            terminate.recv().await;
+        };
+        daemon::run(config, operator, inherited, configs, terminated).await?;
+        Ok(())
     })
 }
 
-/// The listening socket that whoever started the program holds for it, by the number in `ROUTER_FD`.
-fn inherited() -> Result<Option<std::net::TcpListener>, String> {
-    let Some(number) = std::env::var_os("ROUTER_FD") else { return Ok(None) };
-    let number = number.to_str().and_then(|n| n.parse::<RawFd>().ok()).filter(|n| *n > 2);
-    let number = number.ok_or("ROUTER_FD is not the number of a descriptor")?;
-    // SAFETY: called once, before anything else is opened; the number belongs to this process by the
-    // platform's word, and nothing else here goes by it. A wrong one shows at the first use of the socket, as
-    // an error.
+/// The operators' file; everything in it is off where there is none.
+fn read_operator_file() -> Result<Operator, CliError> {
+    let named = std::env::var_os(OPERATOR_FILE_VARIABLE).map(PathBuf::from);
+    let path = named.or_else(|| OPERATOR_FILES.iter().map(PathBuf::from).find(|path| path.exists()));
+    match path {
+        Some(path) => Operator::read(&path).map_err(CliError::config),
+        None => Ok(Operator::default()),
+    }
+}
+
+/// The listening socket that whoever started the process holds for it.
+fn inherited_socket() -> Result<Option<std::net::TcpListener>, CliError> {
+    let Some(number) = std::env::var_os(INHERITED_SOCKET_VARIABLE) else { return Ok(None) };
+    let number = number.to_str().and_then(|number| number.parse::<RawFd>().ok());
+    let number = number.filter(|number| *number > MAX_STANDARD_STREAM);
+    let number = number.ok_or(CliError::InvalidInheritedSocket)?;
+    // SAFETY: called once, before anything else is opened; by the platform's contract the descriptor belongs to
+    // this process, and nothing else here uses it. A wrong one shows at the first use of the socket, as an
+    // error.
     let socket = unsafe { OwnedFd::from_raw_fd(number) };
     Ok(Some(socket.into()))
 }
 
-/// Reads the configuration at each SIGHUP. Those signals that come while one is under way count as one more.
-async fn reload(path: PathBuf, mut hangup: Signal, configs: mpsc::Sender<Result<PlatformConfig, String>>) {
+/// Reads the configuration at each SIGHUP. The signals that come while one is under way count as one more.
+async fn reload_on_hangup(path: PathBuf, mut hangup: Signal, configs: mpsc::Sender<ReloadedConfig>) {
     while hangup.recv().await.is_some() {
         let _ = configs.send(read_config(&path)).await;
     }
 }
 
-/// Reads the configuration. Where the system lets this process hold fewer descriptors than it says, that
-/// counts.
-fn read_config(path: &Path) -> Result<PlatformConfig, String> {
+/// Reads the configuration. Its limit on descriptors is no higher than the system's for this process.
+fn read_config(path: &Path) -> ReloadedConfig {
     let mut config = PlatformConfig::read(path)?;
     let limit = getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok());
     config.max_descriptors = config.max_descriptors.min(limit.unwrap_or(usize::MAX));
--- a/src/signed/url.rs
+++ b/src/signed/url.rs
@@ -2,52 +2,87 @@
 //! up to `&Signature=`.
 
 use super::keys::{decode_base64url, KeySet};
-use super::{check_times, CredentialError, Grant};
+use super::{check_validity, CredentialError, Grant};
 use crate::policy::types::Micros;
 
 const PARAMETERS: [&str; 3] = ["Expires", "KeyName", "Signature"];
+/// Digits of a Unix time in seconds at most.
+const MAX_EXPIRES_DIGITS: usize = 12;
 
-fn count(query: &str, name: &str) -> usize {
-    query.split('&').filter(|p| p.split_once('=').map_or(*p, |(n, _)| n) == name).count()
+/// How often a parameter stands in a query.
+fn occurrences(query: &str, name: &str) -> usize {
+    let names =
+        query.split('&').map(|parameter| parameter.split_once('=').map_or(parameter, |(name, _)| name));
+    names.filter(|given| *given == name).count()
 }
 
 /// Whether the target carries any of the parameters.
 pub(super) fn is_signed(target: &str) -> bool {
     let query = target.split_once('?').map_or("", |(_, q)| q);
-    PARAMETERS.iter().any(|name| count(query, name) > 0)
+    PARAMETERS.iter().any(|name| occurrences(query, name) > 0)
 }
 
-pub(super) fn check(
+/// Verifies a signed URL.
+pub(super) fn verify(
     keys: &KeySet,
     authority: &str,
     target: &str,
     unix: Micros,
 ) -> Result<Grant, CredentialError> {
     let (path, query) = target.split_once('?').ok_or(CredentialError::Malformed)?;
-    // A repeated parameter could be read one way here and another way elsewhere.
-    if PARAMETERS.iter().any(|name| count(query, name) != 1) {
-        return Err(CredentialError::Malformed);
+    let signed = SignedQuery::parse(query).ok_or(CredentialError::Malformed)?;
+    let expires = parse_expires(signed.expires).ok_or(CredentialError::Malformed)?;
+    let signature = decode_base64url(signed.signature).ok_or(CredentialError::Malformed)?;
+    let key = keys.keys.get(signed.key_name).filter(|key| key.token_alg().is_none());
+    let key = key.ok_or(CredentialError::InvalidSignature)?;
+    let url = format!("{}://{authority}{path}?{}", keys.scheme, signed.signed_part);
+    if !key.verifies(url.as_bytes(), &signature) {
+        return Err(CredentialError::InvalidSignature);
     }
-    // The three stand last and in this order; all that is before them is signed as well.
-    let (signed_query, signature) = query.rsplit_once("&Signature=").ok_or(CredentialError::Malformed)?;
-    let (rest, name) = signed_query.rsplit_once("&KeyName=").ok_or(CredentialError::Malformed)?;
-    let (rest, expires) = match rest.strip_prefix("Expires=") {
-        Some(expires) => ("", expires),
-        None => rest.rsplit_once("&Expires=").ok_or(CredentialError::Malformed)?,
+    let expires_at = check_validity(keys, None, Some(expires), unix)?;
+    let target = match signed.other_parameters {
+        "" => path.to_owned(),
+        parameters => format!("{path}?{parameters}"),
     };
-    if [signature, name, expires].iter().any(|value| value.is_empty() || value.contains('&')) {
-        return Err(CredentialError::Malformed);
+    Ok(Grant { target, expires_at })
+}
+
+/// The parts of a signed URL's query.
+struct SignedQuery<'a> {
+    /// What the signature is over.
+    signed_part: &'a str,
+    /// What stands before the three parameters.
+    other_parameters: &'a str,
+    expires: &'a str,
+    key_name: &'a str,
+    signature: &'a str,
+}
+
+impl<'a> SignedQuery<'a> {
+    fn parse(query: &'a str) -> Option<Self> {
+        // A repeated parameter could be read one way here and another way elsewhere.
+        if PARAMETERS.iter().any(|name| occurrences(query, name) != 1) {
+            return None;
+        }
+        // The three stand last and in this order; all that is before them is signed as well.
+        let (signed_part, signature) = query.rsplit_once("&Signature=")?;
+        let (rest, key_name) = signed_part.rsplit_once("&KeyName=")?;
+        let (other_parameters, expires) = match rest.strip_prefix("Expires=") {
+            Some(expires) => ("", expires),
+            None => rest.rsplit_once("&Expires=")?,
+        };
+        let is_value = |value: &&str| !value.is_empty() && !value.contains('&');
+        if ![signature, key_name, expires].iter().all(is_value) {
+            return None;
+        }
+        Some(SignedQuery { signed_part, other_parameters, expires, key_name, signature })
     }
-    let digits = expires.bytes().all(|b| b.is_ascii_digit()) && expires.len() <= 12;
-    let expires: f64 = expires.parse().ok().filter(|_| digits).ok_or(CredentialError::Malformed)?;
-    let signature = decode_base64url(signature).ok_or(CredentialError::Malformed)?;
-    let key =
-        keys.keys.get(name).filter(|k| k.token_alg().is_none()).ok_or(CredentialError::InvalidSignature)?;
-    let url = format!("{}://{authority}{path}?{signed_query}", keys.scheme);
-    if !key.verifies(url.as_bytes(), &signature) {
-        return Err(CredentialError::InvalidSignature);
+}
+
+/// A Unix time in seconds.
+fn parse_expires(text: &str) -> Option<f64> {
+    if text.len() > MAX_EXPIRES_DIGITS || !text.bytes().all(|b| b.is_ascii_digit()) {
+        return None;
     }
-    let valid_until = check_times(keys, None, Some(expires), unix)?;
-    let target = if rest.is_empty() { path.to_owned() } else { format!("{path}?{rest}") };
-    Ok(Grant { target, expires_at: valid_until })
+    text.parse().ok()
 }
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -5,7 +5,8 @@
 use base64::{engine::general_purpose::URL_SAFE, Engine};
 use foxhold::discovery::watched_file::WatchedFile;
 use foxhold::dispatch::{Clock, Dispatcher, DispatcherMessage};
-use foxhold::frontend::signed::{follow_keys, parse_keys, MetricsFrontend, SignedUrlFrontend};
+use foxhold::frontend::metrics::MetricsFrontend;
+use foxhold::frontend::signed::{follow_keys, parse_keys, SignedUrlFrontend};
 use foxhold::policy::types::Micros;
 use foxhold::signed::OutcomeCounters;
 use hmac::{Hmac, KeyInit, Mac};
@@ -255,7 +256,9 @@
     };
     std::fs::write(&path, file("u0")).expect("a file");
     paused(async {
-        let (watched, first) = WatchedFile::open(path.clone(), parse_keys).expect("a good file");
+        let (watched, first) =
+            WatchedFile::open(path.clone(), |text| parse_keys(text).map_err(|error| error.to_string()))
+                .expect("a good file");
         let (sender, keys) = watch::channel(Arc::new(first));
         tokio::task::spawn_local(follow_keys(watched, sender));
         let names = || format!("{:?}", keys.borrow());
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -250,8 +250,10 @@
 
 #[test]
 fn keys_that_can_t_be_used_are_named_and_never_shown() {
-    let error =
-        |file: &str| KeySet::new(miniserde::json::from_str(file).expect("JSON")).expect_err("bad keys");
+    let error = |file: &str| {
+        let file = miniserde::json::from_str(file).expect("JSON");
+        KeySet::new(file).expect_err("bad keys").to_string()
+    };
     let key =
         |alg: &str, key: &str| error(&format!(r#"{{"keys":[{{"name":"k","alg":"{alg}","key":"{key}"}}]}}"#));
     assert_eq!(key("HS256", "c2hvcnQ"), "key 'k': shorter than 16 bytes");
