--- a/Makefile
+++ b/Makefile
@@ -15,19 +15,19 @@
 	cargo clippy --locked --workspace --all-targets --all-features -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --all-features --no-deps --quiet
 
-# A director for the toy deployment, with both fronts.
+# A director for the example deployment, with both frontends.
 run: build
 	ROUTER_CONFIG=examples/config.json FOXHOLD_FRONT=examples/foxhold.yaml target/release/foxhold
 
-# The toy deployment; runs until it is stopped.
+# The servers of the example deployment; runs until it is stopped.
 toys:
-	cargo run --locked --example toy_server
+	cargo run --locked --example example_servers
 
 # A signed link to try.
 sign:
 	@cargo run --locked --quiet --example sign -- /guide-videos/one.mp4
 
-# All of it at once: the toys, the director with both fronts, and some requests through each.
+# All of it at once: the example servers, the director with both frontends, and some requests through each.
 demo: build
 	@cargo run --locked --quiet --example demo
 
--- a/examples/axum.rs
+++ b/examples/axum.rs
@@ -1,7 +1,7 @@
-//! The director in an axum application, before the toy deployment (see README.md). signed links go
-//! to the director; a route of the application's own stands beside it.
+//! The director in an axum application, in front of the example deployment (see README.md). Signed URLs go to
+//! the director, beside a route of the application's own.
 //!
-//! `cargo run --example axum --features axum`, then `make sign` and ask port 7105 for the link, with
+//! `cargo run --example axum --features axum`, then `make sign` and request the link from port 7105, with
 //! `-H 'Host: 127.0.0.1:7101'`, the host that it was signed for.
 
 use axum::routing::get;
--- a/examples/toy_server.rs
+++ b/examples/example_servers.rs
@@ -1,16 +1,25 @@
-//! A toy deployment on loopback for trying foxhold: a cache, a parent and an origin that hold everything, and
-//! a notice board on which nothing happens. Start it, then the director (see README.md).
+//! The servers of the example deployment, on loopback: a cache, a parent and an origin that hold every object, and
+//! a discovery service on which nothing changes. Start it, then the director (see README.md).
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
-/// Serves until the program ends.
+/// The servers in `examples/config.json`.
+const SERVERS: [(&str, &str); 3] = [
+    ("example-cache", "127.0.0.1:7201"),
+    ("example-parent", "127.0.0.1:7202"),
+    ("example-origin", "127.0.0.1:7203"),
+];
+const DISCOVERY_ADDRESS: &str = "127.0.0.1:7200";
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Bytes after a request's body.
+const LINE_END_BYTES: usize = 2;
+
+/// Serves until the process ends.
 pub fn main() -> std::io::Result<()> {
-    let servers =
-        [("toy-cache", "127.0.0.1:7201"), ("toy-parent", "127.0.0.1:7202"), ("toy-origin", "127.0.0.1:7203")];
-    for (name, address) in servers {
+    for (name, address) in SERVERS {
         let listener = TcpListener::bind(address)?;
         println!("{name} on {address}");
         thread::spawn(move || {
@@ -19,15 +28,15 @@
             }
         });
     }
-    let board = TcpListener::bind("127.0.0.1:7200")?;
-    println!("notice board on 127.0.0.1:7200");
-    for stream in board.incoming().flatten() {
-        thread::spawn(move || tell(stream));
+    let discovery = TcpListener::bind(DISCOVERY_ADDRESS)?;
+    println!("discovery service on {DISCOVERY_ADDRESS}");
+    for stream in discovery.incoming().flatten() {
+        thread::spawn(move || send_heartbeats(stream));
     }
     Ok(())
 }
 
-/// Answers each request at once, with bytes that say who gave them.
+/// Answers each request at once, with a body that names the server.
 fn serve(name: &str, stream: TcpStream) -> std::io::Result<()> {
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
@@ -39,11 +48,11 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
             ["want", id, fields, length] => {
-                let mut body = vec![0; length.parse::<usize>().unwrap_or(0) + 2];
+                let mut body = vec![0; length.parse::<usize>().unwrap_or(0) + LINE_END_BYTES];
                 reader.read_exact(&mut body)?;
                 println!("{name}: {}", line.trim_end());
                 let text = format!("{name} gives {fields}\n");
-                write!(writer, "{id} ACK tag=toy,res=cached {}\r\n{text}\r\n", text.len())?;
+                write!(writer, "{id} ACK tag=example,res=cached {}\r\n{text}\r\n", text.len())?;
             }
             ["busy", tag] => write!(writer, "{tag} READY - 0\r\n\r\n")?,
             _ => {}
@@ -51,10 +60,10 @@
     }
 }
 
-/// Says each second that nothing has happened since the list in the configuration.
-fn tell(mut stream: TcpStream) -> std::io::Result<()> {
+/// Says each second that nothing has changed since the list in the configuration.
+fn send_heartbeats(mut stream: TcpStream) -> std::io::Result<()> {
     loop {
         stream.write_all(b"1\n")?;
-        thread::sleep(Duration::from_secs(1));
+        thread::sleep(HEARTBEAT_INTERVAL);
     }
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -166,7 +166,7 @@
     let (mut watch, took) = board_returns(&board).await;
     println!("{sockets} sockets, limit {limit}: discovery followed {took:?} after its return");
     assert!(took <= SOON, "followed {took:?} after its return");
-    let gone = "{\"rev\":2,\"pool\":{\"members\":[{\"id\":\"toy-parent\",\"host_port\":\"127.0.0.1:1\",\
+    let gone = "{\"rev\":2,\"pool\":{\"members\":[{\"id\":\"example-parent\",\"host_port\":\"127.0.0.1:1\",\
                 \"locality\":\"hub\",\"flavor\":\"parent\",\"phase\":\"terminated\"}]}}\n2\n";
     watch.write_all(gone.as_bytes()).await.expect("a follower");
     figures_say(&door, "\"caches_known\":2").await;
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -87,7 +87,7 @@
     });
 }
 
-fn toy() -> PlatformConfig {
+fn example() -> PlatformConfig {
     PlatformConfig::parse(include_str!("../examples/config.json")).expect("a good configuration")
 }
 
@@ -96,7 +96,7 @@
 fn a_configuration_that_lacks_a_key_or_has_figures_that_can_t_be_is_turned_down() {
     let text = include_str!("../examples/config.json");
     let turned_down = |text: &str| match PlatformConfig::parse(text) {
-        Ok(later) => later.can_replace(&toy()).is_err(),
+        Ok(later) => later.can_replace(&example()).is_err(),
         Err(_) => true,
     };
     assert!(!turned_down(text));
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -258,7 +258,7 @@
         let mut text = String::new();
         signal(&mut child, "TERM");
         std::io::Read::read_to_string(&mut log, &mut text).expect("text");
-        assert!(text.contains("attempt") && text.contains("server=\"toy-origin\""), "{}", &text[..400]);
+        assert!(text.contains("attempt") && text.contains("server=\"example-origin\""), "{}", &text[..400]);
         assert!(text.len() < 80_000, "{} bytes", text.len());
         std::fs::remove_file(&path).expect("the file");
     });
@@ -273,7 +273,7 @@
     let key = file("quiet-key", "c2VjcmV0c2VjcmV0c2VjcmV0\n");
     let listen = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let peers = format!(
-        "peers: {{listen: \"{listen}\", name: a, fleet: toy, key: {}}}\n",
+        "peers: {{listen: \"{listen}\", name: a, fleet: example, key: {}}}\n",
         key.file_name().expect("a name").to_string_lossy()
     );
     let operator = file("quiet-operator", &peers);
@@ -337,10 +337,10 @@
     });
 }
 
-/// An event of the board about the toy cache.
+/// An event of the board about the example cache.
 fn told_of_cache(rev: u64, phase: &str, cache: &str) -> String {
     format!(
-        "{{\"rev\":{rev},\"pool\":{{\"members\":[{{\"id\":\"toy-cache\",\"host_port\":\"{cache}\",\
+        "{{\"rev\":{rev},\"pool\":{{\"members\":[{{\"id\":\"example-cache\",\"host_port\":\"{cache}\",\
          \"locality\":\"branch\",\"flavor\":\"cache\",\"phase\":\"{phase}\",\"size\":8}}]}}}}\n"
     )
 }
--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -212,7 +212,7 @@
     std::str::from_utf8(bytes.get(9..12)?).ok()?.parse().ok()
 }
 
-/// The toy configuration with ports of its own.
+/// The example configuration with ports of its own.
 pub fn config(sockets: usize, board: &str, ops: &str, [cache, parent, origin]: [&str; 3]) -> String {
     include_str!("../../examples/config.json")
         .replace("127.0.0.1:7100", "127.0.0.1:0")
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -105,10 +105,10 @@
     };
     let [cache, parent, origin] = [0, 1, 2].map(|n: usize| servers[n].address.as_str());
     let members = [
-        member("toy-cache", cache, "branch", "cache"),
-        member("toy-cache-2", cache, "branch", "cache"),
-        member("toy-parent", parent, "hub", "parent"),
-        member("toy-origin", origin, "hub", "origin"),
+        member("example-cache", cache, "branch", "cache"),
+        member("example-cache-2", cache, "branch", "cache"),
+        member("example-parent", parent, "hub", "parent"),
+        member("example-origin", origin, "hub", "origin"),
     ];
     let (members, padding) = (members.join(","), " ".repeat(PADDING));
     format!("{{\"rev\":{rev},\"pool\":{{\"complete\":true,{padding}\"members\":[{members}]}}}}\n")
@@ -332,7 +332,7 @@
         let folder = std::env::temp_dir().join(format!("foxhold-{}-killed-state", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let peers = format!(
-            "peers: {{listen: \"{talk}\", name: a, fleet: toy, key: {}, folder: {}}}\n",
+            "peers: {{listen: \"{talk}\", name: a, fleet: example, key: {}, folder: {}}}\n",
             key.0.display(),
             folder.display()
         );
