--- a/src/daemon/frontends.rs
+++ b/src/daemon/frontends.rs
@@ -27,8 +27,7 @@
 impl SignedConfig {
     /// Reads the key file.
     pub(super) fn open(section: SignedSection) -> Result<SignedConfig, DaemonError> {
-        let parse = |text: &str| parse_keys(text).map_err(|error| error.to_string());
-        let (key_file, keys) = WatchedFile::open(section.keys.clone(), parse)
+        let (key_file, keys) = WatchedFile::open(section.keys_file.clone(), parse_keys)
             .map_err(|error| DaemonError::Keys(error.into()))?;
         Ok(SignedConfig { section, key_file, keys })
     }
@@ -96,7 +95,7 @@
         tokio::task::spawn_local(follow_keys(key_file, sender));
         let counts = Arc::new(OutcomeCounters::default());
         let mut tasks = Vec::new();
-        if let Some(address) = section.metrics {
+        if let Some(address) = section.metrics_listen {
             let metrics = MetricsFrontend(counts.clone());
             tasks.push(serve::listen(&address, self.context(), metrics).await?);
         }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -19,7 +19,7 @@
 pub use error::DaemonError;
 pub use reload::ReloadedConfig;
 
-use crate::config::operator::Operator;
+use crate::config::operator::OperatorConfig;
 use crate::config::platform::PlatformConfig;
 use crate::frontend::admin::ReloadCounters;
 use crate::frontend::serve::{ConnectionSlots, ShutdownPhase};
@@ -40,7 +40,7 @@
 /// Clients connect to the inherited socket, where there is one: another process serves it too, or will.
 pub async fn run(
     config: PlatformConfig,
-    operator: Operator,
+    operator: OperatorConfig,
     inherited: Option<std::net::TcpListener>,
     configs: mpsc::Receiver<ReloadedConfig>,
     terminated: impl Future<Output = ()>,
@@ -49,7 +49,7 @@
     let budget = allocate_descriptors(&config, &operator, successor);
     let (to_discovery, discovery_address) = watch::channel(config.discovery_address.clone());
     let signed = operator.signed.map(SignedConfig::open).transpose()?;
-    let sources = Sources { discovery_address, xds_file: operator.xds, peers: operator.peers };
+    let sources = Sources { discovery_address, xds_file: operator.xds_file, peers: operator.peers };
     let Backend { dispatcher, dispatcher_task, cluster } =
         sources.start(&config, budget.upstream_limit).await?;
     let reloads = Rc::new(ReloadCounters::default());
@@ -85,12 +85,12 @@
 /// Divides the descriptors, before the director opens any.
 fn allocate_descriptors(
     config: &PlatformConfig,
-    operator: &Operator,
+    operator: &OperatorConfig,
     successor: Successor,
 ) -> DescriptorBudget {
     let admin = !config.admin_address.is_empty();
     let handover = successor == Successor::OnInheritedSocket;
-    let signed = operator.signed.as_ref().map_or(0, |s| 1 + usize::from(s.metrics.is_some()));
+    let signed = operator.signed.as_ref().map_or(0, |s| 1 + usize::from(s.metrics_listen.is_some()));
     let needs = DescriptorNeeds {
         already_open: descriptors::count_open(),
         listeners: usize::from(!handover) + usize::from(admin) + signed,
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -6,10 +6,10 @@
 use crate::config::operator::PeersSection;
 use crate::config::platform::PlatformConfig;
 use crate::director::start_core;
-use crate::discovery::client::WatchEvent;
-use crate::discovery::{DiscoveryService, EndpointSource, XdsFile};
+use crate::discovery::event::WatchEvent;
+use crate::discovery::{DiscoveryService, EndpointSource, WatchScope, XdsFile};
 use crate::dispatch::{Clock, Dispatcher, RunningDispatcher};
-use crate::upstream::servers::UpstreamConnector;
+use crate::upstream::UpstreamConnector;
 use std::path::PathBuf;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
@@ -82,7 +82,7 @@
     subscriber: Option<mpsc::Sender<WatchEvent>>,
 ) -> Vec<Box<dyn EndpointSource>> {
     // Where the endpoints come from a file, the discovery service gives only purges.
-    let purges_only = xds_file.is_some();
+    let scope = if xds_file.is_some() { WatchScope::PurgesOnly } else { WatchScope::MembersAndPurges };
     let mut sources: Vec<Box<dyn EndpointSource>> = Vec::new();
     if let Some(path) = xds_file {
         sources.push(Box::new(XdsFile::new(path)));
@@ -91,7 +91,7 @@
         address: discovery_address,
         revision: config.discovery_revision,
         initial_events: config.initial_events.clone(),
-        purges_only,
+        scope,
         subscriber,
     }));
     sources
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -68,7 +68,7 @@
         }
         let target = Target::parse(&head.target).ok_or_else(|| Response::empty(404))?;
         let settings = self.0.settings();
-        let class = settings.class(target.class).ok_or_else(|| Response::empty(404))?;
+        let class = settings.class_index(target.class).ok_or_else(|| Response::empty(404))?;
         let is_write = settings.classes[class].write;
         let method = if is_write { "PUT" } else { "GET" };
         if head.method != method {
--- a/src/frontend/signed.rs
+++ b/src/frontend/signed.rs
@@ -23,7 +23,7 @@
 /// Follows the key file, so that keys can be added and removed while the process runs.
 pub async fn follow_keys(mut file: WatchedFile, keys: watch::Sender<Arc<KeySet>>) {
     loop {
-        let changed = file.next(|text| parse_keys(text).map_err(|error| error.to_string())).await;
+        let changed = file.next(parse_keys).await;
         let _ = keys.send_replace(Arc::new(changed));
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line of the director.
 
 use clap::{Parser, Subcommand};
-use foxhold::config::operator::Operator;
+use foxhold::config::operator::OperatorConfig;
 use foxhold::config::platform::PlatformConfig;
 use foxhold::daemon::{self, DaemonError, ReloadedConfig};
 use foxhold::discovery::xds;
@@ -265,28 +265,28 @@
         let (classes, events) = (config.settings.classes.len(), config.initial_events.len());
         return Ok(format!("a platform configuration, {classes} classes, {events} events known"));
     }
-    let operator = Operator::read(file).map_err(CliError::config)?;
+    let operator = OperatorConfig::read(file).map_err(CliError::config)?;
     check_named_files(file, &operator)?;
     let peers = operator.peers.map_or("off".into(), |peers| peers.listen.to_string());
     let signed = operator.signed.map_or("off".into(), |signed| signed.listen);
-    let members = operator.xds.map_or("the notice board".into(), |path| path.display().to_string());
+    let members = operator.xds_file.map_or("the notice board".into(), |path| path.display().to_string());
     Ok(format!(
         "an operator's file, signed front {signed}, members from {members}, talk among directors {peers}"
     ))
 }
 
 /// Validates the files that an operators' file names.
-fn check_named_files(file: &Path, operator: &Operator) -> Result<(), CliError> {
+fn check_named_files(file: &Path, operator: &OperatorConfig) -> Result<(), CliError> {
     if let Some(signed) = &operator.signed {
-        check_named_file(file, &signed.keys, parse_keys)?;
+        check_named_file(file, &signed.keys_file, parse_keys)?;
     }
-    if let Some(path) = &operator.xds {
+    if let Some(path) = &operator.xds_file {
         check_named_file(file, path, xds::parse)?;
     }
     #[cfg(feature = "peers")]
     if let Some(peers) = &operator.peers {
-        check_named_file(file, &peers.key, foxhold::cluster::frame::parse_keys)?;
-        if let Some(folder) = peers.folder.as_ref().filter(|folder| !folder.is_dir()) {
+        check_named_file(file, &peers.key_file, foxhold::cluster::frame::parse_keys)?;
+        if let Some(folder) = peers.state_folder.as_ref().filter(|folder| !folder.is_dir()) {
             return Err(CliError::NotAFolder { file: file.to_owned(), folder: folder.clone() });
         }
     }
@@ -326,12 +326,12 @@
 }
 
 /// The operators' file; everything in it is off where there is none.
-fn read_operator_file() -> Result<Operator, CliError> {
+fn read_operator_file() -> Result<OperatorConfig, CliError> {
     let named = std::env::var_os(OPERATOR_FILE_VARIABLE).map(PathBuf::from);
     let path = named.or_else(|| OPERATOR_FILES.iter().map(PathBuf::from).find(|path| path.exists()));
     match path {
-        Some(path) => Operator::read(&path).map_err(CliError::config),
-        None => Ok(Operator::default()),
+        Some(path) => OperatorConfig::read(&path).map_err(CliError::config),
+        None => Ok(OperatorConfig::default()),
     }
 }
 
--- a/src/signed/request.rs
+++ b/src/signed/request.rs
@@ -41,7 +41,7 @@
     let (path, query) = grant.target.split_once('?').unwrap_or((&grant.target, ""));
     let segments = path.strip_prefix('/').and_then(|path| path.split_once('/'));
     let (class_name, object) = segments.ok_or(InvalidRequest::NOT_FOUND)?;
-    let class = settings.class(class_name).ok_or(InvalidRequest::NOT_FOUND)?;
+    let class = settings.class_index(class_name).ok_or(InvalidRequest::NOT_FOUND)?;
     let allowed_method = if settings.classes[class].write { "PUT" } else { "GET" };
     if method != allowed_method {
         return Err(InvalidRequest::method_not_allowed(allowed_method));
