--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,5 +1,6 @@
 //! Why the daemon can't start, or ended by itself.
 
+use crate::discovery::watched_file::WatchedFileError;
 use crate::frontend::admin::AdminListenError;
 use crate::frontend::serve::ListenError;
 use std::error::Error;
@@ -16,8 +17,8 @@
     #[error(transparent)]
     AdminListen(#[from] AdminListenError),
     /// The key file of the signed frontend can't be used.
-    #[error("{0}")]
-    Keys(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    KeyFile(#[from] WatchedFileError),
     /// The settings or a source of endpoints can't be used.
     #[error("{0}")]
     Dispatcher(#[source] Box<dyn Error + Send + Sync>),
--- a/src/daemon/frontends.rs
+++ b/src/daemon/frontends.rs
@@ -27,8 +27,7 @@
 impl SignedConfig {
     /// Reads the key file.
     pub(super) fn open(section: SignedSection) -> Result<SignedConfig, DaemonError> {
-        let (key_file, keys) = WatchedFile::open(section.keys_file.clone(), parse_keys)
-            .map_err(|error| DaemonError::Keys(error.into()))?;
+        let (key_file, keys) = WatchedFile::open(section.keys_file.clone(), parse_keys)?;
         Ok(SignedConfig { section, key_file, keys })
     }
 }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,14 +1,13 @@
 //! Applies configurations that come while the process runs.
 
-use crate::config::platform::PlatformConfig;
+use crate::config::platform::{PlatformConfig, PlatformConfigError};
 use crate::dispatch::{DispatcherMessage, DispatcherSender};
 use crate::frontend::admin::ReloadCounters;
-use std::error::Error;
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
 /// A configuration that was read again, or why it can't be used.
-pub type ReloadedConfig = Result<PlatformConfig, Box<dyn Error + Send + Sync>>;
+pub type ReloadedConfig = Result<PlatformConfig, PlatformConfigError>;
 
 /// Applies what can change while the process runs: the settings, and the discovery service's address. Its
 /// revisions carry on, so the events that a later configuration holds will come from there. A configuration
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,8 +1,8 @@
 //! The command line of the director.
 
 use clap::{Parser, Subcommand};
-use foxhold::config::operator::OperatorConfig;
-use foxhold::config::platform::PlatformConfig;
+use foxhold::config::operator::{OperatorConfig, OperatorConfigError};
+use foxhold::config::platform::{PlatformConfig, PlatformConfigError};
 use foxhold::daemon::{self, DaemonError, ReloadedConfig};
 use foxhold::discovery::xds;
 use foxhold::frontend::signed::parse_keys;
@@ -129,8 +129,10 @@
     #[cfg(feature = "peers")]
     #[error("the door at {address}: {source}")]
     AdminEndpoint { address: String, source: io::Error },
-    #[error("{0}")]
-    Config(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    PlatformConfig(#[from] PlatformConfigError),
+    #[error(transparent)]
+    OperatorConfig(#[from] OperatorConfigError),
     #[error("{}: {source}", .file.display())]
     File { file: PathBuf, source: Box<dyn Error + Send + Sync> },
     #[error("{}: {}: {source}", .file.display(), .named.display())]
@@ -146,12 +148,6 @@
     Io(#[from] io::Error),
 }
 
-impl CliError {
-    fn config(error: impl Into<Box<dyn Error + Send + Sync>>) -> CliError {
-        CliError::Config(error.into())
-    }
-}
-
 fn main() -> ExitCode {
     match Arguments::parse().command {
         None | Some(Command::Serve) => match serve() {
@@ -213,7 +209,7 @@
             return Ok(address.clone());
         }
         let path = std::env::var_os(CONFIG_VARIABLE).ok_or(CliError::NoAdminAddress)?;
-        let config = PlatformConfig::read(Path::new(&path)).map_err(CliError::config)?;
+        let config = PlatformConfig::read(Path::new(&path))?;
         Ok(config.admin_address)
     }
 }
@@ -265,7 +261,7 @@
         let (classes, events) = (config.settings.classes.len(), config.initial_events.len());
         return Ok(format!("a platform configuration, {classes} classes, {events} events known"));
     }
-    let operator = OperatorConfig::read(file).map_err(CliError::config)?;
+    let operator = OperatorConfig::read(file)?;
     check_named_files(file, &operator)?;
     let peers = operator.peers.map_or("off".into(), |peers| peers.listen.to_string());
     let signed = operator.signed.map_or("off".into(), |signed| signed.listen);
@@ -307,7 +303,7 @@
 fn serve() -> Result<(), CliError> {
     let inherited = inherited_socket()?;
     let path = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from).ok_or(CliError::NoConfig)?;
-    let config = read_config(&path).map_err(CliError::Config)?;
+    let config = read_config(&path)?;
     let operator = read_operator_file()?;
     log::init(&operator.log)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -330,7 +326,7 @@
     let named = std::env::var_os(OPERATOR_FILE_VARIABLE).map(PathBuf::from);
     let path = named.or_else(|| OPERATOR_FILES.iter().map(PathBuf::from).find(|path| path.exists()));
     match path {
-        Some(path) => OperatorConfig::read(&path).map_err(CliError::config),
+        Some(path) => Ok(OperatorConfig::read(&path)?),
         None => Ok(OperatorConfig::default()),
     }
 }
