--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -57,6 +57,8 @@
     pub descriptors: Option<u64>,
     /// The clients' listening socket, held by the test.
     pub inherited: Option<&'a TcpListener>,
+    /// The log's level; none: `info`.
+    pub log_level: Option<&'a str>,
 }
 
 impl Start<'_> {
@@ -65,7 +67,10 @@
         let socket = self.inherited.map_or("", |_| "exec 3<&0 0</dev/null; ");
         let mut command = Command::new("sh");
         command.args(["-c", &format!("{limit}{socket}exec \"$0\""), env!("CARGO_BIN_EXE_foxhold")]);
-        command.env_remove("FOXHOLD_FRONT").env_remove("ROUTER_FD").env("FOXHOLD_LOG", "info");
+        command
+            .env_remove("FOXHOLD_FRONT")
+            .env_remove("ROUTER_FD")
+            .env("FOXHOLD_LOG", self.log_level.unwrap_or("info"));
         command.current_dir(std::env::temp_dir()).stdout(Stdio::null()).stderr(Stdio::piped());
         command.env("ROUTER_CONFIG", self.config.expect("a configuration"));
         if let Some(operator) = self.operator {
@@ -109,6 +114,11 @@
         Pid::from_child(&self.child)
     }
 
+    /// Its folder under `/proc`.
+    pub fn process_folder(&self) -> PathBuf {
+        PathBuf::from(format!("/proc/{}", self.child.id()))
+    }
+
     pub fn signal(&self, signal: Signal) {
         kill_process(self.id(), signal).expect("a process of our own");
     }
@@ -136,6 +146,12 @@
         self.log.lock().expect("a log").clone()
     }
 
+    /// Waits for its end, which must be a success.
+    pub async fn end_well(self) {
+        let status = self.end().await;
+        assert!(status.success(), "{status}");
+    }
+
     /// Waits for its end.
     pub async fn end(mut self) -> std::process::ExitStatus {
         for _ in 0..2_000 {
@@ -224,6 +240,11 @@
         .replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"))
 }
 
+/// The same without a discovery service and an admin endpoint, for tests of an origin only.
+pub fn config_with_origin(origin: &str) -> String {
+    config(1024, "", "", ["127.0.0.1:7201", "127.0.0.1:7202", origin])
+}
+
 /// An address where nobody listens; another test may be given it, which is not likely.
 pub fn free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
