--- a/tests/library.rs
+++ b/tests/library.rs
@@ -1,4 +1,5 @@
-//! The director embedded in a host: what its handle guarantees while the host cancels, blocks, drains and ends.
+//! The director embedded in a host: what its handle guarantees while the host cancels, blocks, drains and
+//! ends.
 
 mod standin;
 
--- a/tests/replication_model.rs
+++ b/tests/replication_model.rs
@@ -274,7 +274,7 @@
 
 /// Four updates: 918,970 worlds, some minutes without optimisation.
 #[test]
-#[ignore = "the large form, by command: cargo test --release --test replication_model -- --ignored --nocapture"]
+#[ignore = "the large form: cargo test --release --test replication_model -- --ignored --nocapture"]
 fn rules_hold_with_one_more_update() {
     let worlds = explore(&AS_BUILT, no_drain(), LIMITS).expect("drains");
     println!("drains: {worlds} worlds");
