--- a/crates/foxhold-testbed/src/checks/slow_start_budget.rs
+++ b/crates/foxhold-testbed/src/checks/slow_start_budget.rs
@@ -1,5 +1,5 @@
-//! The budget of a server that started cold: within any window the work of all who send, in mean requests, may be
-//! `N + 2 * sqrt(N) + 2`, `N` being what the settings allow it then. Times are seconds.
+//! The budget of a server that started cold: within any window the work of all who send, in mean requests,
+//! may be `N + 2 * sqrt(N) + 2`, `N` being what the settings allow it then. Times are seconds.
 
 use crate::servers::model::ServerSpec;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,8 @@
     pub count: f64,
     /// Mean requests that the settings allow at its end.
     pub allowed: f64,
-    /// Mean requests that the server could do at full pace meanwhile, and those that came, since the last word.
+    /// Mean requests that the server could do at full pace meanwhile, and those that came, since the last
+    /// word.
     pub capacity: f64,
     /// See `capacity`.
     pub came: f64,
--- a/crates/foxhold-testbed/src/commands/fleet.rs
+++ b/crates/foxhold-testbed/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: many processes of the director, by a plan or by faults that are drawn.
+//! `fleet`: many processes of the director, by a scenario or by faults that are drawn.
 
 use foxhold_testbed::faults::schedule;
 use foxhold_testbed::reports::scenario::RunReport;
@@ -17,19 +17,20 @@
 pub struct Options {
     /// The plan; without one a calm play
     file: Option<PathBuf>,
-    /// In place of a plan: faults drawn by the seed among directors that talk, 20 for 120 s unless told otherwise
+    /// In place of a scenario: faults drawn by the seed among directors that gossip, 20 for 120 s unless told
+    /// otherwise
     #[arg(long, conflicts_with = "file")]
     storm: bool,
     /// The director's program
     #[arg(long, default_value = "target/release/foxhold")]
     daemon: PathBuf,
-    /// Directors, in place of the plan's number
+    /// Directors, in place of the scenario's number
     #[arg(long)]
     directors: Option<usize>,
-    /// Seed, in place of the plan's
+    /// Seed, in place of the scenario's
     #[arg(long)]
     seed: Option<u64>,
-    /// Seconds of load, in place of the plan's
+    /// Seconds of load, in place of the scenario's
     #[arg(long)]
     seconds: Option<f64>,
     /// Where to write the figures, as JSON
@@ -40,7 +41,7 @@
     html: Option<PathBuf>,
 }
 
-/// Runs the plan and prints its summary; whether no rule was broken.
+/// Runs the scenario and prints its summary; whether no rule was broken.
 pub fn run(options: Options) -> Result<bool, Failure> {
     let plan = plan(&options)?;
     let played = run_with_progress(&plan, &Programs::of(options.daemon)?)?;
@@ -76,7 +77,7 @@
     Ok(Scenario::read(&text).map_err(|e| format!("{}: {e}", file.display()))?)
 }
 
-/// Runs a plan with a bar that shows how far it is.
+/// Runs a scenario with a bar that shows how far it is.
 fn run_with_progress(plan: &Scenario, programs: &Programs) -> Result<RunReport, Failure> {
     let bar = indicatif::ProgressBar::new((plan.seconds + plan.warm_up_seconds).ceil() as u64);
     bar.set_message("seconds of load");
--- a/crates/foxhold-testbed/src/commands/overhead.rs
+++ b/crates/foxhold-testbed/src/commands/overhead.rs
@@ -28,7 +28,7 @@
     at_once: usize,
 }
 
-/// Measures both before the same stand-ins, and prints their figures.
+/// Measures both before the same emulated servers, and prints their figures.
 pub fn run(options: &Options) -> Result<bool, Failure> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let (daemon, library) = runtime.block_on(measure(options))?;
--- a/crates/foxhold-testbed/src/commands/simulate.rs
+++ b/crates/foxhold-testbed/src/commands/simulate.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Runs all sizes, and prints and writes the report; whether every run was complete and no purge was missed. An
-/// interrupt ends it with what was measured until then.
+/// Runs all sizes, and prints and writes the report; whether every run was complete and no purge was missed.
+/// An interrupt ends it with what was measured until then.
 pub fn run(options: &Options, allocated: fn() -> usize) -> Result<bool, Failure> {
     let host = Host { allocated, interrupted: Arc::new(AtomicBool::new(false)) };
     let flag = host.interrupted.clone();
--- a/crates/foxhold-testbed/src/faults/peer_network.rs
+++ b/crates/foxhold-testbed/src/faults/peer_network.rs
@@ -1,8 +1,8 @@
-//! The network between the directors of a fleet: a relay for each director, by which the messages on every path between
-//! two of them can be lost, duplicated or delayed.
+//! The network between the directors of a fleet: a relay for each director, by which the messages on every
+//! path between two of them can be lost, duplicated or delayed.
 //!
-//! Each director has a loopback address of its own and is advertised at its relay's, so all that the others send to it
-//! passes there; who sends is known by the address that a datagram comes from.
+//! Each director has a loopback address of its own and is advertised at its relay's, so all that the others
+//! send to it passes there; who sends is known by the address that a datagram comes from.
 
 use crate::scenarios::replay::Failure;
 use rand::rngs::StdRng;
--- a/crates/foxhold-testbed/src/faults/relay.rs
+++ b/crates/foxhold-testbed/src/faults/relay.rs
@@ -1,8 +1,9 @@
 //! A relay between two processes, by which faults are injected into the link between them.
 //!
 //! On a dropped link bytes vanish: connections stay open and silent, new ones come up (the relay is on the
-//! same machine) and stay silent too. What was held back by a dropped link is gone for good, so that the connections
-//! that lived through it are reset when it is healed, as retransmissions that ran out would have them.
+//! same machine) and stay silent too. What was held back by a dropped link is gone for good, so that the
+//! connections that lived through it are reset when it is healed, as retransmissions that ran out would have
+//! them.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/foxhold-testbed/src/faults/schedule.rs
+++ b/crates/foxhold-testbed/src/faults/schedule.rs
@@ -1,9 +1,9 @@
-//! A play of drawn faults among directors that talk: by seed, so that what broke a rule can be played again.
+//! A run of drawn faults among directors that gossip: by seed, so that what broke a rule can be run again.
 //!
-//! What is held against the rules is what directors can know: drains are told where the talk has been whole for
-//! [`CALM`] seconds, and directors are killed where nothing drains by their operators' word, for one that starts from
-//! nothing knows the board's list only until it has caught up. Purges are told at any time: who was cut off or stopped
-//! has until [`CALM`] after it to hear of them.
+//! What is held against the rules is what directors can know: drains are told where the talk has been whole
+//! for [`CALM`] seconds, and directors are killed where nothing drains by their operators' word, for one that
+//! starts from nothing knows the discovery service's list only until it has caught up. Purges are told at any
+//! time: who was cut off or stopped has until [`CALM`] after it to hear of them.
 
 use crate::scenarios::scenario::{Fault, FaultKind, Scenario};
 use rand::rngs::StdRng;
@@ -12,7 +12,7 @@
 /// Seconds after a fault's end until all is taken to be known to all.
 pub const QUIET_SECONDS: f64 = 8.0;
 
-/// Draws a play.
+/// Draws a run.
 pub fn draw(directors: usize, seconds: f64, seed: u64) -> Scenario {
     let mut random = StdRng::seed_from_u64(seed ^ 0x5707);
     let caches = 8;
@@ -44,7 +44,7 @@
         lost: 0.0,
         late_ms: 0,
     };
-    // Until when the talk is hurt, and who is stopped or starts anew until when.
+    // Until when the talk is faulty, and who is stopped or starts anew until when.
     let (mut hurt_until, mut quiet_until) = (0.0f64, vec![0.0f64; directors]);
     let mut drained: Vec<usize> = Vec::new();
     let mut at = 2.0;
--- a/crates/foxhold-testbed/src/load/clients.rs
+++ b/crates/foxhold-testbed/src/load/clients.rs
@@ -1,5 +1,5 @@
-//! An open-loop load over HTTP: arrivals are drawn ahead and wait for no answer, latency counts from the intended
-//! start, and what comes back is held against the rules.
+//! An open-loop load over HTTP: arrivals are drawn ahead and wait for no answer, latency counts from the
+//! intended start, and what comes back is held against the rules.
 
 use crate::load::disconnects::{Disconnect, DisconnectKind, Disconnects};
 pub use crate::load::trace::object;
@@ -24,7 +24,7 @@
     pub at: f64,
     /// The director's number, from 0.
     pub director: usize,
-    /// The class's place in the plan.
+    /// The class's place in the scenario.
     pub class: usize,
     /// The object's number, from 1.
     pub object: u64,
@@ -40,7 +40,7 @@
     plan.faults.iter().filter(holds).max_by(|a, b| a.at.total_cmp(&b.at))
 }
 
-/// Draws all arrivals of a play, from `settle` seconds before its start.
+/// Draws all arrivals of a run, from `settle` seconds before its start.
 pub fn draw(plan: &Scenario, settle: f64) -> Vec<Arrival> {
     let mut random = StdRng::seed_from_u64(plan.seed);
     let (Ok(popular), Ok(gap)) = (Zipf::new(plan.objects as f64, plan.zipf), Exp::new(plan.rate)) else {
@@ -146,7 +146,7 @@
     pub disturbed: RefCell<Vec<Instant>>,
     /// It is stopped.
     pub stopped: Cell<bool>,
-    /// It may hear of purges late: its link to the board was hurt, or it was stopped.
+    /// It may hear of purges late: its link to the discovery service was faulty, or it was stopped.
     pub hears_late: Cell<bool>,
     idle: RefCell<Vec<TcpStream>>,
 }
@@ -168,7 +168,7 @@
     pub in_flight: Vec<usize>,
 }
 
-/// The clients of a play.
+/// The clients of a run.
 pub struct Clients {
     plan: Scenario,
     /// By director.
@@ -312,8 +312,8 @@
         ))
     }
 
-    /// Asks on a connection that is kept, or a new one. Dropping the future closes the connection, and resets it
-    /// where the client is to leave so.
+    /// Asks on a connection that is kept, or a new one. Dropping the future closes the connection, and resets
+    /// it where the client is to leave so.
     async fn ask(&self, door: &DirectorTarget, head: &str, leave: Option<Disconnect>) -> Asked {
         let resets = leave.is_some_and(|leave| leave.how == DisconnectKind::Reset);
         let kept = if resets { None } else { door.idle.borrow_mut().pop() };
--- a/crates/foxhold-testbed/src/load/disconnects.rs
+++ b/crates/foxhold-testbed/src/load/disconnects.rs
@@ -1,5 +1,5 @@
-//! Clients that leave before their answers: the moments drawn ahead, and the rule that no attempt begins for one more
-//! than 0.1 s later, held against what servers saw.
+//! Clients that leave before their answers: the moments drawn ahead, and the rule that no attempt begins for
+//! one more than 0.1 s later, held against what servers saw.
 
 use crate::faults::relay::LinkFault;
 use crate::scenarios::scenario::{FaultKind, Scenario};
@@ -11,7 +11,8 @@
 
 /// No attempt begins more than so many milliseconds after its client has left.
 pub const MAX_SEND_DELAY_MS: u64 = 100;
-/// So many seconds after a server's stall or a hurt link is over, what had come before may still be read there.
+/// So many seconds after a server's stall or a faulty link is over, what had come before may still be read
+/// there.
 const READ_LATE: f64 = 1.0;
 
 /// How a client leaves.
@@ -32,7 +33,8 @@
     pub how: DisconnectKind,
 }
 
-/// Draws who leaves. It has random numbers of its own, so that the load of a plan without it stays as it was.
+/// Draws who leaves. It has random numbers of its own, so that the load of a scenario without it stays as it
+/// was.
 pub struct Disconnects {
     random: StdRng,
     share: f64,
@@ -40,7 +42,7 @@
 }
 
 impl Disconnects {
-    /// By the plan's share and span.
+    /// By the scenario's share and span.
     pub fn new(plan: &Scenario) -> Disconnects {
         let random = StdRng::seed_from_u64(plan.seed ^ 0x1ea7e);
         Disconnects { random, share: plan.leave, within: plan.leave_within_ms / 1e3 }
@@ -71,8 +73,9 @@
 }
 
 impl SentAfterDisconnect {
-    /// Holds what servers told against when clients left, by request and in Unix milliseconds. Returns the broken
-    /// rules beside it. Servers that were stalled, or reached by a hurt link, are left out: bytes wait there.
+    /// Holds what servers told against when clients left, by request and in Unix milliseconds. Returns the
+    /// broken rules beside it. Servers that were stalled, or reached by a faulty link, are left out: bytes
+    /// wait there.
     pub fn reckon(
         plan: &Scenario,
         zero_ms: u64,
--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -1,11 +1,12 @@
-//! A test client of a fleet's directors: it holds the fleet's key and sends them updates, acknowledged or not.
+//! A test client of a fleet's directors: it holds the fleet's key and sends them updates, acknowledged or
+//! not.
 //!
-//! Directors do not acknowledge the updates that they send each other: what one loses it gets from another later. A
-//! client has nobody to repeat for it, so it reads back what it sent. Each batch of updates is followed by a
-//! [`GossipMessage::TransferRequest`] of the range of places that the batch lies in, and the [`GossipMessage::TransferChunk`] that answers it acknowledges
-//! every update of the batch that it contains. What is not acknowledged in time is sent again, unchanged, so that a
-//! director that already holds it has nothing to do. Batches outstanding, their rate, attempts for each and the
-//! time for all are bounded.
+//! Directors do not acknowledge the updates that they send each other: what one loses it gets from another
+//! later. A client has nobody to repeat for it, so it reads back what it sent. Each batch of updates is
+//! followed by a [`GossipMessage::TransferRequest`] of the range of places that the batch lies in, and the
+//! [`GossipMessage::TransferChunk`] that answers it acknowledges every update of the batch that it contains.
+//! What is not acknowledged in time is sent again, unchanged, so that a director that already holds it has
+//! nothing to do. Batches outstanding, their rate, attempts for each and the time for all are bounded.
 
 use crate::scenarios::cluster::Fleet;
 use crate::scenarios::replay::Failure;
@@ -24,18 +25,19 @@
 
 /// Updates in one batch: as many purges as one answer of a director holds.
 const BATCH_UPDATES: usize = 64;
-/// Batches that are sent and not yet acknowledged, at most. Their datagrams fit a socket's buffer several times over.
+/// Batches that are sent and not yet acknowledged, at most. Their datagrams fit a socket's buffer several
+/// times over.
 const MAX_OUTSTANDING: usize = 8;
-/// Between two new batches: 4,000 updates a second, half of what directors pass on to each other without leaving some
-/// to be found by their digests (512 in three rounds of 20 ms).
+/// Between two new batches: 4,000 updates a second, half of what directors pass on to each other without
+/// leaving some to be found by their digests (512 in three rounds of 20 ms).
 const BATCH_INTERVAL: Duration = Duration::from_millis(16);
 /// A batch that is not acknowledged is sent again after this; the wait doubles each time, up to the longest.
 const FIRST_RETRY_AFTER: Duration = Duration::from_millis(250);
 const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// A batch is sent so many times at most without any of it being acknowledged.
 const MAX_ATTEMPTS: u32 = 20;
-/// All batches of one delivery are acknowledged within this. It bounds a delivery that goes on slowly; one that stands
-/// still ends by its attempts, after 36 s at most.
+/// All batches of one delivery are acknowledged within this. It bounds a delivery that goes on slowly; one
+/// that stands still ends by its attempts, after 36 s at most.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(180);
 /// Purges are of so long ago, as most are that a director that returns hears of.
 const PURGE_AGE_MS: u64 = 60_000;
@@ -278,8 +280,8 @@
         Ok(())
     }
 
-    /// The entries that a director answers a request to read with, and the place that they begin at; none: it is
-    /// another message, or from somebody else.
+    /// The entries that a director answers a request to read with, and the place that they begin at; none: it
+    /// is another message, or from somebody else.
     fn chunk(&self, director: SocketAddr, datagram: &[u8]) -> Option<(u64, Vec<(Key, Value)>)> {
         let message = self.seal.decode(datagram).ok()?;
         match message.body {
@@ -300,8 +302,8 @@
         Ok(delivered)
     }
 
-    /// Sends purges of groups without having them acknowledged, at a pace that a socket's buffer bears; some may be
-    /// lost all the same.
+    /// Sends purges of groups without having them acknowledged, at a pace that a socket's buffer bears; some
+    /// may be lost all the same.
     pub async fn flood(&mut self, to: SocketAddr, groups: Range<u32>) -> Result<(), DeliveryError> {
         for (n, updates) in purges(groups).chunks(FLOOD_UPDATES).enumerate() {
             let datagram = self.sealed(GossipMessage::Updates(updates.to_vec()))?;
--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -132,11 +132,11 @@
     Ok(lines)
 }
 
-/// Between two requests, in milliseconds. No whole number of it is near any time that the decisions wait for (60 ms
-/// after a server was full, 700 ms between trials, 500 ms until an answer is late), so that a small delay of the
-/// machine's puts no request on the other side of one.
+/// Between two requests, in milliseconds. No whole number of it is near any time that the decisions wait for
+/// (60 ms after a server was full, 700 ms between trials, 500 ms until an answer is late), so that a small
+/// delay of the machine's puts no request on the other side of one.
 pub const STEP_MS: f64 = 3.2;
-/// Left free round a trouble: the board's news has come by then, and what broke off has ended.
+/// Left free round a trouble: the discovery service's news has come by then, and what broke off has ended.
 const ROOM_MS: f64 = 96.0;
 
 /// The name of the object of that number, counted from 1.
--- a/crates/foxhold-testbed/src/main.rs
+++ b/crates/foxhold-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's command line.
+//! The testbed's command line.
 
 use clap::{Parser, Subcommand};
 use foxhold_testbed::scenarios::replay::Failure;
@@ -6,11 +6,11 @@
 
 mod commands;
 
-/// What is allocated is counted: hollow directors' memory is told from it.
+/// What is allocated is counted: simulated directors' memory is told from it.
 #[global_allocator]
 static ALLOCATED: cap::Cap<std::alloc::System> = cap::Cap::new(std::alloc::System, usize::MAX);
 
-/// foxhold's laboratory.
+/// foxhold's testbed.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -22,26 +22,28 @@
 enum Command {
     /// Draw a trace with a drain, a crash, a slow parent and a purge, and print it
     Draw(commands::trace::DrawOptions),
-    /// Play one trace through the daemon and through the library, and compare every choice and answer; exit 1 where
-    /// any differs
+    /// Run one trace through the daemon and through the library, and compare every choice and answer; exit 1
+    /// where any differs
     Trace(commands::trace::CompareOptions),
-    /// Directors that talk among themselves: how fast an update is with all, and what that costs; exit 1 where one was
+    /// Directors that gossip: how fast an update is with all, and what that costs; exit 1 where one was
     /// not
     #[command(alias = "talk")]
     Gossip(commands::gossip::Options),
-    /// Many directors in one process over a simulated network, without clients and servers: what control costs each,
-    /// and when purges are everywhere; exit 1 where one was not
+    /// Many directors in one process over a simulated network, without clients and servers: what control
+    /// costs each, and when purges are everywhere; exit 1 where one was not
     #[command(alias = "hollow")]
     Simulate(commands::simulate::Options),
-    /// Many processes of the director before stand-ins, with faults between them, by a plan in YAML
+    /// Many processes of the director before emulated servers, with faults between them, by a scenario in
+    /// YAML
     Fleet(commands::fleet::Options),
-    /// One stand-in server as a process: told on standard input, telling on standard output
+    /// One emulated server as a process: told on standard input, telling on standard output
     #[command(hide = true, alias = "stand-in")]
     Emulate {
         /// How it starts, as JSON
         start: String,
     },
-    /// What the director costs a request, as daemon over loopback and as library, before the same stand-ins
+    /// What the director costs a request, as daemon over loopback and as library, before the same emulated
+    /// servers
     Overhead(commands::overhead::Options),
 }
 
--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -1,4 +1,4 @@
-//! What a play showed: figures as JSON, and one HTML page with plots.
+//! What a run showed: figures as JSON, and one HTML page with plots.
 
 use crate::checks::slow_start_budget::SlowStartUse;
 use crate::load::clients::{End, RequestLog};
@@ -15,7 +15,7 @@
 /// Milliseconds of the shortest window.
 const BIN: u64 = 100;
 
-/// What a play has seen of its processes.
+/// What a run has seen of its processes.
 #[derive(Default)]
 pub struct Observations {
     /// What servers told, in the order of its coming.
@@ -39,12 +39,12 @@
     pub full: u64,
 }
 
-/// What came of a play.
+/// What came of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
-    /// The plan, to be played again.
+    /// The plan, to be run again.
     pub plan: Scenario,
-    /// Broken rules, crashes and panics; a play with any has failed.
+    /// Broken rules, crashes and panics; a run with any has failed.
     pub breaches: Vec<String>,
     /// Requests by how they ended.
     pub ends: BTreeMap<String, u64>,
@@ -54,7 +54,8 @@
     pub p50: f64,
     /// See `p50`.
     pub p99: f64,
-    /// Requests of the busiest cache over the mean cache, each by its size, in windows of a second: the median.
+    /// Requests of the busiest cache over the mean cache, each by its size, in windows of a second: the
+    /// median.
     pub busiest: f64,
     /// The same where it was worst.
     pub busiest_worst: f64,
@@ -64,7 +65,8 @@
     pub idle_cache_s: f64,
     /// Variance over mean of a cache's requests in tenths of a second; 1 is Poisson. The mean over caches.
     pub dispersion: f64,
-    /// Requests of all directors at all servers in the busiest tenth of a second after a fault, over the mean.
+    /// Requests of all directors at all servers in the busiest tenth of a second after a fault, over the
+    /// mean.
     pub peak: f64,
     /// The same of the server where it was highest, over the mean of the servers of its role.
     pub peak_server: f64,
@@ -234,7 +236,7 @@
         text
     }
 
-    /// One page with the figures, the plots and the plan.
+    /// One page with the figures, the plots and the scenario.
     pub fn page(&self) -> Result<String, Failure> {
         let tenths = |v: &[u32]| -> Vec<(f64, f64)> {
             let seconds = v.chunks(10).enumerate();
--- a/crates/foxhold-testbed/src/scenarios/cluster.rs
+++ b/crates/foxhold-testbed/src/scenarios/cluster.rs
@@ -41,7 +41,7 @@
 /// Lines of a director's log, with when they came.
 type Log = Rc<RefCell<Vec<(Instant, String)>>>;
 
-/// A fleet of directors that talk.
+/// A fleet of directors that gossip.
 pub struct Fleet {
     config: FleetConfig,
     director: PathBuf,
--- a/crates/foxhold-testbed/src/scenarios/gossip.rs
+++ b/crates/foxhold-testbed/src/scenarios/gossip.rs
@@ -1,5 +1,5 @@
-//! Scenarios of directors that share state, at any number of them: what that costs, how fast an update is with all, and
-//! how fast one that starts catches up. The command is `foxhold-testbed talk`.
+//! Scenarios of directors that share state, at any number of them: what that costs, how fast an update is
+//! with all, and how fast one that starts catches up. The command is `foxhold-testbed talk`.
 
 use crate::faults::peer_network::LinkConditions;
 use crate::load::gossip_client::TestClient;
@@ -117,7 +117,8 @@
     pub source: Latencies,
 }
 
-/// One director holds so many purges; another starts, catches up, and is probed meanwhile. Needs a `LocalSet`.
+/// One director holds so many purges; another starts, catches up, and is probed meanwhile. Needs a
+/// `LocalSet`.
 pub async fn catch_up(director: &Path, entries: u32) -> Result<CatchUpReport, Failure> {
     let keys = format!("entries: {}", entries.max(MIN_ENTRY_BOUND) * 2);
     let mut fleet =
--- a/crates/foxhold-testbed/src/scenarios/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/mod.rs
@@ -7,7 +7,7 @@
 //! | [`overhead`] | what the director costs a request, as daemon and as library |
 //! | [`scenario`] | a scenario of many processes as data: who takes part, what is asked, what goes wrong |
 //! | [`replay`] | a trace through the daemon or the library, and the comparison |
-//! | [`runner`] | the run of a plan: processes of directors and servers, links and faults |
+//! | [`runner`] | the run of a scenario: processes of directors and servers, links and faults |
 //! | [`simulated_fleet`] | many directors in one process, over a simulated network in simulated time |
 
 pub mod cluster;
--- a/crates/foxhold-testbed/src/scenarios/overhead.rs
+++ b/crates/foxhold-testbed/src/scenarios/overhead.rs
@@ -1,5 +1,5 @@
-//! What the director costs a request: the daemon over loopback and the library by function call, before the same
-//! stand-ins, closed loop.
+//! What the director costs a request: the daemon over loopback and the library by function call, before the
+//! same emulated servers, closed loop.
 
 use crate::load::trace::object;
 use crate::scenarios::replay::{daemon, exchange, ConfigFile, Failure};
--- a/crates/foxhold-testbed/src/scenarios/replay.rs
+++ b/crates/foxhold-testbed/src/scenarios/replay.rs
@@ -1,10 +1,10 @@
 //! One trace through the daemon's process or through the library in an axum host, and what differs.
 //!
-//! What timing alone could make differ is fixed: requests go one after the other on one connection, each at its own
-//! time of the trace ([`STEP_MS`](crate::load::trace::STEP_MS) says how these are chosen) and none before the one before is
-//! answered; troubles stand alone, with room round them; the seed of the decisions' random numbers is the same; and
-//! servers take no time that the trace does not tell. A request that had to start later than its time is counted, and
-//! a play with any that started over a millisecond late says so.
+//! What timing alone could make differ is fixed: requests go one after the other on one connection, each at
+//! its own time of the trace ([`STEP_MS`](crate::load::trace::STEP_MS) says how these are chosen) and none
+//! before the one before is answered; troubles stand alone, with room round them; the seed of the decisions'
+//! random numbers is the same; and servers take no time that the trace does not tell. A request that had to
+//! start later than its time is counted, and a run with any that started over a millisecond late says so.
 
 use crate::load::trace::{Line, Step, TraceFault, TraceRequest};
 use crate::servers::in_process::{EmulatedFleet, ReceivedRequest};
@@ -33,14 +33,15 @@
 /// Seed of the decisions' random numbers in every play.
 const SEED: u64 = 0x8c1f_30d2_7a5b_e964;
 
-/// What a trace is played through.
+/// What a trace is run through.
 #[derive(Clone, Debug)]
 pub enum Through {
     /// The daemon's process, from this program.
     Daemon(PathBuf),
     /// The library, in an axum application of this process.
     Library {
-        /// The fill of this number is sent to another parent than was decided: shows that a difference is seen.
+        /// The fill of this number is sent to another parent than was decided: shows that a difference is
+        /// seen.
         altered: Option<usize>,
     },
 }
@@ -93,7 +94,7 @@
 /// An error as one line.
 pub type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// Plays a trace against a fleet of its own: 3 caches, 3 parents and an origin.
+/// Runs a trace against a fleet of its own: 3 caches, 3 parents and an origin.
 pub async fn replay(lines: &[Line], through: &Through) -> Result<ReplayResult, Failure> {
     let fleet = EmulatedFleet::start(3, 3).await?;
     let file = ConfigFile::write(&fleet, SEED)?;
@@ -138,7 +139,7 @@
     }
 }
 
-/// What ends with a play.
+/// What ends with a run.
 pub(crate) enum Running {
     Process(Child),
     Host(tokio::task::JoinHandle<()>),
@@ -205,8 +206,8 @@
     Ok((address, Running::Host(task)))
 }
 
-/// The host application: reads what the platform's clients send, asks the director by function call, and words its
-/// answers by the platform's page.
+/// The host application: reads what the platform's clients send, asks the director by function call, and
+/// words its answers by the platform's page.
 async fn host(
     State(director): State<Director>,
     Target((class, object)): Target<(String, String)>,
--- /dev/null
+++ b/crates/foxhold-testbed/src/scenarios/runner/specs.rs
@@ -0,0 +1,100 @@
+//! What the servers of a run can do, drawn from its scenario.
+
+use super::{INITIAL_CAPACITY_SHARE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S, WARM_UP_S};
+use crate::load::clients::TRANSFER_KB_PER_S;
+use crate::scenarios::scenario::{RequestClass, Scenario};
+use crate::servers::model::{Role, ServerSpec};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use std::collections::BTreeMap;
+
+/// Separates the draws of servers' sizes from all others of the same seed.
+const SIZE_SEED: u64 = 0x5eed;
+/// Requests that a server has room for, and fills of a cache, by each transfer of its link.
+const SLOTS_PER_TRANSFER: f64 = 12.0;
+const FILLS_PER_TRANSFER: f64 = 4.0;
+/// What a parent keeps, as a share of all objects' bytes.
+const PARENT_CACHED_SHARE: f64 = 0.6;
+/// How many times faster than to clients parents and the origin send.
+const FILL_PACE: f64 = 3.0;
+/// Seconds that the origin takes before it sends, and for which it stops when it is overloaded.
+const ORIGIN_LATENCY_S: f64 = 0.03;
+const ORIGIN_STOP_S: f64 = 3.0;
+
+/// The servers by name, with what each can do.
+pub(super) fn draw_specs(plan: &Scenario) -> BTreeMap<String, ServerSpec> {
+    let mean_kb = mean_read_kb(plan);
+    let all_kb = mean_kb * plan.objects as f64;
+    let mut random = StdRng::seed_from_u64(plan.seed ^ SIZE_SEED);
+    let mut specs = BTreeMap::new();
+    for (name, count) in [("cache", plan.caches), ("parent", plan.parents), ("origin", 1)] {
+        for n in 1..=count {
+            let uneven = 1.0 + plan.uneven * (random.random::<f64>() * 2.0 - 1.0);
+            let spec = match role(name) {
+                Role::Cache => cache(plan, plan.cache_link * uneven, all_kb),
+                Role::Parent => parent(plan, all_kb),
+                Role::Origin => origin(plan, mean_kb),
+            };
+            specs.insert(format!("{name}-{n}"), spec);
+        }
+    }
+    specs
+}
+
+/// The mean size of what is read, in KB.
+fn mean_read_kb(plan: &Scenario) -> f64 {
+    let mean = |c: &RequestClass| c.share * c.work_ms / 1e3 * TRANSFER_KB_PER_S;
+    let reads = plan.classes.iter().filter(|c| !c.write);
+    reads.clone().map(mean).sum::<f64>() / reads.map(|c| c.share).sum::<f64>().max(1e-9)
+}
+
+fn role(name: &str) -> Role {
+    match name.split('-').next() {
+        Some("cache") => Role::Cache,
+        Some("parent") => Role::Parent,
+        _ => Role::Origin,
+    }
+}
+
+/// What all servers of a role have alike.
+fn common(role: Role) -> ServerSpec {
+    ServerSpec {
+        flow: TRANSFER_KB_PER_S,
+        floor: INITIAL_CAPACITY_SHARE,
+        warm: WARM_UP_S,
+        multiple: OVERLOAD_MULTIPLE,
+        window: OVERLOAD_WINDOW_S,
+        ..ServerSpec::instant(role)
+    }
+}
+
+fn cache(plan: &Scenario, link: f64, all_kb: f64) -> ServerSpec {
+    ServerSpec {
+        link,
+        slots: (link * SLOTS_PER_TRANSFER) as usize,
+        fills: (plan.cache_link * FILLS_PER_TRANSFER) as usize,
+        memory: all_kb * plan.cache_keeps,
+        ..common(Role::Cache)
+    }
+}
+
+fn parent(plan: &Scenario, all_kb: f64) -> ServerSpec {
+    ServerSpec {
+        link: plan.parent_link,
+        slots: (plan.parent_link * SLOTS_PER_TRANSFER) as usize,
+        memory: all_kb * PARENT_CACHED_SHARE,
+        flow: TRANSFER_KB_PER_S * FILL_PACE,
+        ..common(Role::Parent)
+    }
+}
+
+fn origin(plan: &Scenario, mean_kb: f64) -> ServerSpec {
+    ServerSpec {
+        link: plan.origin_rate * mean_kb / TRANSFER_KB_PER_S / FILL_PACE,
+        flow: TRANSFER_KB_PER_S * FILL_PACE,
+        before: ORIGIN_LATENCY_S,
+        stop: ORIGIN_STOP_S,
+        floor: 1.0,
+        ..common(Role::Origin)
+    }
+}
--- a/crates/foxhold-testbed/src/scenarios/scenario.rs
+++ b/crates/foxhold-testbed/src/scenarios/scenario.rs
@@ -1,4 +1,4 @@
-//! A play of many processes as data: who takes part, what is asked, and what goes wrong when.
+//! A run of many processes as data: who takes part, what is asked, and what goes wrong when.
 //!
 //! ```yaml
 //! name: a cache dies
@@ -77,13 +77,13 @@
     /// How many times slower.
     #[serde(default)]
     pub times: f64,
-    /// The rule that a planted fault breaks.
+    /// The rule that a scenarioted fault breaks.
     #[serde(default)]
     pub breach: Option<RuleBreach>,
-    /// The director whose operators tell of a drain, undrain or purge; none: the board does.
+    /// The director whose operators tell of a drain, undrain or purge; none: the discovery service does.
     #[serde(default)]
     pub by: Option<String>,
-    /// The share of messages that the talk between directors loses; 1: all.
+    /// The share of messages that the gossip between directors loses; 1: all.
     #[serde(default)]
     pub lost: f64,
     /// And up to how many milliseconds late each comes.
@@ -101,7 +101,7 @@
     Join,
     /// SIGSTOP; SIGCONT when it is over.
     Stall,
-    /// A link hurt.
+    /// A link faulty.
     Link,
     /// An object draws this share of all requests.
     Hot,
@@ -141,7 +141,7 @@
     SecretRestart,
 }
 
-/// All of a play.
+/// All of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
@@ -185,7 +185,7 @@
     pub leave_within_ms: f64,
     /// Each director hears of the list up to so many seconds late, always the same.
     pub list_late: f64,
-    /// Directors talk among themselves.
+    /// Directors gossip among themselves.
     pub peers: bool,
     /// The classes.
     pub classes: Vec<RequestClass>,
@@ -237,7 +237,7 @@
     }
 }
 
-/// Why a plan can't be played.
+/// Why a scenario can't be run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {what}")]
 pub struct ScenarioError {
@@ -248,7 +248,7 @@
 }
 
 impl Scenario {
-    /// Reads a plan and checks it.
+    /// Reads a scenario and checks it.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let plan: Scenario = serde_saphyr::from_str(text)
             .map_err(|e| ScenarioError { place: "plan".into(), what: e.to_string() })?;
@@ -256,7 +256,7 @@
         Ok(plan)
     }
 
-    /// Whether it can be played.
+    /// Whether it can be run.
     pub fn check(&self) -> Result<(), ScenarioError> {
         let error = |place: &str, what: String| Err(ScenarioError { place: place.into(), what });
         let processes = self.directors + self.caches + self.parents + 1;
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/clock.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/clock.rs
@@ -5,7 +5,8 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Unix time at the start of a simulation, in microseconds. Any would do: it is fixed so that a seed decides all.
+/// Unix time at the start of a simulation, in microseconds. Any would do: it is fixed so that a seed decides
+/// all.
 pub const UNIX_START: Micros = 1_800_000_000_000_000;
 
 struct Scheduled<E> {
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
@@ -1,5 +1,5 @@
-//! One hollow director: the real membership, conversation, replay window and seal, put together as the actor in
-//! [`foxhold::cluster`] does it, without its socket, its disk and its core.
+//! One simulated director: the real membership, conversation, replay window and seal, put together as the
+//! actor in [`foxhold::cluster`] does it, without its socket, its disk and its core.
 
 use foxhold::cluster::frame::{Body, FrameCodec, Message};
 use foxhold::cluster::members::{Member, Members, ProtocolOutput, Timer};
@@ -17,7 +17,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// The port of all hollow directors; nothing is opened there.
+/// The port of all simulated directors; nothing is opened there.
 const PORT: u16 = 7_300;
 /// Seeds that directors are set up with, as operators do.
 const SEED_DIRECTORS: usize = 3;
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/fit.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/fit.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The size that the plan of the next two years asks for. Held: ten minutes of 99 purges a second.
+    /// The size that the scenario of the next two years asks for. Held: ten minutes of 99 purges a second.
     pub fn planned(self) -> f64 {
         match self {
             Axis::Directors => 13_000.0,
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/measurement.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/measurement.rs
@@ -145,7 +145,8 @@
     pub held: u32,
     /// How the run ended.
     pub ended: Ended,
-    /// Directors that still caught up when measuring began: with any, the figures are not those of a steady fleet.
+    /// Directors that still caught up when measuring began: with any, the figures are not those of a steady
+    /// fleet.
     pub catching_up: usize,
     /// Simulated seconds that were measured.
     pub seconds: f64,
@@ -177,7 +178,8 @@
     pub to_all: Times,
     /// From a purge told until each of the others held it.
     pub to_each: Times,
-    /// Purges that some running director did not hold at the end, but for those that are no longer kept by then.
+    /// Purges that some running director did not hold at the end, but for those that are no longer kept by
+    /// then.
     pub missed: usize,
     /// From the end of a cut until the last purge told before was everywhere, in milliseconds; none: no cut.
     pub healed_ms: Option<f64>,
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
@@ -1,11 +1,11 @@
-//! Hollow directors: the real replica, membership and message code of many directors in one process, over a simulated
-//! network and in simulated time, without clients and servers: `foxhold-testbed hollow`.
+//! Simulated directors: the real replica, membership and message code of many directors in one process, over
+//! a simulated network and in simulated time, without clients and servers: `foxhold-testbed hollow`.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | [`clock`] | simulated time: one queue of events |
 //! | [`network`] | where directors are, delays, loss and cuts |
-//! | [`director`] | one hollow director |
+//! | [`director`] | one simulated director |
 //! | [`scenario`] | what happens to a fleet, and when |
 //! | [`simulation`] | a fleet's run, within its bounds |
 //! | [`measurement`] | what each director spent, and when purges were everywhere |
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/network.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/network.rs
@@ -1,4 +1,5 @@
-//! The network between hollow directors: where each of them is, and how long a datagram takes, if it arrives.
+//! The network between simulated directors: where each of them is, and how long a datagram takes, if it
+//! arrives.
 
 use foxhold::policy::types::Micros;
 use rand::rngs::StdRng;
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
@@ -44,7 +44,7 @@
     pub unfit: Option<String>,
     /// Its budget.
     pub budget: f64,
-    /// Its value at the planned size, extrapolated where that is out of the range.
+    /// Its value at the scenarioned size, extrapolated where that is out of the range.
     pub planned: Option<f64>,
     /// The size at which the budget is used up.
     pub used_up_at: Option<f64>,
--- a/crates/foxhold-testbed/src/servers/emulated/mod.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/mod.rs
@@ -1,9 +1,10 @@
-//! One emulated server: the line protocol on a socket, before a [model](crate::servers::model) of what it can do.
+//! One emulated server: the line protocol on a socket, before a [model](crate::servers::model) of what it can
+//! do.
 //!
-//! The same server runs as a process of its own (`foxhold-testbed emulate`, with commands on standard input and events
-//! on standard output) or as a task among others ([`crate::servers::in_process`]). Fills go over sockets like all else,
-//! so that a relay may stand between any two servers. A fill's request carries `by`, the name of the server that asks,
-//! beside the platform's fields.
+//! The same server runs as a process of its own (`foxhold-testbed emulate`, with commands on standard input
+//! and events on standard output) or as a task among others ([`crate::servers::in_process`]). Fills go over
+//! sockets like all else, so that a relay may stand between any two servers. A fill's request carries `by`,
+//! the name of the server that asks, beside the platform's fields.
 
 mod config;
 mod connection;
@@ -31,8 +32,8 @@
 use tokio::task::JoinSet;
 use upstream::UpstreamCall;
 
-/// Requests may come for so long after a server was told that it drains: the platform's second, and a little for the
-/// way.
+/// Requests may come for so long after a server was told that it drains: the platform's second, and a little
+/// for the way.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
 /// How often, and at what interval, a server that comes back tries to listen at its address.
 const MAX_BIND_ATTEMPTS: u32 = 100;
--- a/crates/foxhold-testbed/src/servers/emulated/process.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/process.rs
@@ -6,8 +6,8 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::sync::mpsc;
 
-/// Runs a server as a process of its own: told by a line of JSON each on standard input, telling so on standard
-/// output; it ends with its standard input.
+/// Runs a server as a process of its own: told by a line of JSON each on standard input, telling so on
+/// standard output; it ends with its standard input.
 pub fn process(config: ServerConfig) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
--- a/crates/foxhold-testbed/src/servers/in_process.rs
+++ b/crates/foxhold-testbed/src/servers/in_process.rs
@@ -1,7 +1,8 @@
-//! Stand-in servers on loopback: they hold what they were told to keep, fill from each other, and fail when told.
+//! Emulated servers on loopback: they hold what they were told to keep, fill from each other, and fail when
+//! told.
 //!
-//! They speak the line protocol as its page has it. Nothing is evicted and no time is modelled but a stated delay, so
-//! that what a director sees depends on what it asks and on nothing else.
+//! They speak the line protocol as its page has it. Nothing is evicted and no time is modelled but a stated
+//! delay, so that what a director sees depends on what it asks and on nothing else.
 
 use crate::servers::emulated::unix_ms;
 pub use crate::servers::model::Role;
@@ -59,7 +60,7 @@
 }
 
 fn lock(state: &Arc<Mutex<State>>) -> MutexGuard<'_, State> {
-    // A stand-in that panicked is a failed test already.
+    // A emulated server that panicked is a failed test already.
     state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
@@ -124,7 +125,7 @@
         )
     }
 
-    /// Tells of a drain by the board.
+    /// Tells of a drain by the discovery service.
     pub fn drain(&self, name: &str) {
         self.event_line(|rev, state| change(rev, &member(name, &state.servers[name], "terminating")));
     }
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Purges an object everywhere, and tells of it by the board.
+    /// Purges an object everywhere, and tells of it by the discovery service.
     pub fn purge(&self, object: &str) {
         lock(&self.state).servers.values_mut().for_each(|s| s.held.retain(|(o, _)| o != object));
         let ms = unix_ms();
--- a/crates/foxhold-testbed/src/servers/model.rs
+++ b/crates/foxhold-testbed/src/servers/model.rs
@@ -1,5 +1,6 @@
-//! What a stand-in server can do and hold, without clock or I/O: links that divide themselves, memory by rank and
-//! recency, cold starts, and pushing over. Times are seconds, sizes KB, work is seconds of sending at full pace.
+//! What a emulated server server can do and hold, without clock or I/O: links that divide themselves, memory
+//! by rank and recency, cold starts, and pushing over. Times are seconds, sizes KB, work is seconds of
+//! sending at full pace.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -48,7 +49,8 @@
     pub floor: f64,
     /// See `floor`.
     pub warm: f64,
-    /// Sent more than this multiple of what it can do for `window` seconds, it falls over (the origin: stops).
+    /// Sent more than this multiple of what it can do for `window` seconds, it falls over (the origin:
+    /// stops).
     pub multiple: f64,
     /// See `multiple`.
     pub window: f64,
@@ -249,7 +251,8 @@
     (x >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// An object's size in KB: the same at every process, about the class's mean, uneven by a factor of three either way.
+/// An object's size in KB: the same at every process, about the class's mean, uneven by a factor of three
+/// either way.
 pub fn size_kb(object: &str, mean: f64) -> f64 {
     let number = u64::from_str_radix(object, 16).unwrap_or(0);
     let [a, b, c] = [1, 2, 3].map(|n| unit(number.wrapping_add(n)));
