--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -11,7 +11,7 @@
 //! | --- | --- |
 //! | `startup` | opening the keys, the socket and the stored state |
 //! | `actor` | the actor and its event loop |
-//! | `gossip` | the actor's handling of both protocols' messages |
+//! | `messages` | the actor's handling of both protocols' messages |
 //! | `handle` | commands to the actor |
 //! | `membership`, [`members`], `membership_change`, `duplicates` | announcements, protocol, log, names |
 //! | `transport`, [`frame`], `key_file` | the socket, authenticated framing, and the file of its keys |
@@ -28,12 +28,12 @@
 mod drain_feed;
 mod duplicates;
 pub mod frame;
-mod gossip;
 mod handle;
 mod key_file;
 pub mod members;
 mod membership;
 mod membership_change;
+mod messages;
 mod persistence;
 mod report;
 mod source;
--- a/src/replication/state/mod.rs
+++ b/src/replication/state/mod.rs
@@ -15,18 +15,15 @@
 
 mod bounds;
 mod expiry;
+mod local_changes;
 
 pub use bounds::{Bounds, MergeError, MAX_CLOCK_SKEW, MAX_NAME_BYTES};
 
 use super::digest::{leaf_index, stable_hash, DigestTree};
-use super::entry::{
-    encode, matches_kind, DrainCommand, DrainRecord, EndpointRecord, Incarnation, Key, Kind, MergeOutcome,
-    Value,
-};
-use crate::dispatch::membership::Endpoint;
+use super::entry::{encode, matches_kind, Incarnation, Key, Kind, MergeOutcome, Value};
 use crate::policy::types::{MemberState, Micros};
 use bounds::{ENTRY_OVERHEAD_BYTES, MAX_DRAIN_INCARNATIONS};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
 /// The time, as the host reads it.
@@ -111,8 +108,6 @@
     encode(key).len() + encode(value).len() + ENTRY_OVERHEAD_BYTES
 }
 
-// ---- changes at this director ----
-
 impl ReplicatedState {
     /// An empty state.
     pub fn new(incarnation: Incarnation, bounds: Bounds) -> ReplicatedState {
@@ -126,76 +121,6 @@
             evicted_revision: 0,
         }
     }
-
-    /// Purges a key as of a Unix time in microseconds. Returns the entry to publish; none: nothing changed.
-    pub fn purge(
-        &mut self,
-        key: Key,
-        at: Micros,
-        now: ClockReading,
-    ) -> Result<Option<(Key, Value)>, MergeError> {
-        self.put(key, Value::Purged(at), now)
-    }
-
-    /// Drains or undrains the process that is listed under a server's name. Returns the entry to publish;
-    /// none: nothing changed.
-    pub fn set_drain(
-        &mut self,
-        name: &str,
-        command: DrainCommand,
-        now: ClockReading,
-    ) -> Result<Option<(Key, Value)>, MergeError> {
-        let started_at = match self.get(&Key::Endpoint(name.into())) {
-            Some(Value::Endpoint(_, record)) => record.started_at,
-            _ => 0,
-        };
-        let key = Key::Drain(name.into());
-        let record = match self.get(&key) {
-            Some(Value::Drain(record)) => record.with_command(command, self.incarnation, started_at),
-            _ => DrainRecord::default().with_command(command, self.incarnation, started_at),
-        };
-        self.put(key, Value::Drain(record), now)
-    }
-
-    /// Applies an event of the discovery source with its revision, and returns the entries that changed. A
-    /// full list sets a tombstone for each server that it lacks and that is not described by a later event.
-    pub fn apply_member_update(
-        &mut self,
-        revision: u64,
-        scope: ListScope,
-        members: &[Endpoint],
-        now: ClockReading,
-    ) -> Vec<(Key, Value)> {
-        let entry = |member: &Endpoint| {
-            let key = Key::Endpoint(member.name.to_string());
-            (key, Value::Endpoint(revision, EndpointRecord::from(member)))
-        };
-        let mut updates: Vec<(Key, Value)> = members.iter().map(entry).collect();
-        if scope == ListScope::Full {
-            updates.extend(self.tombstones_for_missing(revision, members));
-        }
-        // What is rejected for want of capacity is not counted here: the core has it from the source itself.
-        updates.into_iter().filter_map(|(key, value)| self.put(key, value, now).ok().flatten()).collect()
-    }
-
-    fn tombstones_for_missing(&self, revision: u64, members: &[Endpoint]) -> Vec<(Key, Value)> {
-        let listed: BTreeSet<&str> = members.iter().map(|member| &*member.name).collect();
-        let is_missing = |(at, entry): &(&StoredKey, &Entry)| match (&at.key, &entry.value) {
-            (Key::Endpoint(name), Value::Endpoint(known, record)) => {
-                *known < revision && !record.is_gone() && !listed.contains(&**name)
-            }
-            _ => false,
-        };
-        let missing = self.entries.iter().filter(is_missing);
-        missing
-            .map(|(at, _)| (at.key.clone(), Value::Endpoint(revision, EndpointRecord::tombstone())))
-            .collect()
-    }
-
-    fn put(&mut self, key: Key, value: Value, now: ClockReading) -> Result<Option<(Key, Value)>, MergeError> {
-        let outcome = self.merge(&key, &value, now)?;
-        Ok(outcome.has_changed().then_some((key, value)))
-    }
 }
 
 // ---- merging ----
