--- a/src/cluster/messages.rs
+++ b/src/cluster/messages.rs
@@ -12,7 +12,7 @@
 impl Actor {
     /// Handles one datagram.
     pub(super) fn handle_datagram(&mut self, datagram: &[u8]) {
-        let Some(message) = self.transport.open(datagram) else { return };
+        let Some(message) = self.transport.decode(datagram) else { return };
         let now = self.now();
         if let Some(greeting) = self.membership.received(&message.from, now.monotonic) {
             self.apply_membership(greeting);
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -58,7 +58,7 @@
 
     fn counts(&self) -> BTreeMap<String, u64> {
         let replication = self.replication.counters();
-        let transport = &self.transport.counts;
+        let transport = &self.transport.counters;
         let (disk_written, disk_failed) = self.persistence.counts();
         let counts = [
             ("taken", replication.merged),
@@ -79,7 +79,7 @@
 
     /// What was rejected, by cause: datagrams, entries and messages of the membership protocol.
     fn rejected(&self) -> BTreeMap<String, u64> {
-        let datagrams = self.transport.counts.rejected.iter();
+        let datagrams = self.transport.counters.rejected.iter();
         let datagrams = datagrams.map(|(cause, n)| (cause.name().to_owned(), *n));
         let entries = self.replication.counters().rejected.iter();
         let entries = entries.map(|(cause, n)| (format!("entry_{}", cause.name()), *n));
--- a/src/cluster/transport.rs
+++ b/src/cluster/transport.rs
@@ -13,7 +13,7 @@
 
 /// Totals since the start.
 #[derive(Debug, Default)]
-pub(super) struct TransportCounts {
+pub(super) struct TransportCounters {
     /// Datagrams sent.
     pub(super) sent: u64,
     /// Bytes sent.
@@ -38,7 +38,7 @@
     sequence: u64,
     received: ReplayWindow<SocketAddr>,
     /// Totals since the start.
-    pub(super) counts: TransportCounts,
+    pub(super) counters: TransportCounters,
 }
 
 impl Transport {
@@ -56,25 +56,25 @@
             incarnation,
             sequence: 0,
             received: ReplayWindow::new(REMEMBERED_SENDERS),
-            counts: TransportCounts::default(),
+            counters: TransportCounters::default(),
         }
     }
 
-    /// Sends a message, or drops it and counts that: every message of both protocols may be lost.
+    /// Sends a message, or drops and counts it: every message of both protocols may be lost.
     pub(super) fn send(&mut self, from: &Member, to: SocketAddr, body: Body) {
         self.sequence += 1;
         let message =
             Message { from: from.clone(), incarnation: self.incarnation, number: self.sequence, body };
         let Some(datagram) = self.codec.encode(&message) else {
-            self.counts.unsent += 1;
+            self.counters.unsent += 1;
             return;
         };
         match self.socket.try_send_to(&datagram, to) {
             Ok(_) => {
-                self.counts.sent += 1;
-                self.counts.sent_bytes += datagram.len() as u64;
+                self.counters.sent += 1;
+                self.counters.sent_bytes += datagram.len() as u64;
             }
-            Err(_) => self.counts.unsent += 1,
+            Err(_) => self.counters.unsent += 1,
         }
     }
 
@@ -89,18 +89,18 @@
     }
 
     /// Verifies and decodes a datagram. What is rejected is counted by its cause.
-    pub(super) fn open(&mut self, datagram: &[u8]) -> Option<Message> {
-        self.counts.received_bytes += datagram.len() as u64;
-        match self.codec.decode(datagram).and_then(|message| self.first_time(message)) {
+    pub(super) fn decode(&mut self, datagram: &[u8]) -> Option<Message> {
+        self.counters.received_bytes += datagram.len() as u64;
+        match self.codec.decode(datagram).and_then(|message| self.check_replay(message)) {
             Ok(message) => Some(message),
             Err(cause) => {
-                *self.counts.rejected.entry(cause).or_default() += 1;
+                *self.counters.rejected.entry(cause).or_default() += 1;
                 None
             }
         }
     }
 
-    fn first_time(&mut self, message: Message) -> Result<Message, Rejection> {
+    fn check_replay(&mut self, message: Message) -> Result<Message, Rejection> {
         let from = message.from.address;
         if from == self.own_address || !self.received.accept(&from, message.incarnation, message.number) {
             return Err(Rejection::Replayed);
