--- a/src/replication/digest.rs
+++ b/src/replication/digest.rs
@@ -80,6 +80,24 @@
     }
 }
 
+/// The part of one entry in the digest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+pub struct EntrySum {
+    /// The hash of its key.
+    pub key_hash: u64,
+    /// The hash of its key and value.
+    pub sum: u64,
+}
+
+/// A node with the sums of its children.
+#[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+pub struct ChildSums {
+    /// The node.
+    pub node: Node,
+    /// The sums of its children, in order.
+    pub sums: Vec<u64>,
+}
+
 impl Default for DigestTree {
     fn default() -> DigestTree {
         DigestTree { sums: vec![0; NODE_COUNT] }
@@ -97,6 +115,11 @@
         }
     }
 
+    /// The sums of a node's children.
+    pub fn child_sums(&self, node: Node) -> ChildSums {
+        ChildSums { node, sums: node.children().map(|child| self.sum(child)).collect() }
+    }
+
     /// The sum of a node; 0 if it does not exist.
     pub fn sum(&self, node: Node) -> u64 {
         if node.exists() {
--- a/src/replication/gossip/anti_entropy.rs
+++ b/src/replication/gossip/anti_entropy.rs
@@ -9,7 +9,7 @@
 use super::random::Random;
 use super::GossipMessage;
 use crate::policy::types::Micros;
-use crate::replication::digest::Node;
+use crate::replication::digest::{ChildSums, EntrySum, Node};
 use crate::replication::state::{leaf_key_hashes, ReplicatedState};
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -71,13 +71,13 @@
 
 /// The first step of a walk: the sums of the root's children.
 pub(super) fn root_children(state: &ReplicatedState) -> GossipMessage {
-    GossipMessage::ChildDigests(vec![child_sums(state, Node::ROOT)])
+    GossipMessage::ChildDigests(vec![state.digest().child_sums(Node::ROOT)])
 }
 
 /// A further step of a walk: the messages that answer a member's sums of some nodes' children.
 pub(super) fn compare_children(
     state: &ReplicatedState,
-    nodes: &[(Node, Vec<u64>)],
+    nodes: &[ChildSums],
     random: &mut Random,
 ) -> Vec<GossipMessage> {
     let mut differing = differing_children(state, nodes);
@@ -88,7 +88,7 @@
     let (leaves, inner): (Vec<Node>, Vec<Node>) = differing.into_iter().partition(|node| node.is_leaf());
     let mut messages = Vec::new();
     for nodes in inner.chunks(NODES_PER_MESSAGE) {
-        let sums = nodes.iter().map(|node| child_sums(state, *node)).collect();
+        let sums = nodes.iter().map(|node| state.digest().child_sums(*node)).collect();
         messages.push(GossipMessage::ChildDigests(sums));
     }
     messages.extend(leaves.into_iter().flat_map(|leaf| summarize_leaf(state, leaf)));
@@ -98,10 +98,12 @@
 /// The end of a walk: sends what a member lacks within a range, and asks for what is lacking here.
 pub(super) fn repair(state: &ReplicatedState, theirs: &RangeSummary) -> Vec<GossipMessage> {
     let ours = state.entry_sums(theirs.first..=theirs.last);
-    let ours: Vec<(u64, u64)> = ours.take(MAX_COMPARED_ENTRIES).collect();
-    let missing_there = ours.iter().filter(|entry| !theirs.entries.contains(entry)).map(|entry| entry.0);
+    let ours: Vec<EntrySum> = ours.take(MAX_COMPARED_ENTRIES).collect();
+    let missing_there =
+        ours.iter().filter(|entry| !theirs.entries.contains(entry)).map(|entry| entry.key_hash);
     let mut messages = pack_entries_at(state, missing_there);
-    let missing_here = theirs.entries.iter().filter(|entry| !ours.contains(entry)).map(|entry| entry.0);
+    let missing_here =
+        theirs.entries.iter().filter(|entry| !ours.contains(entry)).map(|entry| entry.key_hash);
     let missing_here: Vec<u64> = missing_here.collect();
     for key_hashes in missing_here.chunks(MAX_SUMS_PER_MESSAGE) {
         messages.push(GossipMessage::RequestEntries(key_hashes.to_vec()));
@@ -114,14 +116,10 @@
     pack_entries_at(state, key_hashes.into_iter().take(MAX_SUMS_PER_MESSAGE))
 }
 
-fn child_sums(state: &ReplicatedState, node: Node) -> (Node, Vec<u64>) {
-    (node, node.children().map(|child| state.digest().sum(child)).collect())
-}
-
-fn differing_children(state: &ReplicatedState, nodes: &[(Node, Vec<u64>)]) -> Vec<Node> {
+fn differing_children(state: &ReplicatedState, nodes: &[ChildSums]) -> Vec<Node> {
     let digest = state.digest();
     let mut differing = Vec::new();
-    for (node, sums) in nodes.iter().take(MAX_NODES_PER_STEP) {
+    for ChildSums { node, sums } in nodes.iter().take(MAX_NODES_PER_STEP) {
         let children = node.children().zip(sums);
         differing.extend(children.filter(|(child, sum)| digest.sum(*child) != **sum).map(|(child, _)| child));
     }
@@ -131,14 +129,14 @@
 /// Summaries that cover the range of a leaf without a gap.
 fn summarize_leaf(state: &ReplicatedState, leaf: Node) -> Vec<GossipMessage> {
     let range = leaf_key_hashes(leaf.index);
-    let entries: Vec<(u64, u64)> = state.entry_sums(range.clone()).collect();
+    let entries: Vec<EntrySum> = state.entry_sums(range.clone()).collect();
     let mut first = *range.start();
     let mut parts = entries.chunks(MAX_SUMS_PER_MESSAGE).peekable();
     let mut summaries = Vec::new();
     loop {
         let part = parts.next().unwrap_or_default();
         let last = match (parts.peek(), part.last()) {
-            (Some(_), Some(last_entry)) => last_entry.0,
+            (Some(_), Some(last_entry)) => last_entry.key_hash,
             _ => *range.end(),
         };
         summaries.push(GossipMessage::RangeSummary(RangeSummary { first, last, entries: part.to_vec() }));
--- a/src/replication/gossip/message.rs
+++ b/src/replication/gossip/message.rs
@@ -3,7 +3,7 @@
 //! They are encoded by postcard, which writes enum variants by their number and fields by their order,
 //! without names: the order of both is the wire format.
 
-use crate::replication::digest::Node;
+use crate::replication::digest::{ChildSums, EntrySum};
 use crate::replication::entry::{Key, Value};
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
     /// The sum of the root of the sender's digest tree.
     RootDigest(u64),
     /// Nodes of the sender's digest tree, each with the sums of its children.
-    ChildDigests(Vec<(Node, Vec<u64>)>),
+    ChildDigests(Vec<ChildSums>),
     /// All entries of the sender within a range, by their sums.
     RangeSummary(RangeSummary),
     /// Asks for the entries with these key hashes.
@@ -33,8 +33,8 @@
     pub first: u64,
     /// The last key hash of the range, included.
     pub last: u64,
-    /// The key hash and the sum of each entry.
-    pub entries: Vec<(u64, u64)>,
+    /// The entries, in the order of their key hashes.
+    pub entries: Vec<EntrySum>,
 }
 
 /// A request for entries, sent by a director that catches up.
--- a/src/replication/state/mod.rs
+++ b/src/replication/state/mod.rs
@@ -19,7 +19,7 @@
 
 pub use bounds::{Bounds, MergeError, MAX_CLOCK_SKEW, MAX_NAME_BYTES};
 
-use super::digest::{leaf_index, stable_hash, DigestTree};
+use super::digest::{leaf_index, stable_hash, DigestTree, EntrySum};
 use super::entry::{encode, matches_kind, Incarnation, Key, Kind, MergeOutcome, Value};
 use crate::policy::types::{MemberState, Micros};
 use bounds::{ENTRY_OVERHEAD_BYTES, MAX_DRAIN_INCARNATIONS};
@@ -252,9 +252,9 @@
         })
     }
 
-    /// Hashes of keys within a range, with the part of each entry in the digest.
-    pub fn entry_sums(&self, key_hashes: RangeInclusive<u64>) -> impl Iterator<Item = (u64, u64)> + '_ {
-        self.stored_range(key_hashes).map(|(at, entry)| (at.hash, entry.sum))
+    /// The parts of entries in the digest, by the hash of their keys.
+    pub fn entry_sums(&self, key_hashes: RangeInclusive<u64>) -> impl Iterator<Item = EntrySum> + '_ {
+        self.stored_range(key_hashes).map(|(at, entry)| EntrySum { key_hash: at.hash, sum: entry.sum })
     }
 
     fn stored_range(&self, key_hashes: RangeInclusive<u64>) -> impl Iterator<Item = (&StoredKey, &Entry)> {
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -406,7 +406,7 @@
     use foxhold::cluster::frame::{Body, FrameCodec, Message};
     use foxhold::cluster::members::Member;
     use foxhold::cluster::store;
-    use foxhold::replication::digest::Node;
+    use foxhold::replication::digest::{ChildSums, EntrySum, Node};
     use foxhold::replication::entry::{DrainRecord, EndpointRecord, EndpointState, Incarnation, Key, Value};
     use foxhold::replication::gossip::{GossipMessage, RangeSummary, TransferChunk, TransferRequest};
     use std::time::Duration;
@@ -454,11 +454,14 @@
             Body::Swim(vec![1, 2, 3]),
             Body::Gossip(GossipMessage::Updates(entries())),
             Body::Gossip(GossipMessage::RootDigest(5)),
-            Body::Gossip(GossipMessage::ChildDigests(vec![(Node { level: 1, index: 2 }, vec![7; 16])])),
+            Body::Gossip(GossipMessage::ChildDigests(vec![ChildSums {
+                node: Node { level: 1, index: 2 },
+                sums: vec![7; 16],
+            }])),
             Body::Gossip(GossipMessage::RangeSummary(RangeSummary {
                 first: 1,
                 last: 2,
-                entries: vec![(3, 4)],
+                entries: vec![EntrySum { key_hash: 3, sum: 4 }],
             })),
             Body::Gossip(GossipMessage::RequestEntries(vec![1, 2])),
             Body::Gossip(GossipMessage::TransferRequest(TransferRequest { lane: 1, first: 2, last: 3 })),
