--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -31,7 +31,7 @@
     own_address: SocketAddr,
     /// Members with their incarnations, by which one that has restarted is recognised.
     known: HashSet<Member>,
-    /// When a message of each address was last received, by the steady clock.
+    /// When a message of each address was last received, by the monotonic clock.
     last_received: HashMap<SocketAddr, Micros>,
     next_greeting: Instant,
     next_seeds: Instant,
@@ -97,7 +97,7 @@
         Some(self.members.announce(from.address))
     }
 
-    /// When a message of this member was last received, by the steady clock.
+    /// When a message of this member was last received, by the monotonic clock.
     pub(super) fn last_received(&self, member: &Member) -> Option<Micros> {
         self.last_received.get(&member.address).copied()
     }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -3,7 +3,7 @@
 //! has a section `peers`.
 //!
 //! It runs beside the dispatcher, and requests wait for none of it: events reach it through a queue that
-//! drops what it has no room for, and updates are delivered to the dispatcher when that has room. It has one
+//! drops what does not fit, and updates are delivered to the dispatcher as its mailbox permits. It has one
 //! socket, and one thread, which writes to the disk. The protocols themselves, without I/O, are in
 //! [`crate::replication`] and [`members`].
 //!
--- a/tests/replication_state.rs
+++ b/tests/replication_state.rs
@@ -160,6 +160,15 @@
     assert_eq!(a.get(&key), b.get(&key));
 }
 
+#[test]
+fn every_byte_of_an_endpoint_state_is_decoded_and_encoded_unchanged() {
+    for byte in 0..=u8::MAX {
+        let state: EndpointState = postcard::from_bytes(&[byte]).expect("one byte");
+        assert_eq!(encode(&state), [byte]);
+        assert_eq!(MemberState::from(state) == MemberState::Gone, byte >= 2);
+    }
+}
+
 // ---- bounds and expiry ----
 
 #[test]
