--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -1,4 +1,4 @@
-//! The middleware in axum, with a core whose servers are stand-ins on loopback.
+//! The middleware in axum, with a dispatcher whose servers are emulated on loopback.
 #![cfg(feature = "axum")]
 
 mod standin;
@@ -26,7 +26,7 @@
 fn layer(clock: Clock, counts: &Arc<OutcomeCounters>) -> SignedLayer {
     let secret = URL_SAFE.encode(SECRET);
     let file = format!(r#"{{"keys":[{{"name":"u1","alg":"HMAC-SHA256","key":"{secret}"}}]}}"#);
-    let keys = KeySet::new(miniserde::json::from_str(&file).expect("JSON")).expect("good keys");
+    let keys = KeySet::new(miniserde::json::from_str(&file).expect("JSON")).expect("valid keys");
     SignedLayer::new(Arc::new(keys), clock, counts.clone())
 }
 
@@ -45,20 +45,20 @@
 }
 
 #[test]
-fn the_layer_lets_good_links_through_stripped_and_no_others() {
+fn the_signed_layer_strips_valid_credentials_and_denies_all_others() {
     local(async {
         let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(OutcomeCounters::default()));
         let show = |grant: Grant, uri: axum::http::Uri| async move {
             format!("{uri} {}", grant.expires_at.expect("an end"))
         };
         let app = Router::new().route("/{*path}", get(show)).layer(layer(clock, &counts));
-        let good = app.clone().oneshot(request("/hello", NOW + 60)).await.expect("an answer");
-        assert_eq!(good.status(), 200);
+        let valid = app.clone().oneshot(request("/hello", NOW + 60)).await.expect("an answer");
+        assert_eq!(valid.status(), 200);
         // A router matches before its layers run, so the handler sees what the layer left of the target.
-        assert_eq!(body(good).await, format!("/hello {}", (NOW + 65) * 1_000_000));
+        assert_eq!(body(valid).await, format!("/hello {}", (NOW + 65) * 1_000_000));
         assert_eq!(app.clone().oneshot(request("/hello", NOW - 60)).await.expect("an answer").status(), 403);
-        let bare = Request::get("/hello").header("host", "videos.example").body(Body::empty());
-        assert_eq!(app.oneshot(bare.expect("a request")).await.expect("an answer").status(), 403);
+        let unsigned = Request::get("/hello").header("host", "videos.example").body(Body::empty());
+        assert_eq!(app.oneshot(unsigned.expect("a request")).await.expect("an answer").status(), 403);
         assert_eq!((counts.get("expired"), counts.get("malformed")), (1, 1));
     });
 }
@@ -68,8 +68,8 @@
     local(async {
         let cache = Server::start(Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
         let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(OutcomeCounters::default()));
-        let core = start(settings(), clock, vec![cache.listing("s-cache", "edge", "cache")]);
-        let director = DirectorService::new(core, counts.clone());
+        let dispatcher = start(settings(), clock, vec![cache.listing("s-cache", "edge", "cache")]);
+        let director = DirectorService::new(dispatcher, counts.clone());
         let app = Router::new().fallback_service(director).layer(layer(clock, &counts));
         let response = app.clone().oneshot(request("/videos/a.mp4", NOW + 60)).await.expect("an answer");
         assert_eq!(response.status(), 200);
@@ -88,11 +88,11 @@
 
 fn routes() -> Routes {
     let route = |prefix: &str, class: &str| Route { prefix: prefix.into(), class: class.into() };
-    Routes::new(vec![route("/media", "videos"), route("/desk/filings", "filing")]).expect("good routes")
+    Routes::new(vec![route("/media", "videos"), route("/desk/filings", "filing")]).expect("valid routes")
 }
 
 #[test]
-fn the_layer_takes_what_its_routes_match_and_leaves_the_rest_to_the_host() {
+fn the_director_layer_serves_what_its_routes_match_and_leaves_the_rest_to_the_host() {
     local(async {
         let cache = Server::start(Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
         let members =
@@ -104,15 +104,15 @@
         let counts = Arc::new(OutcomeCounters::default());
         let layer = DirectorLayer::new(director, counts.clone(), routes(), &LibrarySection::default());
         let app = Router::new().route("/hello", get(|| async { "of the host" })).layer(layer);
-        let ask = |method: &str, path: &str, body: &'static str| {
+        let send = |method: &str, path: &str, body: &'static str| {
             let request = Request::builder().method(method).uri(path).body(Body::from(body));
             app.clone().oneshot(request.expect("a request"))
         };
-        assert_eq!(body(ask("GET", "/hello", "").await.expect("an answer")).await, "of the host");
-        assert_eq!(body(ask("GET", "/media/a/b.mp4?block=2", "").await.expect("an answer")).await, "bytes");
-        assert_eq!(ask("PUT", "/desk/filings/7", "a filing").await.expect("an answer").status(), 200);
-        assert_eq!(ask("GET", "/desk/filings/7", "").await.expect("an answer").status(), 405);
-        assert_eq!(ask("GET", "/mediax/a", "").await.expect("an answer").status(), 404, "the host's own");
+        assert_eq!(body(send("GET", "/hello", "").await.expect("an answer")).await, "of the host");
+        assert_eq!(body(send("GET", "/media/a/b.mp4?block=2", "").await.expect("an answer")).await, "bytes");
+        assert_eq!(send("PUT", "/desk/filings/7", "a filing").await.expect("an answer").status(), 200);
+        assert_eq!(send("GET", "/desk/filings/7", "").await.expect("an answer").status(), 405);
+        assert_eq!(send("GET", "/mediax/a", "").await.expect("an answer").status(), 404, "the host's own");
         let wants = cache.wants();
         assert!(wants[0].contains("obj=a/b.mp4") && wants[0].contains("seg=2"), "{wants:?}");
         assert!(wants[1].contains("kind=filing"), "{wants:?}");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn readiness_is_a_place_that_holds_and_bodies_share_one_budget() {
+fn readiness_reserves_a_slot_and_bodies_share_one_budget() {
     local(async {
         let origin = Server::start(Manner::Silent).await;
         let members = vec![origin.listing("s-origin", "hub", "origin")];
@@ -138,25 +138,26 @@
         let ready = tower::ServiceExt::<Request<Body>>::ready;
         let call =
             |service: &mut DirectorService, request| tokio::spawn(tower::Service::call(service, request));
-        let first = call(ready(&mut service).await.expect("a place"), put(40_000));
+        let first = call(ready(&mut service).await.expect("a slot"), put(40_000));
         while origin.wants().is_empty() {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
-        // No room for these bytes beside the first's: refused at once, with a time to come back.
-        let second = call(ready(&mut service).await.expect("a place"), put(40_000)).await.expect("a task");
+        // No capacity for these bytes beside the first's: rejected at once, with a Retry-After.
+        let second = call(ready(&mut service).await.expect("a slot"), put(40_000)).await.expect("a task");
         let second = second.expect("an answer");
         assert_eq!(
             (second.status().as_u16(), &second.headers()["retry-after"]),
             (503, &"1".parse().expect("one"))
         );
-        let third = call(ready(&mut service).await.expect("a place"), put(100));
-        let full = tokio::time::timeout(std::time::Duration::from_millis(50), ready(&mut service)).await;
-        assert!(full.is_err(), "two are open");
-        // The host lets go of one: its place and its bytes come back.
+        let third = call(ready(&mut service).await.expect("a slot"), put(100));
+        let third_slot =
+            tokio::time::timeout(std::time::Duration::from_millis(50), ready(&mut service)).await;
+        assert!(third_slot.is_err(), "two are pending");
+        // The host cancels one: its slot and its bytes are given back.
         first.abort();
         let _ = tokio::time::timeout(std::time::Duration::from_secs(1), ready(&mut service))
             .await
-            .expect("a place");
+            .expect("a slot");
         let fourth = call(&mut service, put(40_000));
         while origin.wants().len() < 3 {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! Forty-five minutes of a director's life in a few seconds of paused time: new ids, clients that leave,
-//! servers that are replaced, answers that never come. Nothing that it holds may grow with time.
+//! Forty-five minutes of a director's work in a few seconds of paused time: new ids, clients that disconnect,
+//! servers that are replaced, responses that never come. No table may grow with time.
 
 mod standin;
 
@@ -12,9 +12,11 @@
 use tokio::time::sleep;
 
 const MINUTES: u64 = 45;
-const REQUESTS_A_SECOND: u64 = 12;
+const REQUESTS_PER_SECOND: u64 = 12;
+/// The Unix time in microseconds at which the run starts.
+const START: Micros = 1_764_576_000_000_000;
 /// What a director may hold at a time, far under what 45 minutes bring: 32,400 requests, 180 servers.
-const MOST: TableSizes = TableSizes {
+const MAX_TABLE_SIZES: TableSizes = TableSizes {
     pending_requests: 120,
     attempts_in_flight: 160,
     timers: 1_000,
@@ -25,61 +27,66 @@
     classes: 2,
 };
 
-/// Servers that answer after a while, with a miss now and then, break off, or say nothing.
-struct Moody;
+/// Servers that respond after a while, fill now and then, reject, fail, or do not respond.
+struct UnreliableServers;
 
-impl EndpointConnector for Moody {
+impl EndpointConnector for UnreliableServers {
     fn connect(
         &mut self,
         server: ServerId,
         _: &Endpoint,
         reports: DispatcherSender,
     ) -> mpsc::Sender<EndpointCommand> {
-        let (mailbox, mut orders) = mpsc::channel(64);
+        let (mailbox, mut commands) = mpsc::channel(64);
         tokio::task::spawn_local(async move {
-            let mut count = u64::from(server.0);
-            while let Some(order) = orders.recv().await {
-                count = count.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-                let (mood, reports) = ((count >> 33) % 100, reports.clone());
-                let after = Duration::from_millis(5 + (count >> 40) % 300);
-                let message = match order {
-                    EndpointCommand::Send(want) => DispatcherMessage::AttemptEnded(
-                        want.attempt_id,
-                        match mood {
-                            0..=79 => reply(
-                                ResponseStatus::Ok(Representation { etag: None, body: "bytes".into() }),
-                                CacheStatus::Hit,
-                            ),
-                            80..=89 => {
-                                reply(ResponseStatus::Ok(Representation::default()), CacheStatus::Filled)
-                            }
-                            90..=93 => reply(ResponseStatus::Rejected, CacheStatus::SourceRejected),
-                            94..=95 => reply(ResponseStatus::Error, CacheStatus::SourceUnreachable),
-                            96..=97 => Err(AttemptError::Unanswered),
-                            _ => continue, // never answered
-                        },
-                    ),
-                    EndpointCommand::HealthCheck(number) if mood < 90 => DispatcherMessage::HealthChecked(
-                        number,
-                        Ok(HealthReport { healthy: true, load_report: Vec::new() }),
-                    ),
-                    _ => continue,
-                };
-                tokio::task::spawn_local(async move {
-                    sleep(after).await;
-                    reports.send(message).await;
-                });
+            let mut random = u64::from(server.0);
+            while let Some(command) = commands.recv().await {
+                random =
+                    random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+                let delay = Duration::from_millis(5 + (random >> 40) % 300);
+                if let Some(message) = respond(command, (random >> 33) % 100) {
+                    let reports = reports.clone();
+                    tokio::task::spawn_local(async move {
+                        sleep(delay).await;
+                        reports.send(message).await;
+                    });
+                }
             }
         });
         mailbox
     }
 }
 
-fn reply(verdict: ResponseStatus, note: CacheStatus) -> AttemptResult {
-    Ok(UpstreamResponse { status: verdict, cache_status: note, source_wait: 0, load_report: Vec::new() })
+/// What a server reports on a command, by a draw from 0 to 99; none: nothing, ever.
+fn respond(command: EndpointCommand, draw: u64) -> Option<DispatcherMessage> {
+    match command {
+        EndpointCommand::Send(request) => {
+            Some(DispatcherMessage::AttemptEnded(request.attempt_id, attempt_result(draw)?))
+        }
+        EndpointCommand::HealthCheck(number) if draw < 90 => {
+            let report = HealthReport { healthy: true, load_report: Vec::new() };
+            Some(DispatcherMessage::HealthChecked(number, Ok(report)))
+        }
+        _ => None,
+    }
 }
 
-/// Caches whose names change with the round, as a rolling deploy replaces them, and the same two behind.
+/// How an attempt ends, by a draw from 0 to 99; none: it is never answered.
+fn attempt_result(draw: u64) -> Option<AttemptResult> {
+    let cached = Representation { etag: None, body: "bytes".into() };
+    let (status, cache_status) = match draw {
+        0..=79 => (ResponseStatus::Ok(cached), CacheStatus::Hit),
+        80..=89 => (ResponseStatus::Ok(Representation::default()), CacheStatus::Filled),
+        90..=93 => (ResponseStatus::Rejected, CacheStatus::SourceRejected),
+        94..=95 => (ResponseStatus::Error, CacheStatus::SourceUnreachable),
+        96..=97 => return Some(Err(AttemptError::Unanswered)),
+        _ => return None,
+    };
+    Some(Ok(UpstreamResponse { status, cache_status, source_wait: 0, load_report: Vec::new() }))
+}
+
+/// Caches whose names change with the round, as a rolling deploy replaces them, parents that change less
+/// often, and an origin.
 fn fleet(round: u64) -> Vec<Endpoint> {
     let mut members: Vec<Endpoint> =
         (0..4).map(|n| listing(&format!("cache-{}", round + n), "a", "edge", "cache")).collect();
@@ -90,82 +97,99 @@
 
 /// Resident bytes of this process.
 #[cfg(target_os = "linux")]
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").expect("proc");
-    text.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).expect("a figure") * 4096
+    text.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).expect("a number") * 4096
 }
 
 #[cfg(not(target_os = "linux"))]
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     0
 }
 
+/// Replaces servers every 15 s and purges a group every 7 s.
+async fn send_updates(dispatcher: &Dispatcher, clock: &Clock, second: u64) {
+    if second % 15 == 14 {
+        let members = fleet(second / 15);
+        dispatcher.sender().send(DispatcherMessage::Members { full: true, members }).await;
+    }
+    if second.is_multiple_of(7) {
+        let at = clock.unix().saturating_sub(50_000);
+        let group = second as u32 % 32;
+        let purge = DispatcherMessage::Purged { object: None, group, at, retention: 0 };
+        dispatcher.sender().send(purge).await;
+    }
+}
+
+/// A request by a draw: one in twenty writes.
+fn drawn_request(dispatcher: &Dispatcher, draw: u64) -> ClientRequest {
+    ClientRequest {
+        id: dispatcher.generate_request_id(),
+        class: usize::from(draw.is_multiple_of(20)),
+        object: format!("{:016x}", draw % 50_000).into(),
+        group: Some((draw % 32) as u32),
+        size_kb: 20.0 + (draw % 300) as f64,
+        timeout: Duration::from_millis(800 + draw % 2_000),
+        ..ClientRequest::default()
+    }
+}
+
+/// Submits a second's requests, one after another, and reports of each whether its client got a response. One
+/// in ten disconnects before.
+async fn submit_requests(dispatcher: &Dispatcher, draws: &mut Gen, answered: &mpsc::UnboundedSender<bool>) {
+    for _ in 0..REQUESTS_PER_SECOND {
+        let draw = u64::arbitrary(draws);
+        let pending = dispatcher.submit(drawn_request(dispatcher, draw));
+        let answered = answered.clone();
+        tokio::task::spawn_local(async move {
+            let patience = Duration::from_millis(if draw % 10 == 3 { 40 } else { 60_000 });
+            let _ = answered.send(tokio::time::timeout(patience, pending).await.is_ok());
+        });
+        sleep(Duration::from_millis(1_000 / REQUESTS_PER_SECOND)).await;
+    }
+}
+
+async fn table_sizes(dispatcher: &Dispatcher) -> TableSizes {
+    dispatcher.metrics().await.expect("a dispatcher").tables
+}
+
 #[test]
-fn forty_five_minutes_leave_every_table_mailbox_and_the_memory_where_they_were() {
+fn forty_five_minutes_leave_every_table_the_mailbox_and_the_memory_as_they_were() {
     paused(async {
-        let known = vec![DispatcherMessage::Members { full: true, members: fleet(0) }];
+        let initial = vec![DispatcherMessage::Members { full: true, members: fleet(0) }];
         let settings = Settings { health_checks: true, ..settings() };
-        let clock = Clock::starting_at(1_764_576_000_000_000);
-        let core = dispatch::start(settings, 7, clock, Moody, known).expect("good settings").dispatcher;
-        let (mut gen, mut quarters, mut answered) = (Gen::from_size_and_seed(64, 11), Vec::new(), 0u64);
-        let (tell, mut told) = mpsc::unbounded_channel();
+        let clock = Clock::starting_at(START);
+        let running =
+            dispatch::start(settings, 7, clock, UnreliableServers, initial).expect("valid settings");
+        let dispatcher = running.dispatcher;
+        let mut draws = Gen::from_size_and_seed(64, 11);
+        let (mut resident_by_quarter, mut answered) = (Vec::new(), 0u64);
+        let (report, mut reports) = mpsc::unbounded_channel();
         for second in 0..MINUTES * 60 {
-            if second % 15 == 14 {
-                let members = fleet(second / 15);
-                core.sender().send(DispatcherMessage::Members { full: true, members }).await;
-            }
-            if second % 7 == 0 {
-                let at = clock.unix().saturating_sub(50_000);
-                core.sender()
-                    .send(DispatcherMessage::Purged {
-                        object: None,
-                        group: second as u32 % 32,
-                        at,
-                        retention: 0,
-                    })
-                    .await;
-            }
-            for _ in 0..REQUESTS_A_SECOND {
-                let pick = u64::arbitrary(&mut gen);
-                let ask = ClientRequest {
-                    id: core.generate_request_id(),
-                    class: usize::from(pick.is_multiple_of(20)),
-                    object: format!("{:016x}", pick % 50_000).into(),
-                    group: Some((pick % 32) as u32),
-                    size_kb: 20.0 + (pick % 300) as f64,
-                    timeout: Duration::from_millis(800 + pick % 2_000),
-                    ..ClientRequest::default()
-                };
-                let (pending, tell) = (core.submit(ask), tell.clone());
-                tokio::task::spawn_local(async move {
-                    // One in ten leaves before its answer.
-                    let patience = Duration::from_millis(if pick % 10 == 3 { 40 } else { 60_000 });
-                    let _ = tell.send(tokio::time::timeout(patience, pending).await.is_ok());
-                });
-                sleep(Duration::from_millis(1_000 / REQUESTS_A_SECOND)).await;
-            }
-            while let Ok(was) = told.try_recv() {
-                answered += u64::from(was);
+            send_updates(&dispatcher, &clock, second).await;
+            submit_requests(&dispatcher, &mut draws, &report).await;
+            while let Ok(was_answered) = reports.try_recv() {
+                answered += u64::from(was_answered);
             }
-            let tables = core.metrics().await.expect("a core").tables;
-            assert!(tables.within(&MOST), "after {second} s: {tables:?}");
+            let tables = table_sizes(&dispatcher).await;
+            assert!(tables.within(&MAX_TABLE_SIZES), "after {second} s: {tables:?}");
             if second % (MINUTES * 15) == MINUTES * 15 - 1 {
-                quarters.push(resident());
+                resident_by_quarter.push(resident_bytes());
             }
         }
         sleep(Duration::from_secs(10)).await;
-        let tables = core.metrics().await.expect("a core").tables;
-        let empty = (
+        let tables = table_sizes(&dispatcher).await;
+        let remaining = (
             tables.pending_requests,
             tables.attempts_in_flight,
             tables.timers,
             tables.health_checks,
             tables.mailbox,
         );
-        assert_eq!(empty, (0, 0, 0, 0, 0), "nothing is left once all is answered");
-        let asked = MINUTES * 60 * REQUESTS_A_SECOND;
-        assert!(answered > asked * 85 / 100, "{answered} of {asked} answered");
-        let growth = quarters[3].saturating_sub(quarters[1]);
-        assert!(growth < 4 << 20, "resident by quarters: {quarters:?}");
+        assert_eq!(remaining, (0, 0, 0, 0, 0), "nothing is left once all is answered");
+        let submitted = MINUTES * 60 * REQUESTS_PER_SECOND;
+        assert!(answered > submitted * 85 / 100, "{answered} of {submitted} answered");
+        let growth = resident_by_quarter[3].saturating_sub(resident_by_quarter[1]);
+        assert!(growth < 4 << 20, "resident by quarters: {resident_by_quarter:?}");
     });
 }
