--- a/src/dispatch/actor/attempts.rs
+++ b/src/dispatch/actor/attempts.rs
@@ -22,6 +22,15 @@
 /// still be sent just after it.
 const MAX_SEND_DELAY: Micros = 500_000;
 
+/// An attempt that is about to be sent, with times by the monotonic clock.
+struct AttemptPlan {
+    id: AttemptId,
+    server: ServerId,
+    fill: Option<Fill>,
+    started_at: Micros,
+    timeout_at: Micros,
+}
+
 impl<C: EndpointConnector> Actor<C> {
     // ---- start ----
 
@@ -40,11 +49,8 @@
         let is_waiting = pending.is_waiting();
         let timeout_at = if timeout > 0 { now + timeout } else { pending.deadline + TIMEOUT_AFTER_DEADLINE };
         self.attempts.insert(id, AttemptInFlight::new(server, now, fill));
-        if !is_waiting {
-            return self.complete_attempt(id, Outcome::NotSent, None);
-        }
-        let sent = self.send_attempt(id, server, fill, now, timeout_at);
-        if sent {
+        let plan = AttemptPlan { id, server, fill, started_at: now, timeout_at };
+        if is_waiting && self.send_attempt(&plan) {
             self.timers.schedule(timeout_at, Timer::AttemptTimeout(id));
         } else {
             self.complete_attempt(id, Outcome::NotSent, None);
@@ -65,53 +71,40 @@
 
     /// Sends an attempt to its server's connection actor; whether that took it. One that has its mailbox full
     /// has far more than it can carry.
-    fn send_attempt(
-        &mut self,
-        id: AttemptId,
-        server: ServerId,
-        fill: Option<Fill>,
-        now: Micros,
-        timeout_at: Micros,
-    ) -> bool {
-        let Some(pending) = self.requests.get(id.request_id()) else { return false };
-        let request = self.upstream_request(id, pending, server, fill, now, timeout_at);
-        self.endpoints.reconnect_if_ended(server);
-        let sent = self.endpoints.try_send(server, EndpointCommand::Send(request));
+    fn send_attempt(&mut self, plan: &AttemptPlan) -> bool {
+        let request_id = plan.id.request_id();
+        let Some(pending) = self.requests.get(request_id) else { return false };
+        let request = self.upstream_request(plan, pending);
+        self.endpoints.reconnect_if_ended(plan.server);
+        let sent = self.endpoints.try_send(plan.server, EndpointCommand::Send(request));
         if sent {
-            self.attempts.mark_sent(id);
-            if let Some(pending) = self.requests.get_mut(id.request_id()) {
-                pending.record_sent(now);
+            self.attempts.mark_sent(plan.id);
+            if let Some(pending) = self.requests.get_mut(request_id) {
+                pending.record_sent(plan.started_at);
             }
         }
         sent
     }
 
-    fn upstream_request(
-        &self,
-        attempt_id: AttemptId,
-        pending: &PendingRequest,
-        server: ServerId,
-        mut fill: Option<Fill>,
-        now: Micros,
-        timeout_at: Micros,
-    ) -> UpstreamRequest {
-        let request = &pending.request;
+    fn upstream_request(&self, plan: &AttemptPlan, pending: &PendingRequest) -> UpstreamRequest {
+        let (request, mut fill) = (&pending.request, plan.fill);
         if let Some(fill) = fill.as_mut() {
             let freshness_lifetime = self.settings.classes[request.class].freshness_lifetime;
             let unix = self.clock.unix();
             self.purges.limit_age(fill, pending.object, request.group, freshness_lifetime, unix);
         }
-        let send_deadline = timeout_at.min(now + self.max_send_delay(pending, now));
+        let max_delay = self.max_send_delay(pending, plan.started_at);
+        let send_deadline = plan.timeout_at.min(plan.started_at + max_delay);
         UpstreamRequest {
-            attempt_id,
+            attempt_id: plan.id,
             id: request.id.clone(),
             class: self.counters.class_name(request.class).clone(),
             object: request.object.clone(),
             part: request.part,
-            deadline: self.clock.instant(timeout_at),
+            deadline: self.clock.instant(plan.timeout_at),
             send_deadline: self.clock.instant(send_deadline),
             cancellation: pending.cancellation.clone(),
-            fill_source: fill_source(server, fill).and_then(|s| self.endpoints.name(s)).cloned(),
+            fill_source: fill_source(plan.server, fill).and_then(|s| self.endpoints.name(s)).cloned(),
             cache_rank: fill.map_or(0, |f| f.cache_rank),
             max_age_ms: fill.map_or(0, |f| max_age_ms(f.max_age)),
             collapse: fill.is_some_and(|f| f.collapse),
--- a/src/middleware/director.rs
+++ b/src/middleware/director.rs
@@ -1,11 +1,12 @@
 //! The tower service and layer that serve requests by way of the director.
 
 use super::handler::RequestHandler;
-use super::{BodyBudget, BoxFuture, Routes};
+use super::{BodyBudget, Routes};
 use crate::config::operator::LibrarySection;
 use crate::director::Director;
 use crate::dispatch::Dispatcher;
 use crate::signed::{Grant, OutcomeCounters};
+use crate::upstream::host::BoxFuture;
 use bytes::Bytes;
 use http::{Request, Response};
 use std::sync::Arc;
--- a/src/middleware/mod.rs
+++ b/src/middleware/mod.rs
@@ -33,10 +33,6 @@
 use bytes::Bytes;
 use http::header::{CACHE_CONTROL, CONTENT_TYPE, ETAG, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
-use std::future::Future;
-use std::pin::Pin;
-
-type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// The value of a header that is there exactly once.
 fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
--- a/src/middleware/signed.rs
+++ b/src/middleware/signed.rs
@@ -1,8 +1,9 @@
 //! The tower layer that checks signed URLs and tokens before a service.
 
-use super::{single_header, to_response, BoxFuture};
+use super::{single_header, to_response};
 use crate::dispatch::Clock;
 use crate::signed::{self, CredentialError, KeySet, OutcomeCounters};
+use crate::upstream::host::BoxFuture;
 use bytes::Bytes;
 use http::header::HOST;
 use http::{Request, Response, Uri};
