--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -94,7 +94,8 @@
         Builder::new(settings)
     }
 
-    /// A director as the platform's configuration file describes it: settings, discovery service, seed and connections.
+    /// A director as the platform's configuration file describes it: settings, discovery service, seed and
+    /// connections.
     pub fn from_file(path: impl AsRef<std::path::Path>) -> Result<Builder, BuildError> {
         Ok(Builder::from_config(PlatformConfig::read(path.as_ref())?))
     }
--- a/src/replication/state/mod.rs
+++ b/src/replication/state/mod.rs
@@ -5,8 +5,8 @@
 //!
 //! | entry | removed | why it does not come back |
 //! | --- | --- | --- |
-//! | purge | when its own time is [`Bounds::purge_retention`] ago | it carries its time: all reject it |
-//! | drain | a tombstone retention after its server is gone | it names the process that ended |
+//! | purge | its own time is [`Bounds::purge_retention`] ago | it carries its time: all directors reject it |
+//! | drain | a tombstone retention after the server is gone | it names the process that ended |
 //! | tombstone | a tombstone retention after it was set | who was away for longer forgets its list |
 //!
 //! Where there is no capacity tombstones are evicted, the lowest revision first; a server that is not known
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -263,7 +263,8 @@
             reach(before + 1).await;
             drop(leaves);
             if stalled {
-                std::thread::sleep(hedge_delay + MAX_NOTICE_DELAY); // the timer and the client's disconnect come together
+                // The timer and the client's disconnect come together.
+                std::thread::sleep(hedge_delay + MAX_NOTICE_DELAY);
             }
             sleep(hedge_delay + 3 * MAX_NOTICE_DELAY).await;
             assert_eq!(
