--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -5,10 +5,11 @@
 
 use bytes::BytesMut;
 use foxhold::config::settings::{decode_connection_settings, parse_settings};
-use foxhold::discovery::client;
+use foxhold::discovery::codec::{decode_line, WatchLine};
+use foxhold::discovery::WatchChange;
 use foxhold::dispatch::{AttemptId, Clock, DispatcherMessage, Endpoint, ResponseStatus, UpstreamRequest};
-use foxhold::frontend::admin::{self, AdminEndpoint, Reloads};
-use foxhold::frontend::platform::Platform;
+use foxhold::frontend::admin::{self, AdminEndpoint, ReloadCounters};
+use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::ShutdownPhase;
 use foxhold::upstream::line_codec;
 use foxhold::{CacheStatusLevel, Idempotency, KeyScope, Siblings};
@@ -88,10 +89,12 @@
 }
 
 /// What an answer was read as; notes by their number.
-fn answer(content: &line_codec::Content) -> String {
+fn answer(content: &line_codec::MessageContent) -> String {
     let reply = match content {
-        line_codec::Content::Health(healthy, load) => return format!("health {healthy} {load:?}"),
-        line_codec::Content::Response(reply) => reply,
+        line_codec::MessageContent::Health(report) => {
+            return format!("health {} {:?}", report.healthy, report.load_report);
+        }
+        line_codec::MessageContent::Response(reply) => reply,
     };
     let verdict = match &reply.status {
         ResponseStatus::Ok(copy) => format!("copy {:?} {:?}", copy.etag, copy.body),
@@ -147,17 +150,17 @@
 // ---- discovery ----
 
 /// What an event was read as; states by their number.
-fn event(news: &client::WatchChange) -> String {
+fn event(news: &WatchChange) -> String {
     let member = |listing: &Endpoint| {
         let Endpoint { name, address, zone, kind, cell, state, size, started_at: since } = listing;
         format!(" {name} {address} {zone} {kind} {cell} {} {size} {since}", *state as u8)
     };
     match news {
-        client::WatchChange::Members { full, members } => {
+        WatchChange::Members { complete: full, members } => {
             format!("members {full}{}", members.iter().map(member).collect::<String>())
         }
-        client::WatchChange::Purge { object, group, ms } => format!("purge {object:?} {group} {ms}"),
-        client::WatchChange::Unknown => "other".into(),
+        WatchChange::Purge { object, group, unix_ms: ms } => format!("purge {object:?} {group} {ms}"),
+        WatchChange::Unknown => "other".into(),
     }
 }
 
@@ -190,15 +193,15 @@
     ];
     let mut read = String::new();
     for line in lines {
-        let line = client::parse_line(line.as_bytes()).expect("a good line");
+        let line = decode_line(line.as_bytes()).expect("a good line");
         read += &match line {
-            client::WatchLine::Heartbeat(rev) => format!("last {rev}\n"),
-            client::WatchLine::Event(notice) => format!("{} {}\n", notice.revision, event(&notice.change)),
+            WatchLine::Heartbeat(rev) => format!("last {rev}\n"),
+            WatchLine::Event(notice) => format!("{} {}\n", notice.revision, event(&notice.change)),
         };
     }
     same_as_fixture("discovery.txt", &read);
     for bad in [r#"{"rev":8,"flush":{"ms":1}}"#, "", "x", &complete.replace("in_service", "resting")] {
-        assert!(client::parse_line(bad.as_bytes()).is_err(), "{bad}");
+        assert!(decode_line(bad.as_bytes()).is_err(), "{bad}");
     }
 }
 
@@ -231,9 +234,9 @@
     local(async {
         let ([cache, parent, origin], members) = trio(COPY).await;
         let core = start(settings(), Clock::system(), members);
-        let front = serve(&core, Platform(core.clone())).await;
+        let front = serve(&core, PlatformFrontend(core.clone())).await;
         let (close, closing) = watch::channel(ShutdownPhase::Running);
-        let reloads = Rc::new(Reloads::default());
+        let reloads = Rc::new(ReloadCounters::default());
         let door = AdminEndpoint {
             dispatcher: core.clone(),
             requests_in_flight: Rc::new(Cell::new(2)),
@@ -400,12 +403,12 @@
 #[cfg(feature = "peers")]
 mod directors {
     use super::{fixture, same_as_fixture};
-    use foxhold::cluster::frame::{Body, Message, Seal};
+    use foxhold::cluster::frame::{Body, FrameCodec, Message};
     use foxhold::cluster::members::Member;
     use foxhold::cluster::store;
     use foxhold::replication::digest::Node;
-    use foxhold::replication::entry::{DrainRecord, EndpointRecord, Incarnation, Key, Value};
-    use foxhold::replication::gossip::GossipMessage;
+    use foxhold::replication::entry::{DrainRecord, EndpointRecord, EndpointState, Incarnation, Key, Value};
+    use foxhold::replication::gossip::{GossipMessage, RangeSummary, TransferChunk, TransferRequest};
     use std::time::Duration;
 
     const UNIX: u64 = 1_764_576_000_000_000;
@@ -416,7 +419,7 @@
             zone: "edge".into(),
             kind: "cache".into(),
             cell: 3,
-            state: 1,
+            state: EndpointState::Draining,
             size: 8.5,
             started_at: UNIX,
         }
@@ -451,22 +454,32 @@
             Body::Swim(vec![1, 2, 3]),
             Body::Gossip(GossipMessage::Updates(entries())),
             Body::Gossip(GossipMessage::RootDigest(5)),
-            Body::Gossip(GossipMessage::ChildDigests(vec![(Node { level: 1, number: 2 }, vec![7; 16])])),
-            Body::Gossip(GossipMessage::RangeSummary(1, 2, vec![(3, 4)])),
+            Body::Gossip(GossipMessage::ChildDigests(vec![(Node { level: 1, index: 2 }, vec![7; 16])])),
+            Body::Gossip(GossipMessage::RangeSummary(RangeSummary {
+                first: 1,
+                last: 2,
+                entries: vec![(3, 4)],
+            })),
             Body::Gossip(GossipMessage::RequestEntries(vec![1, 2])),
-            Body::Gossip(GossipMessage::TransferRequest(1, 2, 3)),
-            Body::Gossip(GossipMessage::TransferChunk(1, 2, entries(), Some(3), true)),
+            Body::Gossip(GossipMessage::TransferRequest(TransferRequest { lane: 1, first: 2, last: 3 })),
+            Body::Gossip(GossipMessage::TransferChunk(TransferChunk {
+                lane: 1,
+                first: 2,
+                entries: entries(),
+                next: Some(3),
+                sender_caught_up: true,
+            })),
         ];
-        let seal = Seal::new("toy", &[vec![7; 32]]).expect("a key");
+        let seal = FrameCodec::new("toy", &[vec![7; 32]]).expect("a key");
         let from = Member::new("a", "127.0.0.1:1".parse().expect("an address"), 9);
         let messages: Vec<Message> = bodies
             .into_iter()
             .map(|body| Message { from: from.clone(), incarnation: 7, number: 300, body })
             .collect();
-        let frames: Vec<Vec<u8>> = messages.iter().map(|m| seal.seal(m).expect("small")).collect();
+        let frames: Vec<Vec<u8>> = messages.iter().map(|m| seal.encode(m).expect("small")).collect();
         same_as_fixture("frames.txt", &frames.iter().map(|f| hex(f) + "\n").collect::<String>());
         for (line, message) in fixture("frames.txt").lines().zip(&messages) {
-            assert_eq!(seal.open(&unhex(line)).as_ref(), Ok(message));
+            assert_eq!(seal.decode(&unhex(line)).as_ref(), Ok(message));
         }
     }
 
