--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -5,20 +5,23 @@
 mod common;
 #[path = "slow_start/simulation.rs"]
 mod simulation;
+#[path = "slow_start/site.rs"]
+mod site;
 
-use budget::{ColdServer, Worst};
+use budget::{WarmingServer, WorstWindow};
 use foxhold::SlowStartRule;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use simulation::{Fleet, Mix, Role, Site, SECOND};
+use simulation::Simulation;
+use site::{ClassMix, Role, Site, SECOND};
 use std::sync::OnceLock;
 
 const RUNS: u64 = 50;
 /// Of the runs with large budgets, every fifth measures how much of the budget is used.
-const MANY_ASKED: u64 = 5;
+const LARGE_BUDGET_SAMPLING: u64 = 5;
 
 /// A random site: its slow-start rule, classes, load and number of routers.
-fn drawn(role: Role, few: bool, seed: u64) -> Site {
+fn random_site(role: Role, small_budget: bool, seed: u64) -> Site {
     let mut random = StdRng::seed_from_u64(seed);
     let rule = SlowStartRule {
         initial_capacity_share: random.random_range(0.1..0.25),
@@ -26,18 +29,18 @@
         overload_multiple: random.random_range(1.8..3.0),
         overload_window: random.random_range(1..=3) * SECOND,
     };
-    let work = random.random_range(0.02e6..0.2e6);
-    let mix = |share, work, write| Mix { share, work, write };
+    let transfer_time = random.random_range(0.02e6..0.2e6);
+    let mix = |share, transfer_time, write| ClassMix { share, transfer_time, write };
     // Every other site has sizes that differ twenty fold.
     let classes = if seed.is_multiple_of(2) {
-        vec![mix(0.7, work, false), mix(0.3, 2.0 * work, false)]
+        vec![mix(0.7, transfer_time, false), mix(0.3, 2.0 * transfer_time, false)]
     } else {
         vec![mix(0.35, 0.02e6, true), mix(0.35, 0.1e6, false), mix(0.3, 0.4e6, false)]
     };
-    let allowed = if few { random.random_range(3.0..10.0) } else { 100.0 };
+    let allowed = if small_budget { random.random_range(3.0..10.0) } else { 100.0 };
     // Many transfers in a short window over a long warming up would be millions of requests.
     let short = SlowStartRule { warm_up_time: 10 * SECOND, overload_window: 3 * SECOND, ..rule };
-    let rule = if few { rule } else { short };
+    let rule = if small_budget { rule } else { short };
     let site = Site {
         role,
         routers: random.random_range(20..=30),
@@ -45,9 +48,9 @@
         rule,
         size: 1.0,
         load: random.random_range(0.8..1.6),
-        hits: random.random_range(0.3..if few { 0.8 } else { 0.5 }),
-        told: true,
-        direct: seed % 4 < 2,
+        hit_ratio: random.random_range(0.3..if small_budget { 0.8 } else { 0.5 }),
+        starts_known: true,
+        direct_requests: seed % 4 < 2,
         seed,
     };
     site.sized(allowed)
@@ -57,23 +60,23 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Used {
     sent: f64,
-    bearable: f64,
+    serviceable: f64,
 }
 
 impl Used {
     /// What a server received, against the demand for a warm one up to a multiple of its capacity.
-    fn of(cold: &ColdServer, asked: &ColdServer, multiple: f64) -> Used {
-        let bearable = cold.bearable(&asked.windows(), multiple);
-        let sent = cold.windows().iter().zip(&bearable).map(|(sent, bears)| sent.min(*bears)).sum();
-        Used { sent, bearable: bearable.iter().sum() }
+    fn of(server: &WarmingServer, demand: &WarmingServer, multiple: f64) -> Used {
+        let serviceable = server.serviceable(&demand.windows(), multiple);
+        let sent = server.windows().iter().zip(&serviceable).map(|(sent, limit)| sent.min(*limit)).sum();
+        Used { sent, serviceable: serviceable.iter().sum() }
     }
 
     fn plus(self, other: Used) -> Used {
-        Used { sent: self.sent + other.sent, bearable: self.bearable + other.bearable }
+        Used { sent: self.sent + other.sent, serviceable: self.serviceable + other.serviceable }
     }
 
     fn share(self) -> f64 {
-        self.sent / self.bearable
+        self.sent / self.serviceable
     }
 }
 
@@ -81,7 +84,7 @@
 #[derive(Debug, Default)]
 struct Summary {
     /// The window that came nearest to an overload.
-    worst: Worst,
+    worst: WorstWindow,
     overloads: usize,
     /// What was used of the budget, and of the capacity.
     budget: Used,
@@ -90,32 +93,32 @@
     min_share: f64,
 }
 
-fn summary(role: Role, few: bool) -> Summary {
+fn summary(role: Role, small_budget: bool) -> Summary {
     let mut summary = Summary { min_share: f64::INFINITY, ..Summary::default() };
     for seed in 0..RUNS {
-        let site = drawn(role, few, seed);
-        let fleet = Fleet::play(&site);
-        let open = (few || seed.is_multiple_of(MANY_ASKED))
-            .then(|| Fleet::play(&Site { told: false, ..site.clone() }));
+        let site = random_site(role, small_budget, seed);
+        let simulation = Simulation::run(&site);
+        let unlimited = (small_budget || seed.is_multiple_of(LARGE_BUDGET_SAMPLING))
+            .then(|| Simulation::run(&Site { starts_known: false, ..site.clone() }));
         let mut run = Used::default();
-        for (id, cold) in &fleet.cold {
-            let worst = cold.worst();
+        for (id, server) in &simulation.warming {
+            let worst = server.worst_window();
             summary.overloads += usize::from(worst.margin < 0.0);
             if worst.ratio > summary.worst.ratio {
                 summary.worst = worst;
             }
-            if let Some(asked) = open.as_ref().map(|open| &open.cold[id]) {
-                summary.budget = summary.budget.plus(Used::of(cold, asked, site.rule.overload_multiple));
-                run = run.plus(Used::of(cold, asked, 1.0));
+            if let Some(demand) = unlimited.as_ref().map(|run| &run.warming[id]) {
+                summary.budget = summary.budget.plus(Used::of(server, demand, site.rule.overload_multiple));
+                run = run.plus(Used::of(server, demand, 1.0));
             }
         }
-        if open.is_some() {
+        if unlimited.is_some() {
             summary.capacity = summary.capacity.plus(run);
             summary.min_share = summary.min_share.min(run.share());
         }
     }
     println!(
-        "{role:?}, few {few}: {} overloads, worst window {:.2} of an overload ({:?}); used \
+        "{role:?}, small_budget {small_budget}: {} overloads, worst window {:.2} of an overload ({:?}); used \
          {:.2} of the budget, {:.2} of the capacity, {:.2} in the least run",
         summary.overloads,
         summary.worst.ratio,
@@ -128,14 +131,15 @@
 }
 
 /// The summary of a kind of site, computed once for all tests.
-fn cached_summary(role: Role, few: bool) -> &'static Summary {
+fn cached_summary(role: Role, small_budget: bool) -> &'static Summary {
     static SUMMARIES: [OnceLock<Summary>; 4] = [const { OnceLock::new() }; 4];
-    SUMMARIES[usize::from(role == Role::Parent) * 2 + usize::from(few)].get_or_init(|| summary(role, few))
+    SUMMARIES[usize::from(role == Role::Parent) * 2 + usize::from(small_budget)]
+        .get_or_init(|| summary(role, small_budget))
 }
 
 /// Asserts that no server is overloaded, and that one that starts gets at least half of what it can serve.
-fn assert_within_limits_and_used(role: Role, few: bool) {
-    let summary = cached_summary(role, few);
+fn assert_within_limits_and_used(role: Role, small_budget: bool) {
+    let summary = cached_summary(role, small_budget);
     assert_eq!(summary.overloads, 0, "{summary:?}");
     assert!(summary.capacity.share() >= 0.5, "{summary:?}");
 }
@@ -163,11 +167,11 @@
 /// The same against the whole budget, which is a multiple of the capacity.
 #[test]
 fn a_cold_server_gets_half_of_its_budget_where_so_much_is_asked() {
-    for (role, few) in
+    for (role, small_budget) in
         [(Role::Cache, true), (Role::Cache, false), (Role::Parent, true), (Role::Parent, false)]
     {
-        let share = cached_summary(role, few).budget.share();
-        assert!(share >= 0.5, "{role:?}, few {few}: {share:.2} of the budget");
+        let share = cached_summary(role, small_budget).budget.share();
+        assert!(share >= 0.5, "{role:?}, small_budget {small_budget}: {share:.2} of the budget");
     }
 }
 
@@ -175,8 +179,9 @@
 #[test]
 fn a_fleet_without_slow_start_overloads_servers() {
     let overloads = (0..RUNS / 5).filter(|seed| {
-        let fleet = Fleet::play(&Site { told: false, ..drawn(Role::Cache, true, *seed) });
-        fleet.cold.values().any(|cold| cold.worst().margin < 0.0)
+        let simulation =
+            Simulation::run(&Site { starts_known: false, ..random_site(Role::Cache, true, *seed) });
+        simulation.warming.values().any(|server| server.worst_window().margin < 0.0)
     });
     assert!(overloads.count() >= 5);
 }
--- a/tests/slow_start/budget.rs
+++ b/tests/slow_start/budget.rs
@@ -1,103 +1,109 @@
-//! The budget of a server that started lately, as the acceptance's page reckons it: within any window
-//! the work that
-//! reaches it, in mean requests, may be `N + 2 * sqrt(N) + 2`, `N` being what the settings allow it then.
+//! The budget of a server in slow start: in any window the work that it receives, in mean requests, may be at
+//! most `N + 2 * sqrt(N) + 2`, where `N` is what the settings allow it at that time.
 
 use foxhold::{Micros, SlowStartRule};
 
-/// Work that reached a server.
+/// A request that a server received.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct ReceivedWork {
     /// When.
     pub at: Micros,
-    /// Microseconds of sending at full pace.
-    pub work: f64,
-    /// Whether the router had been told of the server's start.
-    pub told: bool,
+    /// Transfer time at full rate, in microseconds.
+    pub transfer_time: f64,
+    /// Whether the router knew of the server's start.
+    pub start_known: bool,
 }
 
-/// A server that started lately, and all that reached it since.
+/// A server in slow start, and all that it received since its start.
 #[derive(Clone, Debug)]
-pub struct ColdServer {
-    /// What the settings say of such servers.
+pub struct WarmingServer {
+    /// The slow-start rule of the settings.
     pub rule: SlowStartRule,
-    /// Its size, in transfers at full pace.
+    /// Its capacity, in transfers at full rate.
     pub size: f64,
-    /// The mean work of a request.
-    pub mean: f64,
+    /// The mean transfer time of a request, in microseconds.
+    pub mean_transfer_time: f64,
     /// When it started.
-    pub since: Micros,
+    pub started_at: Micros,
     /// In the order of time.
-    pub log: Vec<Sent>,
+    pub received: Vec<ReceivedWork>,
 }
 
-/// The window that came nearest to a fall, or is past it.
+/// The window that came nearest to an overload, or is over it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Worst {
-    /// What came within it over what may come.
+pub struct WorstWindow {
+    /// What was received in it, relative to the budget.
     pub ratio: f64,
-    /// Mean requests that were left below the fall (negative: the server fell).
+    /// Mean requests that were left of the budget; below 0 the server was overloaded.
     pub margin: f64,
     /// What the settings allowed, in mean requests.
     pub allowed: f64,
     /// Seconds from the server's start to the window's end.
     pub age: f64,
-    /// The share that came from routers that had been told of the start.
-    pub told: f64,
+    /// The share received from routers that knew of the start.
+    pub start_known_share: f64,
 }
 
-impl ColdServer {
-    /// The share of its capacity at a time, reckoned as low as the settings allow.
-    fn warmth(&self, at: Micros) -> f64 {
-        let age = at.saturating_sub(self.since) as f64 / self.rule.warm_up_time as f64;
+impl WarmingServer {
+    /// The share of its capacity at a time, at the least that the settings allow.
+    fn capacity_share(&self, at: Micros) -> f64 {
+        let age = at.saturating_sub(self.started_at) as f64 / self.rule.warm_up_time as f64;
         (self.rule.initial_capacity_share + (1.0 - self.rule.initial_capacity_share) * age).min(1.0)
     }
 
     /// Mean requests that the settings allow it in one window at a time.
-    pub fn allowed(&self, at: Micros) -> f64 {
-        self.rule.overload_multiple * self.size * self.warmth(at) * self.rule.overload_window as f64
-            / self.mean
+    pub fn allowed_requests(&self, at: Micros) -> f64 {
+        self.rule.overload_multiple * self.size * self.capacity_share(at) * self.rule.overload_window as f64
+            / self.mean_transfer_time
     }
 
-    /// The window with the least margin of those that end with some work, while the server is cold.
-    pub fn worst(&self) -> Worst {
-        let (mut worst, mut first, mut sum, mut told) = (Worst::default(), 0, 0.0, 0.0);
-        for sent in self.log.iter().filter(|s| s.at < self.since + self.rule.warm_up_time) {
-            sum += sent.work;
-            told += if sent.told { sent.work } else { 0.0 };
-            while self.log[first].at + self.rule.overload_window <= sent.at {
-                sum -= self.log[first].work;
-                told -= if self.log[first].told { self.log[first].work } else { 0.0 };
+    /// The window with the least margin of those that end with a request, while the server warms up.
+    pub fn worst_window(&self) -> WorstWindow {
+        let (mut worst, mut first, mut sum, mut known) = (WorstWindow::default(), 0, 0.0, 0.0);
+        for sent in self.received.iter().filter(|s| s.at < self.started_at + self.rule.warm_up_time) {
+            sum += sent.transfer_time;
+            known += if sent.start_known { sent.transfer_time } else { 0.0 };
+            while self.received[first].at + self.rule.overload_window <= sent.at {
+                sum -= self.received[first].transfer_time;
+                known -=
+                    if self.received[first].start_known { self.received[first].transfer_time } else { 0.0 };
                 first += 1;
             }
-            let (allowed, count) = (self.allowed(sent.at), sum / self.mean);
-            let fall = allowed + 2.0 * allowed.sqrt() + 2.0;
-            if count / fall > worst.ratio {
-                let age = (sent.at - self.since) as f64 / 1e6;
-                let told = told / sum.max(1e-9);
-                worst = Worst { ratio: count / fall, margin: fall - count, allowed, age, told };
+            let (allowed, count) = (self.allowed_requests(sent.at), sum / self.mean_transfer_time);
+            let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
+            if count / budget > worst.ratio {
+                let age = (sent.at - self.started_at) as f64 / 1e6;
+                let known = known / sum.max(1e-9);
+                worst = WorstWindow {
+                    ratio: count / budget,
+                    margin: budget - count,
+                    allowed,
+                    age,
+                    start_known_share: known,
+                };
             }
         }
         worst
     }
 
-    /// By whole windows from its start until it is warm: the mean requests that came.
+    /// The mean requests received in each whole window from its start until it is warm.
     pub fn windows(&self) -> Vec<f64> {
         let mut counts = vec![0.0; (self.rule.warm_up_time / self.rule.overload_window) as usize];
-        for sent in &self.log {
-            let place = (sent.at.saturating_sub(self.since) / self.rule.overload_window) as usize;
+        for sent in &self.received {
+            let place = (sent.at.saturating_sub(self.started_at) / self.rule.overload_window) as usize;
             if let Some(count) = counts.get_mut(place) {
-                *count += sent.work / self.mean;
+                *count += sent.transfer_time / self.mean_transfer_time;
             }
         }
         counts
     }
 
-    /// What it could bear in each of these windows: a multiple of its capacity in the middle, or all
-    /// that is asked.
-    pub fn bearable(&self, asked: &[f64], multiple: f64) -> Vec<f64> {
-        let middle =
-            |n: usize| self.since + self.rule.overload_window * n as Micros + self.rule.overload_window / 2;
-        let bears = |n: usize| self.allowed(middle(n)) * multiple / self.rule.overload_multiple;
-        asked.iter().enumerate().map(|(n, asked)| asked.min(bears(n))).collect()
+    /// What it could serve in each of these windows: a multiple of its capacity in the middle, or the demand.
+    pub fn serviceable(&self, demand: &[f64], multiple: f64) -> Vec<f64> {
+        let middle = |n: usize| {
+            self.started_at + self.rule.overload_window * n as Micros + self.rule.overload_window / 2
+        };
+        let limit = |n: usize| self.allowed_requests(middle(n)) * multiple / self.rule.overload_multiple;
+        demand.iter().enumerate().map(|(n, demand)| demand.min(limit(n))).collect()
     }
 }
