--- /dev/null
+++ b/tests/admin_endpoint.rs
@@ -0,0 +1,215 @@
+//! The admin endpoint, and settings that change while the process runs.
+
+mod standin;
+
+use foxhold::config::platform::PlatformConfig;
+use foxhold::dispatch::{Clock, Dispatcher, DispatcherMessage};
+use foxhold::frontend::admin::{self, AdminEndpoint, ReloadCounters};
+use foxhold::frontend::platform::PlatformFrontend;
+use foxhold::frontend::serve::ShutdownPhase;
+use foxhold::policy::types::*;
+use standin::*;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+
+const COPY: Manner = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
+/// More than the admin endpoint serves at a time.
+const SILENT_CONNECTIONS: usize = 40;
+
+fn get(class: &str, id: u64) -> String {
+    format!(
+        "GET /ops/{class}/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Job-Id: {id:016x}\r\nX-Allow-Ms: 1000\r\n\
+         Connection: close\r\n\r\n"
+    )
+}
+
+/// Sends a command and reads the answer to its end.
+async fn command(address: &str, line: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.expect("an admin endpoint");
+    stream.write_all(line.as_bytes()).await.expect("a reader");
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).await.expect("text");
+    answer
+}
+
+/// Connections that have sent no command, or a part of one.
+async fn silent_connections(address: &str, count: usize) -> Vec<TcpStream> {
+    let mut silent = Vec::new();
+    for n in 0..count {
+        let mut stream = TcpStream::connect(address).await.expect("an admin endpoint");
+        stream.write_all(&b"var"[..n % 4]).await.expect("a reader");
+        silent.push(stream);
+    }
+    silent
+}
+
+/// An admin endpoint, with what the rest of the process would change.
+struct Endpoint {
+    address: String,
+    shutdown: watch::Sender<ShutdownPhase>,
+    requests_in_flight: Rc<Cell<usize>>,
+    reloads: Rc<ReloadCounters>,
+}
+
+impl Endpoint {
+    async fn start(dispatcher: &Dispatcher) -> Endpoint {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("an address").to_string();
+        let (shutdown, phase) = watch::channel(ShutdownPhase::Running);
+        let (requests_in_flight, reloads) = (Rc::new(Cell::new(0)), Rc::new(ReloadCounters::default()));
+        let endpoint = AdminEndpoint {
+            dispatcher: dispatcher.clone(),
+            requests_in_flight: requests_in_flight.clone(),
+            shutdown: phase,
+            reloads: reloads.clone(),
+            peers: None,
+        };
+        tokio::task::spawn_local(admin::accept(listener, endpoint));
+        Endpoint { address, shutdown, requests_in_flight, reloads }
+    }
+}
+
+/// Guards against metrics that are untrue, and against connections without a command keeping others out.
+#[test]
+fn the_admin_endpoint_answers_at_once_and_truly_beside_connections_that_send_nothing() {
+    local(async {
+        let ([cache, ..], members) = trio(COPY).await;
+        let dispatcher = start(settings(), Clock::system(), members);
+        let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
+        let admin = Endpoint::start(&dispatcher).await;
+        for id in 0..3 {
+            assert_eq!(send(&clients, &get("videos", id)).await.status, 200);
+        }
+        *cache.manner.borrow_mut() = Manner::Silent;
+        dispatcher.sender().send(DispatcherMessage::Members { full: true, members: Vec::new() }).await;
+        assert_eq!(send(&clients, &get("videos", 3)).await.status, 503);
+        admin.requests_in_flight.set(2);
+        admin.reloads.failed.set(1);
+        let _silent = silent_connections(&admin.address, SILENT_CONNECTIONS).await;
+        let begun = Instant::now();
+        assert_eq!(command(&admin.address, "check\n").await, "YES\n");
+        let metrics = command(&admin.address, "vars\r\n").await;
+        assert!(begun.elapsed() < Duration::from_millis(500), "{:?}", begun.elapsed());
+        for part in [
+            r#""videos":{"served":3,"refused":1,"failed":0}"#,
+            r#""filing":{"served":0,"refused":0,"failed":0}"#,
+            r#""attempts":3,"in_flight":2,"caches_known":0,"caches_excluded":0"#,
+            r#""reloads_ok":0,"reloads_failed":1}"#,
+        ] {
+            assert!(metrics.contains(part), "{part} in {metrics}");
+        }
+        assert!(metrics.ends_with("}\nEND\n"), "{metrics}");
+    });
+}
+
+#[test]
+fn unknown_and_endless_commands_and_a_process_that_ends_are_answered_with_no() {
+    local(async {
+        let (_servers, members) = trio(COPY).await;
+        let admin = Endpoint::start(&start(settings(), Clock::system(), members)).await;
+        let _silent = silent_connections(&admin.address, SILENT_CONNECTIONS).await;
+        assert!(command(&admin.address, "reboot\n").await.starts_with("NO "));
+        assert!(
+            command(&admin.address, &"x".repeat(300)).await.starts_with("NO "),
+            "a command without an end"
+        );
+        admin.shutdown.send(ShutdownPhase::CloseAfterResponse).expect("an admin endpoint");
+        assert!(command(&admin.address, "check\n").await.starts_with("NO "), "a process that ends");
+    });
+}
+
+fn example() -> PlatformConfig {
+    PlatformConfig::parse(include_str!("../examples/config.json")).expect("a good configuration")
+}
+
+/// Guards against applying a part of a file that can't be used.
+#[test]
+fn a_configuration_with_a_key_missing_or_a_value_out_of_range_is_rejected() {
+    let text = include_str!("../examples/config.json");
+    let is_rejected = |text: &str| match PlatformConfig::parse(text) {
+        Ok(later) => later.can_replace(&example()).is_err(),
+        Err(_) => true,
+    };
+    assert!(!is_rejected(text));
+    assert!(!is_rejected(&text.replace("\"maxAttempts\": 6", "\"maxAttempts\": 2")));
+    for (from, to) in [
+        ("\"deadlineMs\": 5000", "\"deadlineMs\": -5"),
+        ("\"deadlineMs\": 5000", "\"deadlineMs\": 0"),
+        ("\"deadlineMs\": 5000", "\"deadlineMs\": \"soon\""),
+        ("\"deadlineMs\": 5000, ", ""),
+        ("\"maxAttempts\": 6", "\"maxAttempts\": 0"),
+        ("\"maxAttempts\": 6", "\"maxAttempts\": null"),
+        ("\"maxAttempts\": 6, ", ""),
+        ("\"board\": \"127.0.0.1:7200\",", ""),
+        ("\"limits\": {\"cores\": 1.0, \"memory_mb\": 192, \"sockets\": 1024},", ""),
+        ("\"stopSendingWithinMs\": 1000, ", ""),
+        ("\"services\"", "\"servants\""),
+        ("\"settings\"", "\"setting\""),
+    ] {
+        let changed = text.replacen(from, to, 1);
+        assert_ne!(changed, text, "{from}");
+        assert!(is_rejected(&changed), "{from} -> {to}");
+    }
+    for cut in (0..text.trim_end().len()).step_by(7) {
+        assert!(is_rejected(&text[..cut]), "cut at {cut}");
+    }
+}
+
+/// Guards pending requests against the rules of a class that came later, and the table against growing.
+#[test]
+fn classes_keep_their_index_while_requests_use_it() {
+    let with = |names: &[&str]| {
+        let class = |name: &&str| Class { name: (*name).to_owned(), deadline: 7, ..Class::default() };
+        Settings { classes: names.iter().map(class).collect(), ..Settings::default() }
+    };
+    let first = with(&["a", "b"]);
+    let second = first.updated_to(with(&["b", "c"]), |_| false);
+    assert_eq!(
+        (second.class_index("a"), second.class_index("b"), second.class_index("c")),
+        (None, Some(1), Some(2))
+    );
+    assert_eq!(second.classes[0], Class { retired: true, ..first.classes[0].clone() });
+    let in_use = second.updated_to(with(&["b", "c", "d"]), |index| index == 0);
+    assert_eq!(in_use.class_index("d"), Some(3), "a pending request uses index 0");
+    let free = second.updated_to(with(&["b", "c", "d"]), |_| false);
+    assert_eq!((free.class_index("d"), free.classes.len()), (Some(0), 3));
+    let mut other = with(&["b", "c"]);
+    other.classes[0].idempotency = Idempotency::AtMostOnce;
+    let changed = second.updated_to(other, |_| true);
+    assert_eq!(
+        changed.classes[1].idempotency,
+        Idempotency::Idempotent,
+        "pending requests keep the old rules"
+    );
+    assert_eq!(
+        changed.classes[changed.class_index("b").expect("a class")].idempotency,
+        Idempotency::AtMostOnce
+    );
+    let mut grown = first;
+    for n in 0..1000 {
+        grown = grown.updated_to(with(&[&format!("n{n}")]), |_| false);
+    }
+    assert!(grown.classes.len() <= 5, "{}", grown.classes.len());
+}
+
+/// Guards against a new class being unknown, and a dropped one still being served.
+#[test]
+fn new_classes_are_served_and_dropped_ones_are_not() {
+    local(async {
+        let (servers, members) = trio(COPY).await;
+        let dispatcher = start(settings(), Clock::system(), members);
+        let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
+        assert_eq!(send(&clients, &get("films", 1)).await.status, 404);
+        let mut later = settings();
+        later.classes[0].name = "films".into();
+        dispatcher.sender().send(DispatcherMessage::Settings(Box::new(later))).await;
+        dispatcher.metrics().await.expect("a dispatcher");
+        assert_eq!(send(&clients, &get("films", 2)).await.status, 200);
+        assert_eq!(send(&clients, &get("videos", 3)).await.status, 404);
+        assert!(servers[0].wants()[0].contains("kind=films,"), "{:?}", servers[0].wants());
+    });
+}
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Descriptors run short: idle clients take all that there are while the board is down, two processes share
-//! one limit, the system gives none. Real processes under a limit of their own, and real connections.
+//! Descriptors run short: idle clients take all that there are while the discovery service is down, two processes
+//! share one limit, the system gives none. Real processes under a limit of their own, and real connections.
 #![cfg(feature = "cli")]
 
 mod program;
@@ -19,35 +19,35 @@
 use tokio::time::{sleep, timeout};
 
 const COPY: Manner = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
-/// More than any limit here leaves room for.
+/// More than any limit here allows.
 const IDLE_CLIENTS: usize = 400;
-/// More than the smallest limit leaves room for.
-const CALLERS: usize = 60;
-/// An idle client whose connection was closed comes anew after this.
-const COMES_ANEW: Duration = Duration::from_millis(200);
-/// Within this discovery is followed again, and all else works that works at once.
+/// More than the smallest limit allows.
+const INCOMPLETE_COMMANDS: usize = 60;
+/// An idle client whose connection was closed connects again after this.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// Within this the discovery service is followed again, and everything works that works at once.
 const SOON: Duration = Duration::from_secs(1);
 
 fn addresses(servers: &[Server; 3]) -> [&str; 3] {
     [&servers[0].address, &servers[1].address, &servers[2].address]
 }
 
-/// Clients that say nothing, or nothing more after a first request, and come anew when they are let go.
-fn crowd(address: &str) {
+/// Clients that send nothing, or nothing more after a first request, and connect again when they are closed.
+fn connect_idle_clients(address: &str) {
     for n in 0..IDLE_CLIENTS {
         let address = address.to_owned();
         tokio::task::spawn_local(async move {
             loop {
-                let _ = idle(&address, n % 2 == 0).await;
-                sleep(COMES_ANEW).await;
+                let _ = stay_idle(&address, n % 2 == 0).await;
+                sleep(RECONNECT_DELAY).await;
             }
         });
     }
 }
 
-async fn idle(address: &str, asks: bool) -> std::io::Result<()> {
+async fn stay_idle(address: &str, sends_first_request: bool) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(address).await?;
-    if asks {
+    if sends_first_request {
         stream.write_all(b"GET /alive HTTP/1.1\r\n\r\n").await?;
     }
     while stream.read(&mut [0; 512]).await? > 0 {}
@@ -63,19 +63,19 @@
     }
 }
 
-/// Operators' calls that never come whole, all of them in the listener's queue before the first is accepted.
-async fn burst(program: &Program, door: &str) -> Vec<TcpStream> {
+/// Operators' commands that never come whole, all of them in the backlog before the first is accepted.
+async fn send_incomplete_commands(program: &Program, admin: &str) -> Vec<TcpStream> {
     program.signal(Signal::STOP);
     let mut callers = Vec::new();
-    for _ in 0..CALLERS {
-        callers.push(TcpStream::connect(door).await.expect("room in the queue"));
+    for _ in 0..INCOMPLETE_COMMANDS {
+        callers.push(TcpStream::connect(admin).await.expect("room in the queue"));
     }
     program.signal(Signal::CONT);
     callers
 }
 
-/// Asks until it is served; a refusal is final too, and harmless to try again.
-async fn served_soon(address: &str, id: u64) {
+/// Sends requests until one is served; a rejection is final too, and safe to retry.
+async fn wait_until_served(address: &str, id: u64) {
     let begun = Instant::now();
     for n in 0.. {
         let answer = status(address, &read_request(id + n, 800)).await;
@@ -87,23 +87,23 @@
     }
 }
 
-/// Waits until the door's figures have this in them.
-async fn figures_say(door: &str, what: &str) {
+/// Waits until the admin endpoint's metrics contain this.
+async fn wait_for_metrics(admin: &str, expected: &str) {
     let begun = Instant::now();
     loop {
-        let figures = call(door, "vars\n").await.expect("a call is answered");
-        if figures.contains(what) {
+        let metrics = call(admin, "vars\n").await.expect("an answer");
+        if metrics.contains(expected) {
             return;
         }
-        assert!(begun.elapsed() < 2 * SOON, "no {what} in {figures}");
+        assert!(begun.elapsed() < 2 * SOON, "no {expected} in {metrics}");
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// The board as it returns: the director's connection, once it has asked for news, and how long that took.
-async fn board_returns(address: &str) -> (TcpStream, Duration) {
+/// The discovery service as it returns: the director's connection, once it watches, and how long that took.
+async fn restart_discovery(address: &str) -> (TcpStream, Duration) {
     let begun = Instant::now();
-    let listener = TcpListener::bind(address).await.expect("the board's port");
+    let listener = TcpListener::bind(address).await.expect("the discovery service's port");
     let accepted = timeout(5 * SOON, listener.accept()).await.expect("a connection in time");
     let mut stream = BufReader::new(accepted.expect("a connection").0);
     let mut line = String::new();
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_shares_and_the_reserve_fit_each_limit_and_leave_room_for_the_clients_that_are_allowed() {
+fn the_budget_and_the_reserve_fit_each_limit_and_leave_room_for_the_clients_that_are_allowed() {
     let needs =
         DescriptorNeeds { already_open: 10, listeners: 4, admin: true, cluster: true, handover: false };
     for limit in 64..5_000 {
@@ -128,34 +128,34 @@
             let held = (needs.reserve() + most_clients + servers) * processes;
             assert!(held <= limit || limit < 128, "{held} of {limit}, {processes} processes");
             assert!(usual_clients >= 2 && usual_clients < most_clients && servers >= 4, "{limit}");
-            // Clients hold a third at most, by the platform's word: each may have a request in hand.
+            // The platform has clients hold a third at most: each may have a request in flight.
             assert!(limit < 256 || most_clients * processes >= limit / 3, "{most_clients} of {limit}");
         }
     }
 }
 
-/// Guards the board's, servers', operators' and files' descriptors against clients that take all there are.
-async fn idle_clients_leave_the_rest_theirs(sockets: usize, limit: u64) {
+/// Guards the descriptors of discovery, servers, operators and files against clients that take all there are.
+async fn idle_clients_leave_a_reserve(sockets: usize, limit: u64) {
     let (servers, _) = trio(COPY).await;
-    let (board, door) = (free_address(), free_address());
-    let text = config(sockets, &board, &door, addresses(&servers));
+    let (discovery, admin) = (free_address(), free_address());
+    let text = config(sockets, &discovery, &admin, addresses(&servers));
     let file = Scratch::new(&format!("idle-{sockets}-{limit}.json"), &text);
     let start = Start { config: Some(&file.0), descriptors: Some(limit), ..Start::default() };
     let program = start.run();
-    let most = DescriptorPeak::of(&[&program]);
-    crowd(&program.address);
+    let peak = DescriptorPeak::of(&[&program]);
+    connect_idle_clients(&program.address);
     sleep(2 * SOON).await;
-    peak_passes(&most, limit as usize / 2).await;
-    let _callers = burst(&program, &door).await;
-    assert!(most.get() > limit as usize / 2, "{} of {limit}: clients fill what they may", most.get());
+    peak_passes(&peak, limit as usize / 2).await;
+    let _callers = send_incomplete_commands(&program, &admin).await;
+    assert!(peak.get() > limit as usize / 2, "{} of {limit}: clients fill what they may", peak.get());
 
     let begun = Instant::now();
-    assert_eq!(call(&door, "check\n").await.as_deref().map(|a| a.starts_with("YES")), Some(true));
+    assert_eq!(call(&admin, "check\n").await.as_deref().map(|a| a.starts_with("YES")), Some(true));
     assert!(begun.elapsed() < SOON, "{:?}", begun.elapsed());
-    served_soon(&program.address, 0x100).await;
-    *servers[2].manner.borrow_mut() = Manner::Says(""); // it lives, and answers no request
-    let (address, in_hand) = (program.address.clone(), Rc::new(Cell::new(None)));
-    let ended = in_hand.clone();
+    wait_until_served(&program.address, 0x100).await;
+    *servers[2].manner.borrow_mut() = Manner::Says(""); // it is alive, and answers no request
+    let (address, in_flight) = (program.address.clone(), Rc::new(Cell::new(None)));
+    let ended = in_flight.clone();
     let request = tokio::task::spawn_local(async move {
         ended.set(status(&address, &write_request(0x200, 2_500)).await);
     });
@@ -163,51 +163,52 @@
         sleep(Duration::from_millis(5)).await;
     }
 
-    let (mut watch, took) = board_returns(&board).await;
+    let (mut watch, took) = restart_discovery(&discovery).await;
     println!("{sockets} sockets, limit {limit}: discovery followed {took:?} after its return");
     assert!(took <= SOON, "followed {took:?} after its return");
-    let gone = "{\"rev\":2,\"pool\":{\"members\":[{\"id\":\"example-parent\",\"host_port\":\"127.0.0.1:1\",\
+    let removal =
+        "{\"rev\":2,\"pool\":{\"members\":[{\"id\":\"example-parent\",\"host_port\":\"127.0.0.1:1\",\
                 \"locality\":\"hub\",\"flavor\":\"parent\",\"phase\":\"terminated\"}]}}\n2\n";
-    watch.write_all(gone.as_bytes()).await.expect("a follower");
-    figures_say(&door, "\"caches_known\":2").await;
+    watch.write_all(removal.as_bytes()).await.expect("a follower");
+    wait_for_metrics(&admin, "\"caches_known\":2").await;
     file.replace(&text.replace("\"maxAttempts\": 6", "\"maxAttempts\": 5"));
     program.signal(Signal::HUP);
-    figures_say(&door, "\"reloads_ok\":1,\"reloads_failed\":0").await;
+    wait_for_metrics(&admin, "\"reloads_ok\":1,\"reloads_failed\":0").await;
     request.await.expect("a task");
-    assert!(matches!(in_hand.get(), Some(504 | 503)), "in hand: {:?}", in_hand.get());
-    served_soon(&program.address, 0x300).await;
+    assert!(matches!(in_flight.get(), Some(504 | 503)), "in flight: {:?}", in_flight.get());
+    wait_until_served(&program.address, 0x300).await;
     let log = program.log();
     assert!(!log.contains("Too many open files"), "{log}");
-    println!("{sockets} sockets, limit {limit}: {} descriptors at most", most.get());
-    assert!(most.get() <= limit as usize, "{} descriptors", most.get());
+    println!("{sockets} sockets, limit {limit}: {} descriptors at most", peak.get());
+    assert!(peak.get() <= limit as usize, "{} descriptors", peak.get());
 }
 
 #[test]
-fn idle_clients_leave_the_board_servers_and_operators_their_descriptors() {
-    local(idle_clients_leave_the_rest_theirs(256, 256));
+fn idle_clients_leave_descriptors_to_discovery_servers_and_operators() {
+    local(idle_clients_leave_a_reserve(256, 256));
 }
 
 #[test]
-fn a_process_limit_below_the_configured_one_is_what_counts() {
-    local(idle_clients_leave_the_rest_theirs(4096, 256));
+fn a_process_limit_below_the_configured_one_applies() {
+    local(idle_clients_leave_a_reserve(4096, 256));
 }
 
 #[test]
-fn the_smallest_limit_leaves_each_its_own() {
-    local(idle_clients_leave_the_rest_theirs(64, 64));
+fn the_smallest_limit_leaves_a_reserve() {
+    local(idle_clients_leave_a_reserve(64, 64));
 }
 
 /// Guards against each of two processes counting on the whole limit while both serve one socket.
 #[test]
-fn the_processes_of_a_hand_over_hold_no_more_than_the_limit_together() {
+fn the_processes_of_a_handover_hold_no_more_than_the_limit_together() {
     local(async {
         const LIMIT: usize = 256;
         let (servers, _) = trio(COPY).await;
-        let (board, doors) = (free_address(), [free_address(), free_address()]);
+        let (discovery, admins) = (free_address(), [free_address(), free_address()]);
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let run = |door: &str| {
-            let text = config(LIMIT, &board, door, addresses(&servers));
-            let file = Scratch::new(&format!("heir-{}.json", door.replace(':', "-")), &text);
+        let run = |admin: &str| {
+            let text = config(LIMIT, &discovery, admin, addresses(&servers));
+            let file = Scratch::new(&format!("handover-{}.json", admin.replace(':', "-")), &text);
             let start = Start {
                 config: Some(&file.0),
                 descriptors: Some(LIMIT as u64),
@@ -216,39 +217,39 @@
             };
             start.run()
         };
-        let old = run(&doors[0]);
-        crowd(&old.address);
+        let old = run(&admins[0]);
+        connect_idle_clients(&old.address);
         sleep(SOON).await;
-        let new = run(&doors[1]);
-        let most = DescriptorPeak::of(&[&old, &new]);
+        let new = run(&admins[1]);
+        let peak = DescriptorPeak::of(&[&old, &new]);
         let each = [&old, &new].map(|program| DescriptorPeak::of(&[program]));
         sleep(SOON).await;
-        for door in &doors {
-            let answer = call(door, "check\n").await;
-            assert!(answer.as_deref().is_some_and(|a| a.starts_with("YES")), "{door}: {answer:?}");
+        for admin in &admins {
+            let answer = call(admin, "check\n").await;
+            assert!(answer.as_deref().is_some_and(|a| a.starts_with("YES")), "{admin}: {answer:?}");
         }
-        served_soon(&new.address, 0x100).await;
+        wait_until_served(&new.address, 0x100).await;
         old.signal(Signal::TERM);
-        let (_watch, took) = board_returns(&board).await;
+        let (_watch, took) = restart_discovery(&discovery).await;
         assert!(took <= SOON, "followed {took:?} after its return");
-        served_soon(&new.address, 0x200).await;
-        println!("hand-over: {} descriptors at most, both together", most.get());
-        assert!(most.get() <= LIMIT, "{} descriptors", most.get());
-        let each = each.map(|most| most.get());
-        assert!(each.iter().all(|most| *most <= LIMIT / 2), "{each:?} descriptors");
+        wait_until_served(&new.address, 0x200).await;
+        println!("handover: {} descriptors at most, both together", peak.get());
+        assert!(peak.get() <= LIMIT, "{} descriptors", peak.get());
+        let each = each.map(|peak| peak.get());
+        assert!(each.iter().all(|peak| *peak <= LIMIT / 2), "{each:?} descriptors");
         for program in [&old, &new] {
             assert!(!program.log().contains("Too many open files"), "{}", program.log());
         }
     });
 }
 
-/// Guards servers against being suspected for what this process lacks, and discovery against being given up.
+/// Guards servers against being ejected for what this process lacks, and discovery against being given up.
 #[test]
-fn where_the_system_gives_no_descriptor_nobody_is_blamed_and_all_works_again_at_once() {
+fn without_descriptors_no_server_is_ejected_and_everything_recovers_at_once() {
     local(async {
         let (servers, _) = trio(COPY).await;
-        let (board, door) = (free_address(), free_address());
-        let file = Scratch::new("none.json", &config(256, &board, &door, addresses(&servers)));
+        let (discovery, admin) = (free_address(), free_address());
+        let file = Scratch::new("none.json", &config(256, &discovery, &admin, addresses(&servers)));
         let start = Start { config: Some(&file.0), descriptors: Some(256), ..Start::default() };
         let program = start.run();
         let mut clients = Vec::new();
@@ -268,16 +269,16 @@
             assert!(text.starts_with("HTTP/1.1 503 "), "nothing ran: {text}");
         }
         program.limit_descriptors(256);
-        figures_say(&door, "\"caches_known\":3,\"caches_excluded\":0").await;
-        let (_watch, took) = board_returns(&board).await;
+        wait_for_metrics(&admin, "\"caches_known\":3,\"caches_excluded\":0").await;
+        let (_watch, took) = restart_discovery(&discovery).await;
         assert!(took <= SOON, "followed {took:?} after its return");
-        served_soon(&program.address, 0x200).await;
+        wait_until_served(&program.address, 0x200).await;
     });
 }
 
-/// Guards against new clients waiting in the listener's queue for ever while idle ones hold what there is.
+/// Guards against new clients waiting in the backlog for ever while idle ones hold all descriptors.
 #[test]
-fn where_an_accept_finds_no_descriptor_an_idle_client_makes_room() {
+fn an_idle_client_is_closed_where_an_accept_finds_no_descriptor() {
     local(async {
         let (servers, _) = trio(COPY).await;
         let file = Scratch::new("room.json", &config(256, "", "", addresses(&servers)));
--- a/tests/front.rs
+++ b/tests/signed_frontend.rs
@@ -1,4 +1,4 @@
-//! The second front on loopback, from a client's link to stand-in servers and back, each outcome counted.
+//! The signed frontend on loopback, from a client's link to fake servers and back, each outcome counted.
 
 mod standin;
 
@@ -18,8 +18,8 @@
 const SECRET: &[u8] = b"0123456789abcdef0123456789abcdef";
 const NOW: u64 = 1_764_576_000;
 
-struct Site {
-    core: Dispatcher,
+struct Deployment {
+    dispatcher: Dispatcher,
     cache: Server,
     parent: Server,
     origin: Server,
@@ -27,11 +27,11 @@
     counts: Arc<OutcomeCounters>,
 }
 
-/// A director whose clock is `off` microseconds from the issuer's, and servers that all behave alike.
-async fn site(manner: Manner, off: i64) -> Site {
+/// A director whose clock differs from the issuer's, and servers that all behave alike.
+async fn deployment(manner: Manner, clock_offset: i64) -> Deployment {
     let ([cache, parent, origin], members) = trio(manner).await;
-    let clock = Clock::starting_at((NOW * 1_000_000).saturating_add_signed(off));
-    let core = start(settings(), clock, members);
+    let clock = Clock::starting_at((NOW * 1_000_000).saturating_add_signed(clock_offset));
+    let dispatcher = start(settings(), clock, members);
     let secret = URL_SAFE.encode(SECRET);
     let file = format!(
         r#"{{"scheme":"http","keys":[{{"name":"u1","alg":"HMAC-SHA1","key":"{secret}"}},
@@ -39,13 +39,13 @@
     );
     let keys = watch::channel(Arc::new(parse_keys(&file).expect("good keys"))).1;
     let counts = Arc::new(OutcomeCounters::default());
-    let front = SignedUrlFrontend { dispatcher: core.clone(), keys, clock, counts: counts.clone() };
-    let address = serve(&core, front).await;
-    Site { core, cache, parent, origin, address, counts }
+    let front = SignedUrlFrontend { dispatcher: dispatcher.clone(), keys, clock, counts: counts.clone() };
+    let address = serve(&dispatcher, front).await;
+    Deployment { dispatcher, cache, parent, origin, address, counts }
 }
 
-impl Site {
-    fn sent(&self) -> usize {
+impl Deployment {
+    fn attempts(&self) -> usize {
         [&self.cache, &self.parent, &self.origin].iter().map(|s| s.wants().len()).sum()
     }
 
@@ -80,8 +80,8 @@
         format!("{path}?URISigningPackage={body}.{}", signature.trim_end_matches('='))
     }
 
-    /// That just this outcome was counted, and so often.
-    fn counted(&self, outcome: &str, times: u64) {
+    /// Asserts that just this outcome was counted, and so often.
+    fn assert_counted(&self, outcome: &str, times: u64) {
         assert_eq!(self.counts.get(outcome), times, "{outcome}: {}", self.counts.to_prometheus());
         let all: u64 = self
             .counts
@@ -99,24 +99,27 @@
 #[test]
 fn a_valid_link_is_served_and_its_credential_goes_no_further() {
     local(async {
-        let site = site(COPY, 0).await;
-        let answer = site.get(&site.link("/videos/guide/one.mp4", NOW + 60)).await;
+        let deployment = deployment(COPY, 0).await;
+        let answer = deployment.get(&deployment.link("/videos/guide/one.mp4", NOW + 60)).await;
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes"[..]));
         assert_eq!(answer.header("etag"), Some("\"aa\""));
-        let wants = site.cache.wants();
+        let wants = deployment.cache.wants();
         assert!(wants[0].contains("kind=videos,obj=guide/one.mp4,ms="), "{wants:?}");
         assert!(!wants[0].contains("Signature"), "{wants:?}");
-        site.counted("served", 1);
-        assert_eq!(site.get(&site.token("/videos/a", r#"{"cdniuc":"regex:.*/videos/a"}"#)).await.status, 200);
-        site.counted("served", 2);
+        deployment.assert_counted("served", 1);
+        assert_eq!(
+            deployment.get(&deployment.token("/videos/a", r#"{"cdniuc":"regex:.*/videos/a"}"#)).await.status,
+            200
+        );
+        deployment.assert_counted("served", 2);
     });
 }
 
 #[test]
-fn forged_expired_early_and_unreadable_links_are_403_and_counted_apart() {
+fn forged_expired_early_and_malformed_links_are_403_and_counted_apart() {
     local(async {
         let far = format!(r#"{{"cdniuc":"regex:.*","nbf":{}}}"#, NOW + 600);
-        type Target<'a> = &'a dyn Fn(&Site) -> String;
+        type Target<'a> = &'a dyn Fn(&Deployment) -> String;
         let cases: [(&str, Target); 5] = [
             ("forged", &|s| s.link("/videos/a", NOW + 60).replace("videos/a", "videos/b")),
             ("expired", &|s| s.link("/videos/a", NOW - 60)),
@@ -125,59 +128,67 @@
             ("malformed", &|_| "/videos/a".into()),
         ];
         for (outcome, target) in cases {
-            let site = site(COPY, 0).await;
-            assert_eq!(site.get(&target(&site)).await.status, 403, "{outcome}");
-            site.counted(outcome, 1);
-            assert_eq!(site.sent(), 0, "{outcome}");
+            let deployment = deployment(COPY, 0).await;
+            assert_eq!(deployment.get(&target(&deployment)).await.status, 403, "{outcome}");
+            deployment.assert_counted(outcome, 1);
+            assert_eq!(deployment.attempts(), 0, "{outcome}");
         }
     });
 }
 
 #[test]
-fn a_clock_that_is_off_by_less_than_the_skew_does_no_harm_either_way() {
+fn a_clock_offset_below_the_allowed_skew_changes_nothing_either_way() {
     // The link ends at NOW, the token begins at NOW; the director's clock is ahead or behind.
-    for (off, link, token) in
+    for (clock_offset, link, token) in
         [(4 * SECOND, 200, 200), (5 * SECOND, 403, 200), (-4 * SECOND, 200, 200), (-6 * SECOND, 200, 403)]
     {
         local(async {
-            let site = site(COPY, off).await;
-            assert_eq!(site.get(&site.link("/videos/a", NOW)).await.status, link, "{off}");
+            let deployment = deployment(COPY, clock_offset).await;
+            assert_eq!(
+                deployment.get(&deployment.link("/videos/a", NOW)).await.status,
+                link,
+                "{clock_offset}"
+            );
             let claims = format!(r#"{{"cdniuc":"regex:.*","nbf":{NOW}}}"#);
-            assert_eq!(site.get(&site.token("/videos/a", &claims)).await.status, token, "{off}");
-            assert_eq!(site.counts.get("served"), u64::from(link == 200) + u64::from(token == 200));
-            assert_eq!(site.counts.get("expired"), u64::from(link == 403));
-            assert_eq!(site.counts.get("not_yet_valid"), u64::from(token == 403));
+            assert_eq!(
+                deployment.get(&deployment.token("/videos/a", &claims)).await.status,
+                token,
+                "{clock_offset}"
+            );
+            assert_eq!(deployment.counts.get("served"), u64::from(link == 200) + u64::from(token == 200));
+            assert_eq!(deployment.counts.get("expired"), u64::from(link == 403));
+            assert_eq!(deployment.counts.get("not_yet_valid"), u64::from(token == 403));
         });
     }
 }
 
 #[test]
-fn a_link_that_expires_while_its_request_waits_is_answered_once_and_called_off() {
+fn a_link_that_expires_while_its_request_is_pending_is_answered_once_and_cancelled() {
     local(async {
         // 300 ms are left of its five seconds of skew.
-        let site = site(Manner::Silent, 4_700_000).await;
-        assert_eq!(site.get(&site.link("/videos/a", NOW)).await.status, 403);
-        site.counted("expired", 1);
-        assert_eq!(site.sent(), 1);
-        while !site.cache.lines.borrow().iter().any(|l| l.starts_with("never_mind ")) {
+        let deployment = deployment(Manner::Silent, 4_700_000).await;
+        assert_eq!(deployment.get(&deployment.link("/videos/a", NOW)).await.status, 403);
+        deployment.assert_counted("expired", 1);
+        assert_eq!(deployment.attempts(), 1);
+        while !deployment.cache.lines.borrow().iter().any(|l| l.starts_with("never_mind ")) {
             tokio::task::yield_now().await;
         }
     });
 }
 
 #[test]
-fn a_write_whose_link_expires_after_its_send_is_not_called_harmless() {
+fn a_write_whose_link_expires_after_it_was_sent_may_have_run() {
     local(async {
-        let site = site(Manner::Silent, 4_700_000).await;
-        let answer = site.send("PUT", &site.link("/filing/a", NOW), "a filing").await;
+        let deployment = deployment(Manner::Silent, 4_700_000).await;
+        let answer = deployment.send("PUT", &deployment.link("/filing/a", NOW), "a filing").await;
         assert_eq!((answer.status, answer.header("retry-after")), (504, None));
-        site.counted("expired_unknown", 1);
-        assert_eq!(site.sent(), 1);
+        deployment.assert_counted("expired_unknown", 1);
+        assert_eq!(deployment.attempts(), 1);
     });
 }
 
 #[test]
-fn slow_broken_and_refusing_servers_each_have_their_status() {
+fn slow_broken_and_rejecting_servers_each_have_their_status() {
     for (manner, method, path, status, outcome, retry) in [
         (Manner::Says(""), "GET", "/videos/a", 504, "deadline", false),
         (Manner::Closes, "PUT", "/filing/a", 502, "upstream", false),
@@ -186,36 +197,36 @@
         (Manner::Says("ID AGAIN - 0\r\n\r\n"), "GET", "/videos/a", 503, "refused", true),
     ] {
         local(async {
-            let site = site(manner.clone(), 0).await;
-            let answer = site.send(method, &site.link(path, NOW + 60), "").await;
+            let deployment = deployment(manner.clone(), 0).await;
+            let answer = deployment.send(method, &deployment.link(path, NOW + 60), "").await;
             assert_eq!(answer.status, status, "{manner:?}");
             assert_eq!(answer.header("retry-after").is_some(), retry, "{manner:?}: {answer:?}");
-            site.counted(outcome, 1);
+            deployment.assert_counted(outcome, 1);
         });
     }
 }
 
 #[test]
-fn a_good_link_to_nothing_that_is_here_is_a_bad_request() {
+fn a_valid_link_to_an_unknown_object_is_a_bad_request() {
     local(async {
-        let site = site(COPY, 0).await;
+        let deployment = deployment(COPY, 0).await;
         for (path, status) in
             [("/nothing/a", 404), ("/videos/", 400), ("/videos/../filing/a", 400), ("/filing/a", 405)]
         {
-            assert_eq!(site.get(&site.link(path, NOW + 60)).await.status, status, "{path}");
+            assert_eq!(deployment.get(&deployment.link(path, NOW + 60)).await.status, status, "{path}");
         }
-        site.counted("bad_request", 4);
-        assert_eq!(site.sent(), 0);
+        deployment.assert_counted("bad_request", 4);
+        assert_eq!(deployment.attempts(), 0);
     });
 }
 
 #[test]
-fn the_counts_can_be_read() {
+fn the_counters_are_served_at_metrics() {
     local(async {
         let counts = Arc::new(OutcomeCounters::default());
         counts.increment("forged");
-        let core = start(settings(), Clock::starting_at(1 as Micros), Vec::new());
-        let address = serve(&core, MetricsFrontend(counts)).await;
+        let dispatcher = start(settings(), Clock::starting_at(1 as Micros), Vec::new());
+        let address = serve(&dispatcher, MetricsFrontend(counts)).await;
         let answer = send(&address, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").await;
         let text = String::from_utf8(answer.body).expect("text");
         assert!(text.contains("foxhold_signed_responses_total{outcome=\"forged\"} 1\n"), "{text}");
@@ -223,11 +234,11 @@
 }
 
 #[test]
-fn servers_that_refuse_connections_are_a_502_that_may_be_tried_again() {
+fn servers_that_refuse_connections_are_a_502_with_retry_after() {
     local(async {
         let nobody = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = nobody.local_addr().expect("an address").to_string();
-        let site = site(COPY, 0).await;
+        let deployment = deployment(COPY, 0).await;
         drop(nobody);
         let member = |name, zone, kind| listing(name, &address, zone, kind);
         let members = vec![
@@ -235,20 +246,20 @@
             member("s-parent", "hub", "parent"),
             member("s-origin", "hub", "origin"),
         ];
-        site.core.sender().send(DispatcherMessage::Members { full: true, members }).await;
+        deployment.dispatcher.sender().send(DispatcherMessage::Members { full: true, members }).await;
         for (method, path) in [("GET", "/videos/a"), ("PUT", "/filing/a")] {
-            let answer = site.send(method, &site.link(path, NOW + 60), "").await;
+            let answer = deployment.send(method, &deployment.link(path, NOW + 60), "").await;
             assert_eq!(answer.status, 502, "{method}");
-            // Nothing ran, so a write may come again as well.
+            // Nothing ran, so a write may be retried as well.
             assert!(answer.header("retry-after").is_some(), "{method}: {answer:?}");
         }
-        site.counted("upstream", 2);
-        assert_eq!(site.sent(), 0);
+        deployment.assert_counted("upstream", 2);
+        assert_eq!(deployment.attempts(), 0);
     });
 }
 
 #[test]
-fn keys_are_rotated_while_the_program_runs_and_a_bad_file_changes_nothing() {
+fn keys_rotate_while_the_process_runs_and_a_bad_file_changes_nothing() {
     let path = std::env::temp_dir().join(format!("foxhold-keys-{}.json", std::process::id()));
     let file = |name: &str| {
         let key = URL_SAFE.encode(SECRET);
