--- a/src/daemon/descriptors.rs
+++ b/src/daemon/descriptors.rs
@@ -1,5 +1,5 @@
-//! Descriptor budget: what a process may hold is divided into a reserve for what must always have a descriptor,
-//! connections of clients, and connections to servers.
+//! Descriptor budget: what a process may hold is divided into a reserve for what must always have a
+//! descriptor, connections of clients, and connections to servers.
 
 use crate::frontend::{admin, serve};
 
--- a/src/daemon/frontends.rs
+++ b/src/daemon/frontends.rs
@@ -64,8 +64,8 @@
         Ok(task)
     }
 
-    /// Opens the admin endpoint, where there is an address for it. It stays open until the process ends, for the
-    /// metrics of what is still under way.
+    /// Opens the admin endpoint, where there is an address for it. It stays open until the process ends, for
+    /// the metrics of what is still under way.
     pub(super) async fn open_admin(
         &self,
         address: &str,
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -5,7 +5,7 @@
 use crate::cluster::{self, ClusterHandle};
 use crate::config::operator::PeersSection;
 use crate::config::platform::PlatformConfig;
-use crate::director::start_core;
+use crate::director::start_dispatcher;
 use crate::discovery::event::WatchEvent;
 use crate::discovery::{DiscoveryService, EndpointSource, WatchScope, XdsFile};
 use crate::dispatch::{Clock, Dispatcher, RunningDispatcher};
@@ -14,8 +14,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Discovery events that may wait for the gossip among directors. Where more come, they are lost here, and the
-/// other directors pass them on.
+/// Discovery events that may wait for the gossip among directors. Where more come, they are lost here, and
+/// the other directors pass them on.
 const EVENT_QUEUE: usize = 1024;
 
 /// The handle of the gossip among directors, where the operators' file has a section for it.
@@ -56,7 +56,7 @@
         let sources = endpoint_sources(self.discovery_address, self.xds_file, config, subscriber);
         let connector = Box::new(UpstreamConnector::new(config.connections.clone(), upstream_limit));
         let RunningDispatcher { dispatcher, task: dispatcher_task } =
-            start_core(config.settings.clone(), config.seed, clock, connector, sources)
+            start_dispatcher(config.settings.clone(), config.seed, clock, connector, sources)
                 .map_err(|error| DaemonError::Dispatcher(error.into()))?;
         #[cfg(feature = "peers")]
         let cluster = match self.peers.zip(events) {
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -12,7 +12,7 @@
 //! | `requests.CLASS.served`, `refused`, `failed` | `served`, `rejected` and `failed` of [`ClassCounts`] |
 //! | `attempts` | [`DispatcherMetrics::attempts`] |
 //! | `in_flight` | [`AdminEndpoint::requests_in_flight`] |
-//! | `caches_known`, `caches_excluded` | `endpoints_known` and `endpoints_excluded` of [`DispatcherMetrics`] |
+//! | `caches_known`, `caches_excluded` | `endpoints_known`, `endpoints_excluded` of [`DispatcherMetrics`] |
 //! | `reloads_ok`, `reloads_failed` | [`ReloadCounters::succeeded`], [`ReloadCounters::failed`] |
 
 use super::serve::ShutdownPhase;
--- a/src/log.rs
+++ b/src/log.rs
@@ -88,8 +88,8 @@
         && polled[0].revents().contains(PollFlags::OUT)
 }
 
-/// Reads a filter: a level, or levels of modules as in `info,foxhold::dispatch=debug`. Modules may be given by
-/// the names of earlier versions.
+/// Reads a filter: a level, or levels of modules as in `info,foxhold::dispatch=debug`. Modules may be given
+/// by the names of earlier versions.
 pub fn parse_filter(level: &str) -> Result<Targets, LogError> {
     let parsed: Result<Targets, ParseError> = level.parse();
     let given = parsed.map_err(|source| LogError::Level { level: level.to_owned(), source })?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -281,7 +281,7 @@
     }
     #[cfg(feature = "peers")]
     if let Some(peers) = &operator.peers {
-        check_named_file(file, &peers.key_file, foxhold::cluster::frame::parse_keys)?;
+        check_named_file(file, &peers.key_file, foxhold::cluster::parse_keys)?;
         if let Some(folder) = peers.state_folder.as_ref().filter(|folder| !folder.is_dir()) {
             return Err(CliError::NotAFolder { file: file.to_owned(), folder: folder.clone() });
         }
@@ -337,8 +337,8 @@
     let number = number.to_str().and_then(|number| number.parse::<RawFd>().ok());
     let number = number.filter(|number| *number > MAX_STANDARD_STREAM);
     let number = number.ok_or(CliError::InvalidInheritedSocket)?;
-    // SAFETY: called once, before anything else is opened; by the platform's contract the descriptor belongs to
-    // this process, and nothing else here uses it. A wrong one shows at the first use of the socket, as an
+    // SAFETY: called once, before anything else is opened; by the platform's contract the descriptor belongs
+    // to this process, and nothing else here uses it. A wrong one shows at the first use of the socket, as an
     // error.
     let socket = unsafe { OwnedFd::from_raw_fd(number) };
     Ok(Some(socket.into()))
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Guards against a log that fills its pipe and blocks the program's one thread, or one whose reader has gone.
+/// Guards against a log that fills its pipe and blocks the program's one thread, or one whose reader has
+/// gone.
 #[test]
 fn a_log_that_nobody_reads_holds_up_no_request() {
     local(async {
