--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -44,9 +44,7 @@
     async fn apply(&mut self, config: PlatformConfig) {
         tracing::info!("configuration reloaded");
         if needs_restart(&self.current, &config) {
-            tracing::info!(
-                "configuration: addresses, limits, connections, zones and kinds wait for a restart"
-            );
+            tracing::info!("changes of addresses, limits, connections, zones and kinds wait for a restart");
         }
         if config.settings != self.current.settings {
             let settings = Box::new(config.settings.clone());
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -125,7 +125,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(reason = %error, "admin endpoint: accept failed");
+                tracing::warn!(listener = "admin endpoint", reason = %error, "accept failed");
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
--- a/src/frontend/serve/listener.rs
+++ b/src/frontend/serve/listener.rs
@@ -83,7 +83,7 @@
             Ok((stream, _)) => server.start_connection(stream),
             Err(error) => {
                 // Out of descriptors, most likely: a connection that waits for a request makes room.
-                errors.record(&error);
+                errors.record(F::NAME, &error);
                 server.slots().close_one_waiting();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -99,10 +99,10 @@
 }
 
 impl AcceptErrorLog {
-    fn record(&mut self, error: &io::Error) {
+    fn record(&mut self, frontend: &str, error: &io::Error) {
         let is_due = |logged_at: Instant| logged_at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL;
         if self.logged_at.is_none_or(is_due) {
-            tracing::warn!("clients: accept: {error}");
+            tracing::warn!(listener = frontend, reason = %error, "accept failed");
             self.logged_at = Some(Instant::now());
         }
     }
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -1,4 +1,4 @@
-//! The checks of signed URLs and tokens, with links issued here as their public descriptions say.
+//! Verification of signed URLs and tokens, which are issued here as their public descriptions say.
 
 use base64::engine::general_purpose::{URL_SAFE, URL_SAFE_NO_PAD};
 use base64::Engine;
@@ -28,17 +28,17 @@
     KeySet::new(miniserde::json::from_str::<KeyFile>(&file).expect("JSON")).expect("good keys")
 }
 
-fn check_at(target: &str, seconds: f64) -> Result<Grant, CredentialError> {
+fn verify_at(target: &str, seconds: f64) -> Result<Grant, CredentialError> {
     verify_credential(&keys_with(5.0), HOST, target, (seconds * 1e6) as u64)
 }
 
-fn check_now(target: &str) -> Result<Grant, CredentialError> {
-    check_at(target, NOW as f64)
+fn verify_now(target: &str) -> Result<Grant, CredentialError> {
+    verify_at(target, NOW as f64)
 }
 
-fn sha1_url(path: &str, expires: u64, name: &str) -> String {
-    let mark = if path.contains('?') { '&' } else { '?' };
-    let target = format!("{path}{mark}Expires={expires}&KeyName={name}");
+fn signed_url(path: &str, expires: u64, name: &str) -> String {
+    let separator = if path.contains('?') { '&' } else { '?' };
+    let target = format!("{path}{separator}Expires={expires}&KeyName={name}");
     let mut mac = Hmac::<sha1::Sha1>::new_from_slice(SECRET).expect("a key");
     mac.update(format!("https://{HOST}{target}").as_bytes());
     format!("{target}&Signature={}", URL_SAFE.encode(mac.finalize().into_bytes()))
@@ -52,19 +52,19 @@
 }
 
 /// A target with a token that holds these claims beside a container for any video.
-fn tokened(claims: &str) -> String {
+fn target_with_token(claims: &str) -> String {
     let container = r#""cdniuc":"regex:https://videos\\.example/videos/[a-z0-9.]+(\\?block=[0-9]+)?""#;
     let token = hs256(r#"{"alg":"HS256","kid":"t1"}"#, &format!("{{{container}{claims}}}"));
     format!("/videos/guide.mp4?URISigningPackage={token}")
 }
 
 #[test]
-fn a_signed_url_is_good_and_its_credential_is_stripped() {
-    let grant = check_now(&sha1_url("/videos/guide.mp4?block=3", NOW + 60, "u1")).expect("good");
+fn a_signed_url_is_granted_and_its_credential_is_stripped() {
+    let grant = verify_now(&signed_url("/videos/guide.mp4?block=3", NOW + 60, "u1")).expect("good");
     assert_eq!(grant.target, "/videos/guide.mp4?block=3");
     assert_eq!(grant.expires_at, Some((NOW + 65) * 1_000_000));
     assert_eq!(
-        check_now(&sha1_url("/videos/guide.mp4", NOW + 60, "u1")).expect("good").target,
+        verify_now(&signed_url("/videos/guide.mp4", NOW + 60, "u1")).expect("good").target,
         "/videos/guide.mp4"
     );
 }
@@ -76,13 +76,13 @@
     mac.update(b"https://videos.example/videos/guide.mp4?Expires=1764576060&KeyName=u1");
     let padded = URL_SAFE.encode(mac.finalize().into_bytes());
     assert!(padded.ends_with('='));
-    assert!(check_now(&format!("{known}{padded}")).is_ok());
-    assert!(check_now(&format!("{known}{}", padded.trim_end_matches('='))).is_ok(), "without padding too");
+    assert!(verify_now(&format!("{known}{padded}")).is_ok());
+    assert!(verify_now(&format!("{known}{}", padded.trim_end_matches('='))).is_ok(), "without padding too");
 }
 
 #[test]
-fn any_octet_that_differs_makes_a_url_forged() {
-    let good = sha1_url("/videos/guide.mp4?block=3", NOW + 60, "u1");
+fn any_octet_that_differs_invalidates_the_signature() {
+    let good = signed_url("/videos/guide.mp4?block=3", NOW + 60, "u1");
     let cases = [
         good.replace("guide", "other"),
         good.replace("guide", "%67uide"),
@@ -93,7 +93,7 @@
         good.replace("KeyName=u1", "KeyName=t1"),
     ];
     for target in cases {
-        assert_eq!(check_now(&target), Err(CredentialError::InvalidSignature), "{target}");
+        assert_eq!(verify_now(&target), Err(CredentialError::InvalidSignature), "{target}");
     }
     assert_eq!(
         verify_credential(&keys_with(5.0), "other.example", &good, NOW * 1_000_000),
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn what_can_t_be_read_in_one_way_only_is_malformed() {
-    let good = sha1_url("/videos/guide.mp4", NOW + 60, "u1");
+fn missing_repeated_and_unreadable_credentials_are_malformed() {
+    let good = signed_url("/videos/guide.mp4", NOW + 60, "u1");
     let cases = [
         "/videos/guide.mp4".to_owned(),
         good.replace("?Expires", "?Expires=1&Expires"),
@@ -117,20 +117,20 @@
         format!("https://{HOST}{good}"),
     ];
     for target in cases {
-        assert_eq!(check_now(&target), Err(CredentialError::Malformed), "{target}");
+        assert_eq!(verify_now(&target), Err(CredentialError::Malformed), "{target}");
     }
 }
 
 #[test]
-fn skew_widens_both_ends_and_no_further() {
-    let url = sha1_url("/videos/guide.mp4", NOW, "u1");
-    assert!(check_at(&url, NOW as f64 + 4.999_999).is_ok());
-    assert_eq!(check_at(&url, NOW as f64 + 5.0), Err(CredentialError::Expired));
-    let token = tokened(&format!(r#","nbf":{NOW},"exp":{}"#, NOW + 10));
-    assert_eq!(check_at(&token, NOW as f64 - 5.000_001), Err(CredentialError::NotYetValid));
-    assert!(check_at(&token, NOW as f64 - 5.0).is_ok());
-    assert!(check_at(&token, NOW as f64 + 14.999_999).is_ok());
-    assert_eq!(check_at(&token, NOW as f64 + 15.0), Err(CredentialError::Expired));
+fn clock_skew_widens_both_ends_of_the_validity_and_no_further() {
+    let url = signed_url("/videos/guide.mp4", NOW, "u1");
+    assert!(verify_at(&url, NOW as f64 + 4.999_999).is_ok());
+    assert_eq!(verify_at(&url, NOW as f64 + 5.0), Err(CredentialError::Expired));
+    let token = target_with_token(&format!(r#","nbf":{NOW},"exp":{}"#, NOW + 10));
+    assert_eq!(verify_at(&token, NOW as f64 - 5.000_001), Err(CredentialError::NotYetValid));
+    assert!(verify_at(&token, NOW as f64 - 5.0).is_ok());
+    assert!(verify_at(&token, NOW as f64 + 14.999_999).is_ok());
+    assert_eq!(verify_at(&token, NOW as f64 + 15.0), Err(CredentialError::Expired));
     assert_eq!(
         verify_credential(&keys_with(0.0), HOST, &url, NOW * 1_000_000),
         Err(CredentialError::Expired),
@@ -139,48 +139,54 @@
 }
 
 #[test]
-fn a_token_is_good_in_the_query_and_in_the_path_and_is_stripped() {
+fn a_token_is_granted_in_the_query_and_in_the_path_and_is_stripped() {
     assert_eq!(
-        check_now(&tokened("")).expect("good"),
+        verify_now(&target_with_token("")).expect("good"),
         Grant { target: "/videos/guide.mp4".into(), expires_at: None }
     );
-    let token = tokened("");
+    let token = target_with_token("");
     let package = token.split_once('?').expect("a query").1;
     for (target, stripped) in [
         (format!("/videos/guide.mp4?{package}&block=3"), "/videos/guide.mp4?block=3"),
         (format!("/videos/guide.mp4?block=3&{package}"), "/videos/guide.mp4?block=3"),
         (format!("/videos/guide.mp4;{package}?block=3"), "/videos/guide.mp4?block=3"),
     ] {
-        assert_eq!(check_now(&target).expect("good").target, stripped);
+        assert_eq!(verify_now(&target).expect("good").target, stripped);
     }
-    assert_eq!(check_now(&format!("/videos/guide.mp4?{package}&{package}")), Err(CredentialError::Malformed));
+    assert_eq!(
+        verify_now(&format!("/videos/guide.mp4?{package}&{package}")),
+        Err(CredentialError::Malformed)
+    );
 }
 
 #[test]
 fn a_token_must_be_for_this_uri() {
-    assert_eq!(check_now(&tokened("").replace("guide", "GUIDE")), Err(CredentialError::InvalidSignature));
+    assert_eq!(
+        verify_now(&target_with_token("").replace("guide", "GUIDE")),
+        Err(CredentialError::InvalidSignature)
+    );
     let hash = URL_SAFE_NO_PAD.encode(Sha256::digest("https://videos.example/videos/a?block=1"));
     let token = hs256(r#"{"alg":"HS256","kid":"t1"}"#, &format!(r#"{{"cdniuc":"hash:sha-256;{hash}"}}"#));
-    assert!(check_now(&format!("/videos/a?block=1&URISigningPackage={token}")).is_ok());
+    assert!(verify_now(&format!("/videos/a?block=1&URISigningPackage={token}")).is_ok());
     assert_eq!(
-        check_now(&format!("/videos/a?block=2&URISigningPackage={token}")),
+        verify_now(&format!("/videos/a?block=2&URISigningPackage={token}")),
         Err(CredentialError::InvalidSignature)
     );
     // A pattern covers the whole URI, not a part of it.
     let part = hs256(r#"{"alg":"HS256","kid":"t1"}"#, r#"{"cdniuc":"regex:videos/a"}"#);
     assert_eq!(
-        check_now(&format!("/videos/a?URISigningPackage={part}")),
+        verify_now(&format!("/videos/a?URISigningPackage={part}")),
         Err(CredentialError::InvalidSignature)
     );
 }
 
 #[test]
-fn the_key_decides_on_the_algorithm_and_never_the_token() {
+fn the_key_decides_the_algorithm_never_the_token() {
     let claims = r#"{"cdniuc":"regex:.*"}"#;
     let target = |token: String| format!("/videos/a?URISigningPackage={token}");
     let bare = format!("{}.{}.", URL_SAFE_NO_PAD.encode(r#"{"alg":"none"}"#), URL_SAFE_NO_PAD.encode(claims));
-    let header = |text: &str| check_now(&target(hs256(text, claims)));
-    assert_eq!(check_now(&target(bare)), Err(CredentialError::InvalidSignature));
+    let header = |text: &str| verify_now(&target(hs256(text, claims)));
+    assert_eq!(verify_now(&target(bare)), Err(CredentialError::InvalidSignature));
     assert_eq!(header(r#"{"alg":"none","kid":"t1"}"#), Err(CredentialError::InvalidSignature));
     assert_eq!(header(r#"{"alg":"HS512","kid":"t1"}"#), Err(CredentialError::InvalidSignature));
     assert_eq!(
@@ -202,31 +208,31 @@
     assert!(header(r#"{"alg":"HS256","kid":"t1"}"#).is_ok());
     let good = hs256(r#"{"alg":"HS256","kid":"t1"}"#, claims);
     let (body, _) = good.rsplit_once('.').expect("a signature");
-    assert_eq!(check_now(&target(format!("{body}.AAAA"))), Err(CredentialError::InvalidSignature));
+    assert_eq!(verify_now(&target(format!("{body}.AAAA"))), Err(CredentialError::InvalidSignature));
 }
 
 #[test]
-fn an_elliptic_signature_and_its_issuer_are_checked() {
+fn an_ecdsa_signature_and_its_issuer_are_verified() {
     let token = |claims: &str| {
         let header = URL_SAFE_NO_PAD.encode(r#"{"alg":"ES256","kid":"t2"}"#);
         let body = format!("{header}.{}", URL_SAFE_NO_PAD.encode(claims));
         let signature: Signature = signing_key().sign(body.as_bytes());
         format!("/videos/a?URISigningPackage={body}.{}", URL_SAFE_NO_PAD.encode(signature.to_bytes()))
     };
-    assert!(check_now(&token(r#"{"iss":"books","cdniuc":"regex:.*"}"#)).is_ok());
+    assert!(verify_now(&token(r#"{"iss":"books","cdniuc":"regex:.*"}"#)).is_ok());
     assert_eq!(
-        check_now(&token(r#"{"iss":"others","cdniuc":"regex:.*"}"#)),
+        verify_now(&token(r#"{"iss":"others","cdniuc":"regex:.*"}"#)),
         Err(CredentialError::InvalidSignature)
     );
-    assert_eq!(check_now(&token(r#"{"cdniuc":"regex:.*"}"#)), Err(CredentialError::InvalidSignature));
+    assert_eq!(verify_now(&token(r#"{"cdniuc":"regex:.*"}"#)), Err(CredentialError::InvalidSignature));
 }
 
 #[test]
-fn claims_that_are_not_understood_turn_a_token_down_where_they_matter() {
+fn unsupported_claims_that_limit_a_token_deny_it() {
     for good in
         [r#","x":1"#, r#","cdniv":1"#, r#","exp":9999999999,"cdnicrit":"exp,cdniuc""#, r#","aud":"cdn-a""#]
     {
-        assert!(check_now(&tokened(good)).is_ok(), "{good}");
+        assert!(verify_now(&target_with_token(good)).is_ok(), "{good}");
     }
     for bad in [
         r#","x":1,"cdnicrit":"x""#,
@@ -237,19 +243,19 @@
         r#","exp":"soon""#,
         r#","nbf":true"#,
     ] {
-        assert_eq!(check_now(&tokened(bad)), Err(CredentialError::Malformed), "{bad}");
+        assert_eq!(verify_now(&target_with_token(bad)), Err(CredentialError::Malformed), "{bad}");
     }
-    assert_eq!(check_now(&tokened(r#","aud":["cdn-b"]"#)), Err(CredentialError::InvalidSignature));
+    assert_eq!(verify_now(&target_with_token(r#","aud":["cdn-b"]"#)), Err(CredentialError::InvalidSignature));
     let bare = hs256(r#"{"alg":"HS256","kid":"t1"}"#, "{}");
     assert_eq!(
-        check_now(&format!("/videos/a?URISigningPackage={bare}")),
+        verify_now(&format!("/videos/a?URISigningPackage={bare}")),
         Err(CredentialError::Malformed),
         "no container"
     );
 }
 
 #[test]
-fn keys_that_can_t_be_used_are_named_and_never_shown() {
+fn unusable_keys_are_named_and_their_content_is_never_shown() {
     let error = |file: &str| {
         let file = miniserde::json::from_str(file).expect("JSON");
         KeySet::new(file).expect_err("bad keys").to_string()
