--- a/src/daemon/frontends.rs
+++ b/src/daemon/frontends.rs
@@ -81,7 +81,7 @@
             shutdown: self.shutdown.clone(),
             reloads,
             #[cfg(feature = "peers")]
-            peers: cluster.clone(),
+            cluster: cluster.clone(),
         };
         admin::listen(address, endpoint).await?;
         Ok(())
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -41,7 +41,7 @@
 #[cfg(feature = "peers")]
 const MAX_CLUSTER_COMMAND_BYTES: usize = 600;
 const READ_BYTES: usize = 64;
-/// A command must have come whole, and its answer have been taken, by then.
+/// A command must be complete, and its answer read, by then.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// The dispatcher answers within this, or can't serve.
 const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(500);
@@ -83,7 +83,7 @@
     pub reloads: Rc<ReloadCounters>,
     /// The cluster of directors, where they gossip.
     #[cfg(feature = "peers")]
-    pub peers: Option<cluster::ClusterHandle>,
+    pub cluster: Option<cluster::ClusterHandle>,
 }
 
 #[derive(Serialize)]
@@ -174,7 +174,7 @@
 
     fn max_command_bytes(&self) -> usize {
         #[cfg(feature = "peers")]
-        if self.peers.is_some() {
+        if self.cluster.is_some() {
             return MAX_CLUSTER_COMMAND_BYTES;
         }
         MAX_COMMAND_BYTES
@@ -182,7 +182,7 @@
 
     async fn answer(&self, command: &[u8]) -> String {
         #[cfg(feature = "peers")]
-        if let (Some(cluster), Ok(command)) = (&self.peers, std::str::from_utf8(command)) {
+        if let (Some(cluster), Ok(command)) = (&self.cluster, std::str::from_utf8(command)) {
             if let Some(answer) = cluster::admin::answer(cluster, command).await {
                 return answer;
             }
@@ -205,7 +205,7 @@
             return "NO it is about to end\n".into();
         }
         #[cfg(feature = "peers")]
-        if let Some(cluster) = &self.peers {
+        if let Some(cluster) = &self.cluster {
             return format!("YES {}\n", cluster::admin::stage(cluster).await);
         }
         "YES\n".into()
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -13,7 +13,7 @@
     /// It is not in the form of HTTP/1.1.
     #[error("malformed request")]
     Malformed,
-    /// It has not come whole in time.
+    /// It is not complete in time.
     #[error("request timeout")]
     Timeout,
     /// Its body is larger than is taken.
@@ -75,9 +75,9 @@
     }
 }
 
-/// Takes the head of a request off the buffer; none: it has not come whole yet.
+/// Takes the head of a request off the buffer; none: it is not complete yet.
 pub fn parse_head(buffer: &mut BytesMut, max_body_bytes: usize) -> Result<Option<RequestHead>, BadRequest> {
-    // Empty lines before a request are passed over, as RFC 9112 (2.2) asks.
+    // Empty lines before a request are skipped, as RFC 9112 (2.2) asks.
     while buffer.starts_with(b"\r\n") {
         let _ = buffer.split_to(2);
     }
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// What a client is told of when to come back: no longer than clients heed, and only where they do.
+    /// The retry-after that a client is sent: no longer than clients heed, and only where they do.
     fn effective_retry_after(&self, wait: Duration) -> Option<Duration> {
         let settings = self.0.settings();
         let max_retry_after = Duration::from_micros(settings.max_retry_after);
--- a/src/frontend/serve/connection.rs
+++ b/src/frontend/serve/connection.rs
@@ -20,7 +20,7 @@
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 /// A connection without a request is closed after this; clients close theirs after 4 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A request must have come whole by then, counted from its first byte, or from the accept of a connection
+/// A request must be complete by then, counted from its first byte, or from the accept of a connection
 /// on which none has come: a client that sends nothing, or never comes to an end, is owed a close within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// A client must have taken a response by then.
@@ -32,7 +32,7 @@
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A request that has come whole.
+/// A complete request.
 pub(super) struct ReceivedRequest {
     pub(super) head: RequestHead,
     pub(super) body: Bytes,
@@ -42,9 +42,9 @@
 pub(super) struct Connection {
     stream: ClientStream,
     buffer: BytesMut,
-    /// The head of a request whose body has not come whole yet.
+    /// The head of a request whose body is not complete yet.
     head: Option<RequestHead>,
-    /// When the request that has begun must have come whole.
+    /// When the request that has begun must be complete.
     request_deadline: Option<Instant>,
     /// Bytes that were read and discarded: what follows them can't be told apart any more.
     discarded_bytes: usize,
@@ -121,7 +121,7 @@
         written.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
     }
 
-    /// Takes the request off the buffer, once it has come whole.
+    /// Takes the request off the buffer, once it is complete.
     fn take_request(&mut self) -> Option<ReceivedRequest> {
         let head = self.head.take_if(|head| self.buffer.len() >= head.content_length)?;
         self.request_deadline = None;
--- a/src/frontend/serve/listener.rs
+++ b/src/frontend/serve/listener.rs
@@ -20,7 +20,7 @@
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// A rejected connection that its client does not close is closed here after this.
 const REJECT_LINGER: Duration = Duration::from_secs(1);
-/// What a rejected client is told to wait, where the frontend says so.
+/// The Retry-After of a rejected client, where the frontend sends one.
 const REJECT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// How much is read of a request that is rejected, in bytes a read.
 const REJECT_READ_BYTES: usize = 4096;
@@ -119,7 +119,7 @@
         &self.context.slots
     }
 
-    /// Accepts what the listener holds at the end, for clients may have sent whole requests there already.
+    /// Accepts what the listener holds at the end, for clients may have sent complete requests there already.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
         // The runtime may not have been notified of these yet, so the socket itself is asked.
         let Ok(listener) = listener.into_std() else { return };
--- a/src/frontend/serve/session.rs
+++ b/src/frontend/serve/session.rs
@@ -36,7 +36,7 @@
     frontend: &'a F,
     shutdown: watch::Receiver<ShutdownPhase>,
     awaited: Awaited,
-    /// Counts a request that is still to come whole: at the end of the process it is waited for. Otherwise a
+    /// Counts a request that is not complete yet: at the end of the process it is waited for. Otherwise a
     /// request is counted from then on.
     in_flight: Option<InFlightGuard>,
 }
@@ -113,7 +113,7 @@
     }
 
     /// Whether a request crosses the close of its connection and is read all the same; on a new connection
-    /// only one that has come whole.
+    /// only a complete one.
     fn stays_at_close(&mut self) -> bool {
         if !self.connection.has_request_begun() {
             return false;
--- a/tests/admin_endpoint.rs
+++ b/tests/admin_endpoint.rs
@@ -66,7 +66,7 @@
             requests_in_flight: requests_in_flight.clone(),
             shutdown: phase,
             reloads: reloads.clone(),
-            peers: None,
+            cluster: None,
         };
         tokio::task::spawn_local(admin::accept(listener, endpoint));
         Endpoint { address, shutdown, requests_in_flight, reloads }
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -243,7 +243,7 @@
             shutdown: closing,
             reloads: reloads.clone(),
             #[cfg(feature = "peers")]
-            peers: None,
+            cluster: None,
         };
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let admin = listener.local_addr().expect("an address").to_string();
