--- a/src/frontend/serve/listener.rs
+++ b/src/frontend/serve/listener.rs
@@ -20,7 +20,7 @@
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// A rejected connection that its client does not close is closed here after this.
 const REJECT_LINGER: Duration = Duration::from_secs(1);
-/// What a rejected client is told to wait, where the frontend says so.
+/// The Retry-After of a rejected client, where the frontend sends one.
 const REJECT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// How much is read of a request that is rejected, in bytes a read.
 const REJECT_READ_BYTES: usize = 4096;
@@ -83,7 +83,7 @@
             Ok((stream, _)) => server.start_connection(stream),
             Err(error) => {
                 // Out of descriptors, most likely: a connection that waits for a request makes room.
-                errors.record(&error);
+                errors.record(F::NAME, &error);
                 server.slots().close_one_waiting();
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
@@ -99,10 +99,10 @@
 }
 
 impl AcceptErrorLog {
-    fn record(&mut self, error: &io::Error) {
+    fn record(&mut self, frontend: &str, error: &io::Error) {
         let is_due = |logged_at: Instant| logged_at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL;
         if self.logged_at.is_none_or(is_due) {
-            tracing::warn!("clients: accept: {error}");
+            tracing::warn!(listener = frontend, reason = %error, "accept failed");
             self.logged_at = Some(Instant::now());
         }
     }
@@ -119,7 +119,7 @@
         &self.context.slots
     }
 
-    /// Accepts what the listener holds at the end, for clients may have sent whole requests there already.
+    /// Accepts what the listener holds at the end, for clients may have sent complete requests there already.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
         // The runtime may not have been notified of these yet, so the socket itself is asked.
         let Ok(listener) = listener.into_std() else { return };
