--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -100,8 +100,8 @@
         Ok(Builder::from_config(PlatformConfig::read(path.as_ref())?))
     }
 
-    pub(crate) fn new(core: Dispatcher, control: mpsc::UnboundedSender<Control>) -> Self {
-        Director(Arc::new(Inner { dispatcher: core, is_shutting_down: AtomicBool::new(false), control }))
+    pub(crate) fn new(dispatcher: Dispatcher, control: mpsc::UnboundedSender<Control>) -> Self {
+        Director(Arc::new(Inner { dispatcher, is_shutting_down: AtomicBool::new(false), control }))
     }
 
     /// Sends a request. Dropping the future cancels it: nothing new is sent for it. The future holds a handle
--- a/src/director/request.rs
+++ b/src/director/request.rs
@@ -81,8 +81,8 @@
     /// The request as the dispatcher takes it, by the settings in force.
     pub(super) fn into_client_request(self, dispatcher: &Dispatcher) -> Result<ClientRequest, SendError> {
         let (settings, mut request) = (dispatcher.settings(), self.request);
-        let place = settings.class_index(&self.class).ok_or(SendError::UnknownClass(self.class))?;
-        let class = &settings.classes[place];
+        let index = settings.class_index(&self.class).ok_or(SendError::UnknownClass(self.class))?;
+        let class = &settings.classes[index];
         if !has_valid_names(&request) {
             return Err(SendError::BadName);
         }
@@ -96,7 +96,7 @@
             request.id = dispatcher.generate_request_id();
         }
         request.timeout = self.timeout.unwrap_or(Duration::from_micros(class.deadline));
-        request.class = place;
+        request.class = index;
         Ok(request)
     }
 }
--- a/src/dispatch/actor/mod.rs
+++ b/src/dispatch/actor/mod.rs
@@ -257,7 +257,7 @@
                 cancelled_requests: self.cancellations.waiting(),
                 servers: self.endpoints.len(),
                 mailbox: self.endpoints.queued_reports(),
-                classes: self.counters.class_places(),
+                classes: self.counters.class_count(),
             },
         }
     }
--- a/src/dispatch/attempt.rs
+++ b/src/dispatch/attempt.rs
@@ -20,21 +20,28 @@
 }
 
 /// How far an attempt had come when it ended without a response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptError {
     /// No connection could be established.
+    #[error("not connected")]
     NotConnected,
     /// No connection was tried, for this process has no descriptor left for one: no fault of the server.
+    #[error("no descriptor left")]
     NoDescriptor,
     /// Nothing of it was written.
+    #[error("nothing written")]
     NotWritten,
     /// A part of it was written; a server runs only complete requests.
+    #[error("partly written")]
     PartiallyWritten,
     /// It was written completely and nothing came back.
+    #[error("written, not answered")]
     Unanswered,
     /// Its response had begun.
+    #[error("broke off in the answer")]
     ResponseInterrupted,
     /// Its request had finished or was cancelled before anything of it was written.
+    #[error("called off, nothing written")]
     Cancelled,
 }
 
@@ -45,21 +52,5 @@
     }
 }
 
-impl std::fmt::Display for AttemptError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            AttemptError::NotConnected => "not connected",
-            AttemptError::NoDescriptor => "no descriptor left",
-            AttemptError::NotWritten => "nothing written",
-            AttemptError::PartiallyWritten => "partly written",
-            AttemptError::Unanswered => "written, not answered",
-            AttemptError::ResponseInterrupted => "broke off in the answer",
-            AttemptError::Cancelled => "called off, nothing written",
-        })
-    }
-}
-
-impl std::error::Error for AttemptError {}
-
 /// How an attempt ended at its server.
 pub type AttemptResult = Result<UpstreamResponse, AttemptError>;
--- a/src/dispatch/cancellation.rs
+++ b/src/dispatch/cancellation.rs
@@ -28,8 +28,8 @@
 
 /// Whether a request has ended: answered, or cancelled by its client. Whoever carries its attempts checks
 /// this right before the first byte, for the command that cancels an attempt can find a mailbox full, or
-/// cross the attempt on its way from a connection that has ended to another; and while the runtime is held
-/// up, a client's disconnect goes unnoticed.
+/// cross the attempt on its way from a connection that has ended to another; and while the runtime is
+/// stalled, a client's disconnect goes unnoticed.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationToken(Arc<CancellationState>);
 
--- a/src/dispatch/counters.rs
+++ b/src/dispatch/counters.rs
@@ -9,7 +9,7 @@
 /// The counters, and the names of the classes that they are kept by.
 #[derive(Debug)]
 pub(super) struct Counters {
-    /// By the classes' places in the settings, retired ones among them.
+    /// By the classes' indices in the settings, retired ones among them.
     class_names: Vec<Arc<str>>,
     by_class: BTreeMap<Arc<str>, ClassCounts>,
     /// Attempts written completely.
@@ -22,25 +22,25 @@
         Counters { class_names: class_names(settings), by_class: BTreeMap::new(), attempts_written: 0 }
     }
 
-    /// Goes on with the classes of other settings. The counts of a class end with the last of its places, so
-    /// that these stay few too.
+    /// Goes on with the classes of other settings. The counts of a class end with the last index that it has,
+    /// so that these stay few too.
     pub(super) fn update_classes(&mut self, settings: &Settings) {
         self.class_names = class_names(settings);
         let names = &self.class_names;
         self.by_class.retain(|name, _| names.contains(name));
     }
 
-    /// The name of the class at this place.
+    /// The name of the class at this index.
     pub(super) fn class_name(&self, class: usize) -> &Arc<str> {
         &self.class_names[class]
     }
 
-    /// Places of classes, retired ones among them.
-    pub(super) fn class_places(&self) -> usize {
+    /// Indices of classes, retired ones among them.
+    pub(super) fn class_count(&self) -> usize {
         self.class_names.len()
     }
 
-    /// A request of the class at this place was answered.
+    /// A request of the class at this index was answered.
     pub(super) fn record_response(&mut self, class: usize, response: &ClientResponse) {
         let counts = self.by_class.entry(self.class_names[class].clone()).or_default();
         match response {
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -51,7 +51,7 @@
     pub servers: usize,
     /// Messages that wait in the mailbox, of 4,096 at most.
     pub mailbox: usize,
-    /// Places of classes, retired ones among them.
+    /// Classes, retired ones among them.
     pub classes: usize,
 }
 
--- a/src/dispatch/pending_requests.rs
+++ b/src/dispatch/pending_requests.rs
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Whether a request of the class at this place is pending.
+    /// Whether a request of the class at this index is pending.
     pub(super) fn uses_class(&self, class: usize) -> bool {
         self.requests.values().any(|pending| pending.request.class == class)
     }
--- a/src/dispatch/request.rs
+++ b/src/dispatch/request.rs
@@ -16,7 +16,7 @@
 pub struct ClientRequest {
     /// The id under which it is forwarded to servers.
     pub id: Arc<str>,
-    /// Place among the settings' classes.
+    /// Index among the settings' classes.
     pub class: usize,
     /// The object's name.
     pub object: Arc<str>,
