--- a/src/dispatch/actor/members.rs
+++ b/src/dispatch/actor/members.rs
@@ -9,15 +9,14 @@
     /// Drains a listed server, or ends its drain, whatever its source says; whether it is listed.
     pub(super) fn override_drain(&mut self, name: &Arc<str>, command: DrainCommand) -> bool {
         let Some(listing) = self.endpoints.override_drain(name, command) else { return false };
-        self.update_members(false, vec![listing]);
+        self.update_members(MemberUpdate::Incremental, vec![listing]);
         true
     }
 
     /// Applies an update of the endpoint list. What was sent to a process before its successor started will
     /// not be answered any more.
-    pub(super) fn update_members(&mut self, full: bool, listings: Vec<Endpoint>) {
-        let update = self.endpoints.apply_update(full, listings, &self.settings);
-        let kind = if full { MemberUpdate::Full } else { MemberUpdate::Incremental };
+    pub(super) fn update_members(&mut self, kind: MemberUpdate, listings: Vec<Endpoint>) {
+        let update = self.endpoints.apply_update(kind, listings, &self.settings);
         self.events.push_back(Event::Members { kind, members: update.members });
         for attempt in self.attempts.lost_by(&update.restarted) {
             self.complete_attempt(attempt, Outcome::Reset, None);
--- a/src/dispatch/actor/mod.rs
+++ b/src/dispatch/actor/mod.rs
@@ -21,7 +21,9 @@
     object_number, AttemptError, AttemptId, Clock, Dispatcher, DispatcherMessage, DispatcherMetrics,
     DispatcherSender, EndpointCommand, EndpointConnector, HealthReport, TableSizes,
 };
-use crate::policy::types::{Action, Event, Micros, ObjectId, Outcome, ServerId, Settings, SettingsError};
+use crate::policy::types::{
+    Action, Event, MemberUpdate, Micros, ObjectId, Outcome, ServerId, Settings, SettingsError,
+};
 use crate::policy::Router;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -119,7 +121,10 @@
                 self.record_attempt_report(attempt.request_id(), error.never_ran());
             }
             DispatcherMessage::HealthChecked(number, result) => self.complete_health_check(number, result),
-            DispatcherMessage::Members { full, members } => self.update_members(full, members),
+            DispatcherMessage::Members { full, members } => {
+                let kind = if full { MemberUpdate::Full } else { MemberUpdate::Incremental };
+                self.update_members(kind, members);
+            }
             DispatcherMessage::Drain { name, command, listed } => {
                 let _ = listed.send(self.override_drain(&name, command)); // whoever has gone needs none
             }
--- a/src/dispatch/endpoint_registry.rs
+++ b/src/dispatch/endpoint_registry.rs
@@ -3,7 +3,7 @@
 use super::naming::server_number;
 use crate::dispatch::membership::{DrainOverrides, Endpoint};
 use crate::dispatch::{Clock, DispatcherSender, DrainCommand, EndpointCommand, EndpointConnector};
-use crate::policy::types::{Member, MemberState, Micros, ServerId, Settings};
+use crate::policy::types::{Member, MemberState, MemberUpdate, Micros, ServerId, Settings};
 use std::collections::HashMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
@@ -126,12 +126,12 @@
     /// Applies an update of the endpoint list; a full one leaves all servers gone that it does not name.
     pub(super) fn apply_update(
         &mut self,
-        full: bool,
+        kind: MemberUpdate,
         mut listings: Vec<Endpoint>,
         settings: &Settings,
     ) -> RegistryUpdate {
         listings.iter_mut().for_each(|listing| self.drains.apply(listing));
-        if full {
+        if kind == MemberUpdate::Full {
             self.endpoints.values_mut().for_each(|e| e.listing.state = MemberState::Gone);
         }
         let mut update = RegistryUpdate::default();
