--- a/src/cluster/source.rs
+++ b/src/cluster/source.rs
@@ -6,19 +6,15 @@
 use crate::replication::state::{ClockReading, ListScope, ReplicatedState};
 
 /// Applies an event, and returns the entries that changed by it.
-pub(super) fn apply(
-    state: &mut ReplicatedState,
-    notice: &WatchEvent,
-    now: ClockReading,
-) -> Vec<(Key, Value)> {
-    match &notice.change {
-        WatchChange::Members { complete: full, members } => {
-            let scope = if *full { ListScope::Full } else { ListScope::Incremental };
-            state.apply_member_update(notice.revision, scope, members, now)
+pub(super) fn apply(state: &mut ReplicatedState, event: &WatchEvent, now: ClockReading) -> Vec<(Key, Value)> {
+    match &event.change {
+        WatchChange::Members { complete, members } => {
+            let scope = if *complete { ListScope::Full } else { ListScope::Incremental };
+            state.apply_member_update(event.revision, scope, members, now)
         }
-        WatchChange::Purge { object, group, unix_ms: ms } => {
+        WatchChange::Purge { object, group, unix_ms } => {
             let key = object.clone().map_or(Key::Group(*group), Key::Object);
-            state.purge(key, micros(*ms), now).ok().flatten().into_iter().collect()
+            state.purge(key, micros(*unix_ms), now).ok().flatten().into_iter().collect()
         }
         WatchChange::Unknown => Vec::new(),
     }
