--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,4 +1,4 @@
-//! What one decision costs: a request put to the module and its attempt ended, before fleets of four sizes.
+//! The cost of one decision: a request and the end of its attempt, with fleets of four sizes.
 
 #[path = "../tests/standin/mod.rs"]
 mod standin;
@@ -9,9 +9,9 @@
 use std::hint::black_box;
 
 fn settings() -> Settings {
-    let class = |name: &str, aim, deadline| Class {
+    let class = |name: &str, latency_objective, deadline| Class {
         name: name.into(),
-        latency_objective: aim,
+        latency_objective,
         deadline,
         priority_weight: 1.0,
         ..Class::default()
@@ -62,7 +62,8 @@
     }
 }
 
-fn one(router: &mut Router, n: u64, objects: u64, out: &mut Vec<Action>) {
+/// Hands a request to the router, and the successful end of its attempt.
+fn decide(router: &mut Router, n: u64, objects: u64, out: &mut Vec<Action>) {
     let now = n * 500;
     out.clear();
     router.handle(now, Event::Request(request(n, objects, now)), out);
@@ -101,12 +102,12 @@
             let mut n = 0;
             for _ in 0..30_000 {
                 n += 1;
-                one(&mut router, n, objects, &mut out);
+                decide(&mut router, n, objects, &mut out);
             }
             group.bench_function(BenchmarkId::new(format!("{servers} servers"), objects), |b| {
                 b.iter(|| {
                     n += 1;
-                    one(&mut router, n, objects, &mut out);
+                    decide(&mut router, n, objects, &mut out);
                 })
             });
         }
--- a/tests/estimate.rs
+++ b/tests/estimate.rs
@@ -85,9 +85,9 @@
             }
             events += 1.0;
         }
-        let held = prior.posterior(events, 3.0);
-        squares += (held.mean - rate).powi(2);
-        stated += held.standard_deviation.powi(2);
+        let estimate = prior.posterior(events, 3.0);
+        squares += (estimate.mean - rate).powi(2);
+        stated += estimate.standard_deviation.powi(2);
     }
     assert!((squares / stated - 1.0).abs() < 0.05, "{}", squares / stated);
 }
@@ -136,24 +136,24 @@
 /// The ordered slowdowns give the same smallest one as a search over all.
 #[test]
 fn congestion_relative_to_the_quickest_server_equals_a_linear_search() {
-    let (mut draw, mut crowds, mut plain) =
+    let (mut draw, mut congestion, mut totals) =
         (uniform(9), CongestionEstimator::default(), std::collections::HashMap::new());
     for step in 0..20_000 {
         let server = (draw() * 40.0) as u32;
         if step % 97 == 0 {
-            crowds.forget(server);
-            plain.remove(&server);
+            congestion.forget(server);
+            totals.remove(&server);
         } else {
             let (took, usual) = (1.0 + draw() * 100.0, 10.0 + draw());
-            crowds.record(server, took, usual, 0.1);
-            let (t, u): &mut (f64, f64) = plain.entry(server).or_insert((0.0, 0.0));
+            congestion.record(server, took, usual, 0.1);
+            let (t, u): &mut (f64, f64) = totals.entry(server).or_insert((0.0, 0.0));
             let kept = if *u > 0.0 { 0.9 } else { 0.0 };
             (*t, *u) = (*t * kept + took, *u * kept + usual);
         }
-        let least = plain.values().map(|(t, u)| t / u).min_by(f64::total_cmp);
-        let over = |s: u32| Some(plain.get(&s)?.0 / plain[&s].1 / least?);
-        assert_eq!(crowds.relative_to_quickest(server), over(server));
+        let least = totals.values().map(|(t, u)| t / u).min_by(f64::total_cmp);
+        let over = |s: u32| Some(totals.get(&s)?.0 / totals[&s].1 / least?);
+        assert_eq!(congestion.relative_to_quickest(server), over(server));
     }
-    crowds.retain(|server| server < 3);
-    assert!(crowds.relative_to_quickest(5).is_none());
+    congestion.retain(|server| server < 3);
+    assert!(congestion.relative_to_quickest(5).is_none());
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -9,18 +9,18 @@
 fn a_request_that_an_overloaded_cache_would_serve_late_is_shed() {
     let mut router =
         RouterHarness::with_servers(Settings { direct_requests: false, ..settings() }, &[1, 11, 20]);
-    let (mut taken, mut first_refused) = (0, None);
+    let (mut sent, mut first_rejected) = (0, None);
     for object in 0..400 {
         if is_rejected(&router.send_request(0, object)) {
-            first_refused.get_or_insert(object);
+            first_rejected.get_or_insert(object);
         } else {
-            taken += 1;
+            sent += 1;
         }
     }
     // 50 ms of transfer time each at a cache of 20 transfers: the objective of 500 ms is reached at about
     // 170.
-    assert!((120..=200).contains(&taken), "{taken}");
-    assert_eq!(first_refused, Some(taken));
+    assert!((120..=200).contains(&sent), "{sent}");
+    assert_eq!(first_rejected, Some(sent));
 }
 
 /// Regression: while the origin was slow and the parents' fill windows were closed, 30% of requests were
@@ -143,13 +143,20 @@
         filled.count()
     };
     assert_eq!(filled(&[]), 400);
-    assert_eq!(filled(&[(1, [9.0, 1.0])]), 400, "a link with room, whatever the cache's cores do");
+    assert_eq!(
+        filled(&[(1, [9.0, 1.0])]),
+        400,
+        "a link with capacity, whatever the load of the cache's cores"
+    );
     let (once, thrice) = (filled(&[(1, [0.1, 3.0])]), filled(&[(1, [0.1, 3.0]); 3]));
     assert!(
         (100..300).contains(&once) && (1..once).contains(&thrice),
         "{once} after one, {thrice} after three"
     );
-    assert!(filled(&[(1, [0.1, 3.0]), (2, [0.1, 0.5]), (3, [0.1, 0.5])]) > once, "room is told of as well");
+    assert!(
+        filled(&[(1, [0.1, 3.0]), (2, [0.1, 0.5]), (3, [0.1, 0.5])]) > once,
+        "spare capacity counts as well"
+    );
     // A parent's value of that name means something else, and another zone's link does not matter.
     assert_eq!(filled(&[(11, [0.1, 30.0]), (5, [0.1, 30.0])]), 400);
     for odd in [f64::NAN, f64::INFINITY, -1.0] {
@@ -217,11 +224,11 @@
     }
     assert!(loads[&ServerId(1)] >= 20 && loads.len() > 1, "{loads:?}");
     // It is rejected once none has.
-    let refusals = (0..60).filter(|n| {
+    let rejections = (0..60).filter(|n| {
         let request = Request { size_kb: 300.0, ..router.new_request(0, 50_000 + n) };
         is_rejected(&router.handle(Event::Request(request)))
     });
-    assert!(refusals.count() > 0);
+    assert!(rejections.count() > 0);
 }
 
 /// Guards against rejecting clients with short deadlines while nothing is congested.
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,9 +1,18 @@
 //! Random but legal event sequences from seeds; the five rules are asserted on every action.
 
 mod common;
+#[path = "property/rule_checker.rs"]
+mod rule_checker;
+
 use common::*;
 use foxhold::*;
-use std::collections::BTreeMap;
+use rule_checker::{IssuedPurge, RuleChecker, StartedServer, TrackedRequest};
+
+const STEPS: usize = 3_000;
+const SERVERS: [u32; 8] = [1, 2, 3, 4, 11, 12, 13, 20];
+/// Servers that drain, leave and restart: all but the origin.
+const UNSTABLE_SERVERS: u64 = 7;
+const OBJECTS: u64 = 40;
 
 struct RandomNumbers(u64);
 
@@ -12,274 +21,201 @@
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % limit
     }
-}
 
-struct Attempt {
-    server: ServerId,
-    at: Micros,
-    ended: Option<Outcome>,
-}
+    fn choose<T: Copy>(&mut self, choices: &[T]) -> T {
+        choices[self.below(choices.len() as u64) as usize]
+    }
 
-struct PendingRequest {
-    request: Request,
-    attempts: Vec<Attempt>,
-    /// Has a final response of the router, or was ended by an outcome or the client.
-    finished: bool,
+    fn settings(&mut self) -> Settings {
+        let mut settings = settings();
+        settings.hedging = self.below(3) > 0;
+        settings.can_cancel = self.below(3) > 0;
+        settings.direct_requests = self.below(2) > 0;
+        settings.request_collapsing = self.below(2) > 0;
+        settings.cache_status_level =
+            self.choose(&[CacheStatusLevel::None, CacheStatusLevel::Hit, CacheStatusLevel::All]);
+        settings
+    }
 }
 
-/// Checks the five rules from outside the router.
-struct RuleChecker {
-    settings: Settings,
-    now: Micros,
-    open: BTreeMap<RequestId, PendingRequest>,
-    departed: BTreeMap<ServerId, Micros>,
-    purges: Vec<(ObjectId, Micros, Micros)>,
-    slow_start: BTreeMap<ServerId, (Micros, Vec<(Micros, f64)>)>,
-    timers: Vec<(Micros, TimerToken)>,
+/// A router under random events, and the checker of its actions.
+struct RandomRun {
+    random: RandomNumbers,
+    checker: RuleChecker,
+    router: RouterHarness,
+    requests: usize,
 }
 
-impl RuleChecker {
-    fn check(&mut self, actions: &[Action]) {
-        for action in actions {
-            match action {
-                Action::Attempt { request, server, fill, .. } => self.check_attempt(*request, *server, *fill),
-                Action::Reject { request, .. } => self.check_final_response(*request, true),
-                Action::Fail(request) => self.check_final_response(*request, false),
-                Action::Cancel { request, attempt } => {
-                    let open = &self.open[request];
-                    assert!(
-                        open.attempts[*attempt as usize].ended.is_none(),
-                        "an attempt was cancelled after its end"
-                    );
-                }
-                Action::SetTimer { at, token } => {
-                    self.timers.push((*at, *token));
+impl RandomRun {
+    fn new(seed: u64) -> Self {
+        let mut random = RandomNumbers(seed);
+        let settings = random.settings();
+        let checker = RuleChecker::new(settings.clone(), 100_000_000);
+        let router = RouterHarness::with_servers(settings, &SERVERS);
+        RandomRun { random, checker, router, requests: 0 }
+    }
+
+    fn advance(&mut self, elapsed: Micros) {
+        self.checker.now += elapsed;
+        self.router.now = self.checker.now;
+    }
+
+    /// Fires the timers that are due, as a host would before other events.
+    fn fire_timers(&mut self) {
+        let now = self.checker.now;
+        let due: Vec<TimerToken> = self.checker.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
+        self.checker.timers.retain(|timer| timer.0 > now);
+        for token in due {
+            let actions = self.router.handle(Event::Timer(token));
+            // A timer fires within a tick of its time.
+            for action in &actions {
+                if let Action::Reject { request, .. } | Action::Fail(request) = action {
+                    let tracked = self.checker.requests.get_mut(request).expect("a received request");
+                    tracked.request.deadline = tracked.request.deadline.max(now);
                 }
-                _ => {}
             }
+            self.checker.check(&actions);
         }
     }
 
-    fn may_have_run(attempt: &Attempt) -> bool {
-        attempt.ended.is_none_or(|o| !o.never_ran())
+    /// A random event; `None` if none of the drawn kind is possible now.
+    fn next_event(&mut self) -> Option<Event> {
+        match self.random.below(20) {
+            0..=8 => Some(self.request()),
+            9..=15 => self.attempt_end(),
+            16 => self.cancellation(),
+            17 => Some(self.purge()),
+            _ => Some(self.member_update()),
+        }
     }
 
-    fn check_final_response(&mut self, id: RequestId, is_rejection: bool) {
-        let open = self.open.get_mut(&id).expect("a request that was taken");
-        assert!(!open.finished, "rule 1: a second final response");
-        assert!(self.now <= open.request.deadline + 8_000, "rule 1: a response past the deadline");
-        open.finished = true;
-        let ran = open.attempts.iter().any(Self::may_have_run);
-        let is_safe = match self.settings.classes[open.request.class].idempotency {
-            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
-            _ => !ran,
-        };
-        assert!(!is_rejection || is_safe, "rule 2: a request that may have run was rejected");
+    fn request(&mut self) -> Event {
+        let class = self.random.below(4) as usize;
+        let object = 1 + self.random.below(OBJECTS);
+        let mut request = self.router.new_request(class, object);
+        request.deadline = self.checker.now + self.random.below(2_500_000);
+        request.part = self.random.below(3) as u32;
+        let tracked = TrackedRequest { request: request.clone(), attempts: Vec::new(), finished: false };
+        self.checker.requests.insert(request.id, tracked);
+        self.requests += 1;
+        Event::Request(request)
     }
 
-    fn check_attempt(&mut self, id: RequestId, server: ServerId, fill: Option<Fill>) {
-        let now = self.now;
-        let open = self.open.get_mut(&id).expect("a request that was taken");
-        assert!(!open.finished, "rule 1: an attempt after the end");
-        assert!(now <= open.request.deadline, "rule 1: an attempt after the deadline");
-        assert!(open.attempts.len() < self.settings.max_attempts as usize);
-        if !self.settings.hedging {
-            assert!(open.attempts.iter().all(|a| a.ended.is_some()), "two attempts in flight");
-        }
-        for earlier in open.attempts.iter().filter(|a| Self::may_have_run(a)) {
-            match self.settings.classes[open.request.class].idempotency {
-                Idempotency::Idempotent => {}
-                Idempotency::AtMostOnce => panic!("rule 2: an at-most-once request was retried"),
-                Idempotency::IdempotencyKey { scope, window } => {
-                    assert!(now - earlier.at < window, "rule 2: past the window");
-                    let cell = |s: ServerId| (member(s.0).zone, member(s.0).cell);
-                    assert!(
-                        scope == KeyScope::All || cell(server) == cell(earlier.server),
-                        "rule 2: other cell"
-                    );
-                }
-            }
+    fn attempt_end(&mut self) -> Option<Event> {
+        let in_flight = self.attempts_in_flight();
+        if in_flight.is_empty() {
+            return None;
         }
-        for used in [Some(server), fill.map(|f| f.source)].into_iter().flatten() {
-            if let Some(told) = self.departed.get(&used) {
-                assert!(now <= told + self.settings.drain_grace, "rule 3: {used:?} had left");
-            }
+        let (request, number) = self.random.choose(&in_flight);
+        let outcome = self.random.choose(&[
+            Outcome::Ok,
+            Outcome::Ok,
+            Outcome::Failed,
+            Outcome::Rejected,
+            Outcome::TimedOut,
+            Outcome::ConnectError,
+            Outcome::Reset,
+            Outcome::Cancelled,
+            Outcome::Miss,
+            Outcome::NotSent,
+        ]);
+        let cache_status = self.random.choose(&[
+            CacheStatus::Unknown,
+            CacheStatus::Hit,
+            CacheStatus::Filled,
+            CacheStatus::SourceUnreachable,
+            CacheStatus::SourceRejected,
+        ]);
+        let tracked = self.checker.requests.get_mut(&request).expect("a received request");
+        tracked.finished |= outcome == Outcome::Ok;
+        let attempt = &mut tracked.attempts[number];
+        attempt.outcome = Some(outcome);
+        Some(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt: number as u32,
+            server: attempt.server,
+            outcome,
+            elapsed: self.checker.now - attempt.sent_at,
+            request_finished: tracked.finished,
+            cache_status,
+            source_wait: 0,
+            load_report: Vec::new(),
+        }))
+    }
+
+    /// Requests with the numbers of their attempts in flight.
+    fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
+        let mut in_flight = Vec::new();
+        for (id, tracked) in &self.checker.requests {
+            let attempts = tracked.attempts.iter().enumerate();
+            in_flight.extend(attempts.filter(|(_, a)| a.outcome.is_none()).map(|(number, _)| (*id, number)));
         }
-        let work = open.request.size_kb * 1000.0;
-        for used in [server, fill.map_or(server, |f| f.source)] {
-            if let Some((since, log)) = self.slow_start.get_mut(&used) {
-                log.push((now, work));
-                let rule = self.settings.cache_slow_start;
-                let warm = rule.initial_capacity_share
-                    + (1.0 - rule.initial_capacity_share) * (now - *since) as f64 / rule.warm_up_time as f64;
-                let sum: f64 = log.iter().filter(|l| l.0 + rule.overload_window > now).map(|l| l.1).sum();
-                let sharers = if used.0 > 10 { 2.0 } else { 1.0 };
-                // A server that is both the cache and the source counts twice here, which is stricter.
-                let budget =
-                    rule.overload_multiple * 20.0 * warm.min(1.0) * rule.overload_window as f64 / sharers;
-                assert!(sum <= budget, "rule 4: {used:?} asked for {sum} of {budget}");
-            }
+        in_flight
+    }
+
+    fn cancellation(&mut self) -> Option<Event> {
+        let requests = self.checker.requests.iter_mut().filter(|(_, tracked)| !tracked.finished);
+        let (id, tracked) = requests.take(8).nth(self.random.below(8) as usize)?;
+        tracked.finished = true;
+        Some(Event::ClientCancelled(*id))
+    }
+
+    fn purge(&mut self) -> Event {
+        let object = ObjectId(1 + self.random.below(OBJECTS));
+        let age = self.random.below(400_000);
+        let now = self.checker.now;
+        self.checker.purges.push(IssuedPurge { object, purged_at: now - age, notified_at: now });
+        Event::Purged { object: Some(object), group: 0, age }
+    }
+
+    fn member_update(&mut self) -> Event {
+        let mut entry = member(SERVERS[self.random.below(UNSTABLE_SERVERS) as usize]);
+        let (server, now) = (entry.server, self.checker.now);
+        match self.random.below(3) {
+            0 => entry.state = MemberState::Draining,
+            1 => entry.state = MemberState::Gone,
+            _ => entry.started_at = now,
         }
-        for (object, at, told) in &self.purges {
-            let bound =
-                now >= told + self.settings.purge_grace && now < at + self.settings.purge_complete_within;
-            if *object == open.request.object && bound {
-                if let Some(fill) = fill {
-                    let capped = fill.max_age > 0 && fill.max_age <= now - at;
-                    assert!(capped && !fill.collapse, "rule 5: {fill:?} for a purge {} ago", now - at);
-                }
-            }
+        if entry.state == MemberState::Running {
+            self.checker.departed.remove(&server);
+            self.checker.started.insert(server, StartedServer { started_at: now, sent: Vec::new() });
+        } else {
+            self.checker.departed.entry(server).or_insert(now);
         }
-        open.attempts.push(Attempt { server, at: now, ended: None });
+        Event::Members { kind: MemberUpdate::Incremental, members: vec![entry] }
     }
-}
 
-fn run(seed: u64) -> usize {
-    let mut dice = RandomNumbers(seed);
-    let mut settings = settings();
-    settings.hedging = dice.below(3) > 0;
-    settings.can_cancel = dice.below(3) > 0;
-    settings.direct_requests = dice.below(2) > 0;
-    settings.request_collapsing = dice.below(2) > 0;
-    settings.cache_status_level =
-        [CacheStatusLevel::None, CacheStatusLevel::Hit, CacheStatusLevel::All][dice.below(3) as usize];
-    let mut checker = RuleChecker {
-        settings: settings.clone(),
-        now: 100_000_000,
-        open: BTreeMap::new(),
-        departed: BTreeMap::new(),
-        purges: Vec::new(),
-        slow_start: BTreeMap::new(),
-        timers: Vec::new(),
-    };
-    let ids = [1, 2, 3, 4, 11, 12, 13, 20];
-    let mut router = RouterHarness::with_servers(settings, &ids);
-    let mut taken = 0;
-    for _ in 0..3000 {
-        checker.now += dice.below(40_000);
-        router.now = checker.now;
-        // Timers fire first, as they would at a host.
-        let now = checker.now;
-        let due: Vec<TimerToken> = checker.timers.iter().filter(|w| w.0 <= now).map(|w| w.1).collect();
-        checker.timers.retain(|w| w.0 > now);
-        for token in due {
-            // A timer fires within a tick of its time.
-            let actions = router.handle(Event::Timer(token));
-            for action in &actions {
+    /// Fires all timers: each request that is not finished has one at its deadline that ends it.
+    fn finish(&mut self) {
+        self.advance(5_000_000);
+        for (_, token) in std::mem::take(&mut self.checker.timers) {
+            for action in self.router.handle(Event::Timer(token)) {
                 if let Action::Reject { request, .. } | Action::Fail(request) = action {
-                    let open = checker.open.get_mut(request).expect("taken");
-                    open.request.deadline = open.request.deadline.max(now);
+                    let tracked = self.checker.requests.get_mut(&request).expect("a received request");
+                    let was_finished = std::mem::replace(&mut tracked.finished, true);
+                    assert!(!was_finished, "rule 1: a second final response");
                 }
             }
-            checker.check(&actions);
         }
-        let event = match dice.below(20) {
-            0..=8 => {
-                let mut request = router.new_request(dice.below(4) as usize, 1 + dice.below(40));
-                request.deadline = checker.now + dice.below(2_500_000);
-                request.part = dice.below(3) as u32;
-                let open = PendingRequest { request: request.clone(), attempts: Vec::new(), finished: false };
-                checker.open.insert(request.id, open);
-                taken += 1;
-                Event::Request(request)
-            }
-            9..=15 => {
-                let waiting: Vec<(RequestId, usize)> = checker
-                    .open
-                    .iter()
-                    .flat_map(|(id, o)| (0..o.attempts.len()).map(move |n| (*id, n)))
-                    .filter(|(id, n)| checker.open[id].attempts[*n].ended.is_none())
-                    .collect();
-                if waiting.is_empty() {
-                    continue;
-                }
-                let (request, n) = waiting[dice.below(waiting.len() as u64) as usize];
-                let kinds = [Outcome::Ok, Outcome::Ok, Outcome::Failed, Outcome::Rejected, Outcome::TimedOut];
-                let more = [
-                    Outcome::ConnectError,
-                    Outcome::Reset,
-                    Outcome::Cancelled,
-                    Outcome::Miss,
-                    Outcome::NotSent,
-                ];
-                let at = dice.below(10) as usize;
-                let outcome = if at < 5 { kinds[at] } else { more[at - 5] };
-                let notes = [
-                    CacheStatus::Unknown,
-                    CacheStatus::Hit,
-                    CacheStatus::Filled,
-                    CacheStatus::SourceUnreachable,
-                    CacheStatus::SourceRejected,
-                ];
-                let open = checker.open.get_mut(&request).expect("open");
-                let out = &mut open.attempts[n];
-                out.ended = Some(outcome);
-                let (server, took) = (out.server, checker.now - out.at);
-                open.finished |= outcome == Outcome::Ok;
-                Event::AttemptEnded(AttemptEnd {
-                    request,
-                    attempt: n as u32,
-                    server,
-                    outcome,
-                    elapsed: took,
-                    request_finished: open.finished,
-                    cache_status: notes[dice.below(5) as usize],
-                    source_wait: 0,
-                    load_report: Vec::new(),
-                })
-            }
-            16 => {
-                let live: Vec<RequestId> =
-                    checker.open.iter().filter(|o| !o.1.finished).map(|o| *o.0).collect();
-                let Some(id) = live.get(dice.below(8) as usize) else { continue };
-                checker.open.get_mut(id).expect("open").finished = true;
-                Event::ClientCancelled(*id)
-            }
-            17 => {
-                let object = ObjectId(1 + dice.below(40));
-                let age = dice.below(400_000);
-                checker.purges.push((object, checker.now - age, checker.now));
-                Event::Purged { object: Some(object), group: 0, age }
-            }
-            _ => {
-                let id = ids[dice.below(7) as usize];
-                let mut entry = member(id);
-                let server = ServerId(id);
-                match dice.below(3) {
-                    0 => {
-                        entry.state = MemberState::Draining;
-                        checker.departed.entry(server).or_insert(checker.now);
-                    }
-                    1 => {
-                        entry.state = MemberState::Gone;
-                        checker.departed.entry(server).or_insert(checker.now);
-                    }
-                    _ => {
-                        entry.started_at = checker.now;
-                        checker.departed.remove(&server);
-                        checker.slow_start.insert(server, (checker.now, Vec::new()));
-                    }
-                }
-                Event::Members { kind: MemberUpdate::Incremental, members: vec![entry] }
-            }
-        };
-        let actions = router.handle(event);
-        checker.check(&actions);
+        let unanswered = self.checker.requests.values().filter(|tracked| !tracked.finished).count();
+        assert_eq!(unanswered, 0, "rule 1: requests without a final response");
     }
-    // Every request that is not finished has a timer at its deadline that ends it.
-    checker.now += 5_000_000;
-    router.now = checker.now;
-    for (_, token) in std::mem::take(&mut checker.timers) {
-        for action in router.handle(Event::Timer(token)) {
-            if let Action::Reject { request, .. } | Action::Fail(request) = action {
-                let open = checker.open.get_mut(&request).expect("taken");
-                assert!(!std::mem::replace(&mut open.finished, true), "rule 1: a second final response");
-            }
+}
+
+/// Runs a random sequence of events, and returns the number of requests.
+fn run(seed: u64) -> usize {
+    let mut run = RandomRun::new(seed);
+    for _ in 0..STEPS {
+        let elapsed = run.random.below(40_000);
+        run.advance(elapsed);
+        run.fire_timers();
+        if let Some(event) = run.next_event() {
+            let actions = run.router.handle(event);
+            run.checker.check(&actions);
         }
     }
-    let lost = checker.open.values().filter(|o| !o.finished).count();
-    assert_eq!(lost, 0, "rule 1: requests without a final response");
-    taken
+    run.finish();
+    run.requests
 }
 
 #[test]
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -7,6 +7,8 @@
 mod simulation;
 #[path = "slow_start/site.rs"]
 mod site;
+#[path = "slow_start/timeline.rs"]
+mod timeline;
 
 use budget::{WarmingServer, WorstWindow};
 use foxhold::SlowStartRule;
--- a/tests/slow_start/simulation.rs
+++ b/tests/slow_start/simulation.rs
@@ -5,40 +5,14 @@
 use crate::budget::{ReceivedWork, WarmingServer};
 use crate::common;
 use crate::site::{Role, Site, CACHES, PARENTS, SECOND};
+use crate::timeline::*;
 use foxhold::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 
-/// Times of a run: its start, a server's crash, its removal from the list and restart, another's join, a
-/// burst of traffic, and the start of late routers.
-const START: Micros = 100 * SECOND;
-const CRASH: Micros = START + 3 * SECOND;
-const REMOVAL: Micros = CRASH + SECOND;
-const RESTART: Micros = CRASH + 3 * SECOND + SECOND / 2;
-const JOIN: Micros = RESTART + SECOND;
-const BURST: std::ops::Range<Micros> = RESTART + 2 * SECOND..RESTART + 6 * SECOND;
-const LATE_START: std::ops::Range<Micros> = RESTART..RESTART + 6 * SECOND;
-/// The longest delay of a member update to a router.
-const MAX_UPDATE_DELAY: Micros = 2 * SECOND;
-/// One router in five receives this multiple of the others' traffic.
-const BUSY_ROUTER_MULTIPLE: f64 = 5.0;
-/// Shares of attempts that a server rejects, and that fail there.
-const REJECTED_SHARE: f64 = 0.04;
-const FAILED_SHARE: f64 = 0.02;
-
-/// A simulated event.
-#[derive(Debug)]
-enum Scheduled {
-    Arrival,
-    Start(usize),
-    Members(usize, Vec<Member>),
-    Timer(TimerToken),
-    AttemptEnded(AttemptEnd),
-    HealthChecked(ServerId),
-}
-
+/// A router process.
 #[derive(Default)]
 struct Process {
     router: Option<Router>,
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -115,11 +115,11 @@
     for _ in 0..12_000 {
         router.now += SECOND / 400;
         // A third of all requests are for these forty: eight times a cache's share of the capacity.
-        let is_crowded = stream.unit() < 0.33;
+        let is_for_first_cache = stream.unit() < 0.33;
         let pick = (stream.unit() * 40.0) as usize;
-        let object = if is_crowded { objects[pick] } else { 10_000 + stream.object() };
+        let object = if is_for_first_cache { objects[pick] } else { 10_000 + stream.object() };
         let attempt = router.attempt_for(object);
-        if is_crowded && attempt.server != ServerId(101) {
+        if is_for_first_cache && attempt.server != ServerId(101) {
             *others.entry(attempt.server).or_insert(0u32) += 1;
         }
         router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
