--- a/crates/foxhold-testbed/src/commands/fleet.rs
+++ b/crates/foxhold-testbed/src/commands/fleet.rs
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 
 /// A storm that is not told otherwise.
-const STORM_DIRECTORS: usize = 20;
-const STORM_SECONDS: f64 = 120.0;
-const STORM_SEED: u64 = 1;
+const RANDOM_FAULTS_DIRECTORS: usize = 20;
+const RANDOM_FAULTS_SECONDS: f64 = 120.0;
+const RANDOM_FAULTS_SEED: u64 = 1;
 
 /// Options of `fleet`.
 #[derive(clap::Args)]
@@ -19,8 +19,8 @@
     file: Option<PathBuf>,
     /// In place of a scenario: faults drawn by the seed among directors that gossip, 20 for 120 s unless told
     /// otherwise
-    #[arg(long, conflicts_with = "file")]
-    storm: bool,
+    #[arg(long, alias = "storm", conflicts_with = "file")]
+    random_faults: bool,
     /// The director's program
     #[arg(long, default_value = "target/release/foxhold")]
     daemon: PathBuf,
@@ -58,10 +58,10 @@
 /// The plan of the options, with what they set in its place.
 fn plan(options: &Options) -> Result<Scenario, Failure> {
     let mut plan = match &options.file {
-        _ if options.storm => schedule::draw(
-            options.directors.unwrap_or(STORM_DIRECTORS),
-            options.seconds.unwrap_or(STORM_SECONDS),
-            options.seed.unwrap_or(STORM_SEED),
+        _ if options.random_faults => schedule::draw(
+            options.directors.unwrap_or(RANDOM_FAULTS_DIRECTORS),
+            options.seconds.unwrap_or(RANDOM_FAULTS_SECONDS),
+            options.seed.unwrap_or(RANDOM_FAULTS_SEED),
         ),
         Some(file) => read_plan(file)?,
         None => Scenario::default(),
--- a/crates/foxhold-testbed/src/load/clients.rs
+++ b/crates/foxhold-testbed/src/load/clients.rs
@@ -1,11 +1,14 @@
 //! An open-loop load over HTTP: arrivals are drawn ahead and wait for no answer, latency counts from the
 //! intended start, and what comes back is held against the rules.
 
+mod http;
+
 use crate::load::disconnects::{Disconnect, DisconnectKind, Disconnects};
 pub use crate::load::trace::object;
 use crate::scenarios::scenario::{FaultKind, RequestClass, RuleBreach, Scenario};
 use crate::servers::emulated::unix_ms;
 use crate::servers::model::size_kb;
+use http::{exchange, request_head};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
@@ -14,7 +17,6 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 /// A request, drawn ahead.
@@ -235,25 +237,27 @@
         let leave = arrival.leave.filter(|_| !planted);
         let patience = Duration::from_secs_f64(class.deadline_ms / 1e3 + 0.25);
         let answer = tokio::select! {
-            answer = tokio::time::timeout(patience, self.ask(target, &head, leave)) => answer,
-            () = leaves(leave) => Ok(Asked::Left),
+            answer = tokio::time::timeout(patience, self.send(target, &head, leave)) => answer,
+            () = leaves(leave) => Ok(Exchange::Left),
         };
-        if matches!(answer, Ok(Asked::Left)) {
+        if matches!(answer, Ok(Exchange::Left)) {
             // The connection has been dropped with what asked on it.
             self.record_disconnect(number);
         }
         let took = due.elapsed().as_secs_f64() * 1e3;
         let (end, breach) = match answer {
-            Ok(Asked::Answer(200, body)) => {
+            Ok(Exchange::Answer(200, body)) => {
                 (End::Served, self.check_body(target, class, &object, &body, sent_ms))
             }
-            Ok(Asked::Answer(429 | 503, _)) => (End::Refused, None),
-            Ok(Asked::Answer(..)) => (End::Failed, None),
-            Ok(Asked::Unreached) => (End::Unreached, None),
-            Ok(Asked::Left) => (End::Left, None),
+            Ok(Exchange::Answer(429 | 503, _)) => (End::Refused, None),
+            Ok(Exchange::Answer(..)) => (End::Failed, None),
+            Ok(Exchange::Unreached) => (End::Unreached, None),
+            Ok(Exchange::Left) => (End::Left, None),
             // A director that was stopped answers late what it had taken: counted as cut, not as lost.
-            Ok(Asked::Broken) | Err(_) if target.was_disturbed(begun) => (End::Cut, None),
-            Ok(Asked::Broken) => (End::Lost, Some("the connection ended without a whole answer".to_owned())),
+            Ok(Exchange::Broken) | Err(_) if target.was_disturbed(begun) => (End::Cut, None),
+            Ok(Exchange::Broken) => {
+                (End::Lost, Some("the connection ended without a whole answer".to_owned()))
+            }
             Err(_) => (End::Lost, Some(format!("no answer within {:.0} ms", class.deadline_ms))),
         };
         let objective = class.objective_ms + class.stretch * kb / TRANSFER_KB_PER_S * 1e3;
@@ -306,7 +310,7 @@
 
     /// Asks on a connection that is kept, or a new one. Dropping the future closes the connection, and resets
     /// it where the client is to leave so.
-    async fn ask(&self, door: &DirectorTarget, head: &str, leave: Option<Disconnect>) -> Asked {
+    async fn send(&self, door: &DirectorTarget, head: &str, leave: Option<Disconnect>) -> Exchange {
         let resets = leave.is_some_and(|leave| leave.how == DisconnectKind::Reset);
         let kept = if resets { None } else { door.idle.borrow_mut().pop() };
         if let Some(mut stream) = kept {
@@ -314,18 +318,18 @@
             match exchange(&mut stream, head).await {
                 Some((status, body)) => {
                     door.idle.borrow_mut().push(stream);
-                    return Asked::Answer(status, body);
+                    return Exchange::Answer(status, body);
                 }
                 // A request that crosses a close goes again, once.
                 None if begun.elapsed() < Duration::from_millis(50) => {}
-                None => return Asked::Broken,
+                None => return Exchange::Broken,
             }
         }
         let address = door.address.borrow().clone();
         if address.is_empty() {
-            return Asked::Unreached;
+            return Exchange::Unreached;
         }
-        let Ok(mut stream) = TcpStream::connect(&address).await else { return Asked::Unreached };
+        let Ok(mut stream) = TcpStream::connect(&address).await else { return Exchange::Unreached };
         let _ = stream.set_nodelay(true);
         if resets {
             let _ = stream.set_zero_linger();
@@ -335,9 +339,9 @@
                 if !resets {
                     door.idle.borrow_mut().push(stream);
                 }
-                Asked::Answer(status, body)
+                Exchange::Answer(status, body)
             }
-            None => Asked::Broken,
+            None => Exchange::Broken,
         }
     }
 }
@@ -359,42 +363,9 @@
     }
 }
 
-enum Asked {
+enum Exchange {
     Answer(u16, Vec<u8>),
     Left,
     Unreached,
     Broken,
 }
-
-/// One request and its answer; none: the connection ended first.
-async fn exchange(stream: &mut TcpStream, head: &str) -> Option<(u16, Vec<u8>)> {
-    stream.write_all(head.as_bytes()).await.ok()?;
-    let (mut bytes, mut scrap) = (Vec::with_capacity(512), [0; 2048]);
-    loop {
-        let count = stream.read(&mut scrap).await.ok().filter(|n| *n > 0)?;
-        bytes.extend_from_slice(&scrap[..count]);
-        let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
-        let text = std::str::from_utf8(&bytes[..end]).ok()?;
-        let header = |name: &str| {
-            let mut pairs = text.lines().filter_map(|l| l.split_once(':'));
-            pairs.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim())
-        };
-        let length: usize = header("content-length").and_then(|n| n.parse().ok()).unwrap_or(0);
-        if bytes.len() >= end + 4 + length {
-            let status = text.get(9..12)?.parse().ok()?;
-            return Some((status, bytes[end + 4..end + 4 + length].to_vec()));
-        }
-    }
-}
-
-/// The bytes of a request on the platform's frontend.
-fn request_head(number: u64, class: &RequestClass, object: &str, kb: f64) -> String {
-    let (method, body) = if class.write { ("PUT", "a filing") } else { ("GET", "") };
-    let (name, deadline_ms, length) = (&class.name, class.deadline_ms, body.len());
-    let group = crate::servers::model::group(object);
-    format!(
-        "{method} /ops/{name}/{object}?block=0 HTTP/1.1\r\nHost: lab\r\nX-Job-Id: {number:016x}\r\n\
-         X-Allow-Ms: {deadline_ms}\r\nX-Family: {group}\r\nX-Ram-Kb: {kb:.1}\r\nContent-Length: {length}\r\n\r\n\
-         {body}"
-    )
-}
--- a/crates/foxhold-testbed/src/load/disconnects.rs
+++ b/crates/foxhold-testbed/src/load/disconnects.rs
@@ -85,7 +85,7 @@
         let mut after = SentAfterDisconnect { clients: left.len() as u64, ..SentAfterDisconnect::default() };
         let mut breaches = Vec::new();
         for (server, note) in notes {
-            let ServerEvent::Asked { ms, ask, .. } = note else { continue };
+            let ServerEvent::Asked { ms, request: ask, .. } = note else { continue };
             let by_director = ask.by.is_empty();
             let Some(left_ms) = left.get(&ask.id).filter(|left_ms| by_director && ms > left_ms) else {
                 continue;
--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -83,17 +83,17 @@
 struct Update {
     place: u64,
     key: Key,
-    word: Value,
+    value: Value,
 }
 
 impl Update {
     fn new(key: Key, word: Value) -> Update {
-        Update { place: stable_hash(&encode(&key)), key, word }
+        Update { place: stable_hash(&encode(&key)), key, value: word }
     }
 
     /// Whether a director that holds this word of the key has heard of the update.
     fn is_in(&self, key: &Key, held: &Value) -> bool {
-        self.key == *key && held.clone().merge(&self.word) == MergeOutcome::Unchanged
+        self.key == *key && held.clone().merge(&self.value) == MergeOutcome::Unchanged
     }
 }
 
@@ -268,7 +268,7 @@
             let Some((first, last)) = batch.range() else { continue };
             let retry = std::mem::replace(&mut batch.sent, true);
             batch.attempt()?;
-            let updates = batch.updates.iter().map(|update| (update.key.clone(), update.word.clone()));
+            let updates = batch.updates.iter().map(|update| (update.key.clone(), update.value.clone()));
             let update = self.sealed(GossipMessage::Updates(updates.collect()))?;
             let read_back =
                 self.sealed(GossipMessage::TransferRequest(TransferRequest { lane: 0, first, last }))?;
@@ -295,7 +295,7 @@
     /// Delivers so many purges of groups to a director of the fleet, which holds all of them then.
     pub async fn fill(&mut self, fleet: &Fleet, n: usize, entries: u32) -> Result<Delivered, Failure> {
         let delivered = self.deliver(fleet.reached_at(n), purges(0..entries)).await?;
-        let held = fleet.purges_held(n).await?;
+        let held = fleet.purge_count(n).await?;
         if held < u64::from(entries) {
             return Err(format!("director {n} holds {held} of {entries}").into());
         }
--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -69,7 +69,31 @@
     /// Counted from 1.
     pub line: usize,
     /// What is wrong.
-    pub what: String,
+    #[source]
+    pub what: LineError,
+}
+
+/// Why a line of a trace can't be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum LineError {
+    /// There is nothing on it.
+    #[error("empty")]
+    Empty,
+    /// A figure that can't be read.
+    #[error("'{text}' is no number that fits here")]
+    Number {
+        /// What stands there.
+        text: String,
+    },
+    /// A fault of another name.
+    #[error("a trouble that is not known")]
+    UnknownFault,
+    /// Neither a request nor a fault.
+    #[error("neither a request's seven words nor a trouble")]
+    WordCount,
+    /// The times of lines go up.
+    #[error("earlier than the line before")]
+    OutOfOrder,
 }
 
 impl fmt::Display for Line {
@@ -89,21 +113,21 @@
 }
 
 impl FromStr for Line {
-    type Err = String;
+    type Err = LineError;
 
-    fn from_str(text: &str) -> Result<Line, String> {
-        fn number<T: FromStr>(text: &str) -> Result<T, String> {
-            text.parse().map_err(|_| format!("'{text}' is no number that fits here"))
+    fn from_str(text: &str) -> Result<Line, LineError> {
+        fn number<T: FromStr>(text: &str) -> Result<T, LineError> {
+            text.parse().map_err(|_| LineError::Number { text: text.into() })
         }
         let words: Vec<&str> = text.split_whitespace().collect();
-        let (at, rest) = words.split_first().ok_or("empty")?;
+        let (at, rest) = words.split_first().ok_or(LineError::Empty)?;
         let step = match *rest {
             ["!", "drain", name] => Step::Trouble(TraceFault::Drain(name.into())),
             ["!", "crash", name] => Step::Trouble(TraceFault::Crash(name.into())),
             ["!", "back", name] => Step::Trouble(TraceFault::Back(name.into())),
             ["!", "slow", name, ms] => Step::Trouble(TraceFault::Slow(name.into(), number(ms)?)),
             ["!", "purge", object] => Step::Trouble(TraceFault::Purge(object.into())),
-            ["!", ..] => return Err("a trouble that is not known".into()),
+            ["!", ..] => return Err(LineError::UnknownFault),
             [class, object, part, group, size, allow] => Step::Request(TraceRequest {
                 class: class.into(),
                 object: object.into(),
@@ -112,7 +136,7 @@
                 size_kb: number(size)?,
                 allow_ms: number(allow)?,
             }),
-            _ => return Err("neither a request's seven words nor a trouble".into()),
+            _ => return Err(LineError::WordCount),
         };
         Ok(Line { at_ms: number::<f64>(at)?, step })
     }
@@ -125,7 +149,7 @@
         let error = |what| TraceError { line: n + 1, what };
         let line: Line = line.parse().map_err(error)?;
         if !line.at_ms.is_finite() || lines.last().is_some_and(|before| before.at_ms > line.at_ms) {
-            return Err(error("earlier than the line before".into()));
+            return Err(error(LineError::OutOfOrder));
         }
         lines.push(line);
     }
--- a/crates/foxhold-testbed/src/main.rs
+++ b/crates/foxhold-testbed/src/main.rs
@@ -66,12 +66,12 @@
         Command::Gossip(options) => commands::gossip::run(&options),
         Command::Simulate(options) => commands::simulate::run(&options, || ALLOCATED.allocated()),
         Command::Fleet(options) => commands::fleet::run(options),
-        Command::Emulate { start } => stand_in(&start),
+        Command::Emulate { start } => emulate(&start),
         Command::Overhead(options) => commands::overhead::run(&options),
     }
 }
 
-fn stand_in(start: &str) -> Result<bool, Failure> {
+fn emulate(start: &str) -> Result<bool, Failure> {
     foxhold_testbed::servers::emulated::process(serde_json::from_str(start)?)?;
     Ok(true)
 }
--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -83,13 +83,29 @@
     /// By server.
     pub load: BTreeMap<String, Load>,
     /// By server that started cold: what came of its budget.
-    pub cold: BTreeMap<String, SlowStartUse>,
+    #[serde(rename = "cold")]
+    pub slow_starts: BTreeMap<String, SlowStartUse>,
     /// By second: asked, served within the aim.
     pub service: Vec<(u64, u64)>,
     /// By tenth of a second of the load: most requests under way.
     pub in_flight: Vec<usize>,
 }
 
+/// The caches with their sizes.
+fn caches<'a>(
+    load: &'a BTreeMap<String, Load>,
+    specs: &BTreeMap<String, ServerSpec>,
+) -> Vec<(&'a Load, f64)> {
+    let cache = |name: &str| specs.get(name).filter(|spec| spec.role == Role::Cache);
+    load.iter().filter_map(|(name, load)| Some((load, cache(name)?.link))).collect()
+}
+
+/// Most requests under way by tenth of a second, without those before the load was measured.
+fn after_warm_up(plan: &Scenario, in_flight: &[usize]) -> Vec<usize> {
+    let skipped = (in_flight.len() as f64 - plan.seconds * 10.0).max(0.0) as usize;
+    in_flight.get(skipped..).unwrap_or_default().to_vec()
+}
+
 impl RunReport {
     /// Computes the figures.
     pub(crate) fn new(
@@ -108,15 +124,10 @@
         let requests = RequestSummary::new(plan, &book.ended);
         let load = servers.load;
         let role = |name: &str| specs.get(name).map(|s| s.role);
-        let caches: Vec<(&Load, f64)> = load
-            .iter()
-            .filter(|(name, _)| role(name) == Some(Role::Cache))
-            .map(|(name, load)| (load, specs[name].link))
-            .collect();
+        let caches = caches(&load, specs);
         let spread = busiest(&caches);
         let mut sorted = spread.clone();
         sorted.sort_by(f64::total_cmp);
-        let settled = (book.in_flight.len() as f64 - plan.seconds * 10.0).max(0.0) as usize;
         let served = requests.ends.get("served").copied().unwrap_or(0).max(1) as f64;
         let fills = |which: Role| {
             let of = load.iter().filter(|(name, _)| role(name) == Some(which));
@@ -141,9 +152,9 @@
             suspicions: seen.suspicions.iter().filter(|s| s.0 >= zero_ms).count(),
             ends: requests.ends,
             service: requests.service,
-            in_flight: book.in_flight.get(settled..).unwrap_or_default().to_vec(),
+            in_flight: after_warm_up(plan, &book.in_flight),
             load,
-            cold: servers.slow_starts,
+            slow_starts: servers.slow_starts,
             breaches,
         }
     }
@@ -178,7 +189,7 @@
                  {too_late} over the term\n"
             );
         }
-        for (name, cold) in &self.cold {
+        for (name, cold) in &self.slow_starts {
             text += &format!("  {name} while cold: {cold}\n");
         }
         for breach in self.breaches.iter().take(10) {
@@ -301,7 +312,7 @@
 }
 
 /// Variance over mean of counts.
-pub fn over_poisson(counts: &[u32]) -> f64 {
+pub fn dispersion_over_poisson(counts: &[u32]) -> f64 {
     let n = counts.len() as f64;
     let mean = counts.iter().sum::<u32>() as f64 / n;
     let variance = counts.iter().map(|c| (f64::from(*c) - mean).powi(2)).sum::<f64>() / (n - 1.0);
@@ -310,7 +321,7 @@
 
 fn dispersion(caches: &[(&Load, f64)]) -> f64 {
     let busy = caches.iter().filter(|c| c.0.tenths.len() > 1 && c.0.tenths.iter().any(|t| *t > 0));
-    let all: Vec<f64> = busy.map(|c| over_poisson(&c.0.tenths)).collect();
+    let all: Vec<f64> = busy.map(|c| dispersion_over_poisson(&c.0.tenths)).collect();
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
--- a/crates/foxhold-testbed/src/reports/scenario/activity.rs
+++ b/crates/foxhold-testbed/src/reports/scenario/activity.rs
@@ -30,13 +30,13 @@
         let mut runs: HashMap<String, u32> = HashMap::new();
         for (name, event) in events {
             match event {
-                ServerEvent::Asked { ms, ask, full } => {
+                ServerEvent::Asked { ms, request: ask, full } => {
                     let bin = ms.checked_sub(zero_ms).map(|ms| (ms / BIN) as usize);
                     let Some(bin) = bin.filter(|bin| *bin < tenths) else { continue };
                     activity.count_request(name, bin, ask.by.is_empty(), *full);
                 }
                 ServerEvent::Ran(id) => *runs.entry(id.clone()).or_default() += 1,
-                ServerEvent::Fell { ms, cold } => {
+                ServerEvent::Fell { ms, warming_up: cold } => {
                     let at = (*ms as f64 - zero_ms as f64) / 1e3;
                     let origin = specs.get(name).is_some_and(|s| s.role == Role::Origin);
                     // An origin that stops is a fault, not a broken rule; nor is a warm server that falls.
--- a/crates/foxhold-testbed/src/reports/scenario/tests.rs
+++ b/crates/foxhold-testbed/src/reports/scenario/tests.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn counts_in_step_are_no_poisson() {
-    assert!(over_poisson(&[5; 50]) < 0.01);
+    assert!(dispersion_over_poisson(&[5; 50]) < 0.01);
     let bursts: Vec<u32> = (0..50).map(|n| if n % 10 == 0 { 50 } else { 0 }).collect();
-    assert!(over_poisson(&bursts) > 10.0);
+    assert!(dispersion_over_poisson(&bursts) > 10.0);
 }
--- a/crates/foxhold-testbed/src/scenarios/cluster.rs
+++ b/crates/foxhold-testbed/src/scenarios/cluster.rs
@@ -257,7 +257,7 @@
     }
 
     /// Purges that a director says it holds.
-    pub async fn purges_held(&self, n: usize) -> Result<u64, Failure> {
+    pub async fn purge_count(&self, n: usize) -> Result<u64, Failure> {
         Ok(self.shown(n).await?["entries"]["purges"].as_u64().unwrap_or(0))
     }
 
--- a/crates/foxhold-testbed/src/scenarios/gossip.rs
+++ b/crates/foxhold-testbed/src/scenarios/gossip.rs
@@ -139,7 +139,7 @@
     wait_until_caught_up(&fleet, 1, begun).await?;
     let took = begun.elapsed();
     Ok(CatchUpReport {
-        entries: fleet.purges_held(1).await?,
+        entries: fleet.purge_count(1).await?,
         ms: took.as_secs_f64() * 1e3,
         memory_mb: fleet.memory(0).unwrap_or(0.0),
         quiet,
--- a/crates/foxhold-testbed/src/scenarios/runner/injection.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/injection.rs
@@ -63,9 +63,7 @@
         let names: Vec<String> = self.plan.resolve(&fault.who).unwrap_or_default().into_iter().collect();
         match (fault.kind, phase) {
             (FaultKind::Kill, Phase::Begins) => self.kill(fault, &names).await?,
-            (FaultKind::Kill, Phase::Ends) | (FaultKind::Join, Phase::Begins) => {
-                self.start_again(&names).await?
-            }
+            (FaultKind::Kill, Phase::Ends) | (FaultKind::Join, Phase::Begins) => self.restart(&names).await?,
             (FaultKind::Stall, _) => self.stall(&names, phase),
             (FaultKind::Link, _) => self.set_links(fault, phase),
             (FaultKind::Purge, Phase::Begins) => self.purge(fault).await?,
@@ -93,7 +91,7 @@
             }
         }
         if fault.lasts.is_none() {
-            return self.start_again(names).await;
+            return self.restart(names).await;
         }
         self.publish_phase(names, "terminated", 0).await;
         Ok(())
@@ -208,7 +206,7 @@
     }
 
     /// Starts these again: directors from nothing, servers cold and empty, of which the list tells later.
-    async fn start_again(self: &Rc<Self>, names: &[String]) -> Result<(), Failure> {
+    async fn restart(self: &Rc<Self>, names: &[String]) -> Result<(), Failure> {
         let (directors, servers): (Vec<String>, Vec<String>) =
             names.iter().cloned().partition(|n| n.starts_with("director"));
         for name in &directors {
--- a/crates/foxhold-testbed/src/scenarios/runner/servers.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/servers.rs
@@ -77,7 +77,7 @@
             listen,
             spec: self.specs[name].clone(),
             kinds: kinds.collect(),
-            cold,
+            slow_start: cold,
         }
     }
 
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/clock.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/clock.rs
@@ -46,14 +46,14 @@
 pub struct Clock<E> {
     now: Micros,
     sequence: u64,
-    most: usize,
+    max_events: usize,
     queue: BinaryHeap<Scheduled<E>>,
 }
 
 impl<E> Clock<E> {
     /// At time zero, with room for so many events at a time.
     pub fn new(most: usize) -> Clock<E> {
-        Clock { now: 0, sequence: 0, most, queue: BinaryHeap::new() }
+        Clock { now: 0, sequence: 0, max_events: most, queue: BinaryHeap::new() }
     }
 
     /// The time, in microseconds since the start.
@@ -69,7 +69,7 @@
     /// Schedules an event after a delay. False: the queue is full and the event is not taken.
     #[must_use]
     pub fn schedule(&mut self, after: Micros, event: E) -> bool {
-        if self.queue.len() >= self.most {
+        if self.queue.len() >= self.max_events {
             return false;
         }
         self.sequence += 1;
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
@@ -143,7 +143,7 @@
     fn converse(&mut self, now: ClockReading, output: &mut Output) {
         let mut said = Vec::new();
         self.gossip.tick(now, &mut said);
-        self.say(said, output);
+        self.send_message(said, output);
     }
 
     fn look_for_seeds(&mut self, output: &mut Output) {
@@ -211,13 +211,13 @@
             Body::Gossip(say) => {
                 let mut said = Vec::new();
                 self.gossip.handle_message(&from, say, now, &mut said);
-                self.say(said, &mut output);
+                self.send_message(said, &mut output);
             }
         }
         output
     }
 
-    fn say(&mut self, said: Vec<(SocketAddr, GossipMessage)>, output: &mut Output) {
+    fn send_message(&mut self, said: Vec<(SocketAddr, GossipMessage)>, output: &mut Output) {
         for (to, say) in said {
             self.send(to, Body::Gossip(say), output);
         }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/fit.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/fit.rs
@@ -21,7 +21,8 @@
     /// Purges a second in the whole fleet.
     Purges,
     /// Entries held by each director.
-    Held,
+    #[serde(rename = "Held")]
+    InitialEntries,
 }
 
 impl Axis {
@@ -30,7 +31,7 @@
         match self {
             Axis::Directors => "directors",
             Axis::Purges => "purges a second",
-            Axis::Held => "entries held",
+            Axis::InitialEntries => "entries held",
         }
     }
 
@@ -39,7 +40,7 @@
         match self {
             Axis::Directors => 13_000.0,
             Axis::Purges => 99.0,
-            Axis::Held => 59_400.0,
+            Axis::InitialEntries => 59_400.0,
         }
     }
 
@@ -48,7 +49,7 @@
         f64::from(match self {
             Axis::Directors => run.directors,
             Axis::Purges => run.purges,
-            Axis::Held => run.held,
+            Axis::InitialEntries => run.initial_entries,
         })
     }
 }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/measurement.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/measurement.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Purge {
     /// When it was told.
-    pub told: Micros,
+    pub published_at: Micros,
     /// When the last director so far that ran already then came to hold it.
     pub latest: Micros,
 }
@@ -142,7 +142,8 @@
     /// Purges told a second in the whole fleet.
     pub purges: u32,
     /// Purges held from the start.
-    pub held: u32,
+    #[serde(rename = "held")]
+    pub initial_entries: u32,
     /// How the run ended.
     pub ended: Ended,
     /// Directors that still caught up when measuring began: with any, the figures are not those of a steady
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
@@ -45,8 +45,9 @@
     #[arg(long, value_delimiter = ',', default_value = "99")]
     pub purges: Vec<u32>,
     /// Purges that each director holds from the start: one number, or several
-    #[arg(long, value_delimiter = ',', default_value = "0")]
-    pub held: Vec<u32>,
+    #[arg(long, alias = "held", value_delimiter = ',', default_value = "0")]
+    #[serde(rename = "held")]
+    pub initial_entries: Vec<u32>,
     /// Purge groups in place of objects with names of 16 bytes, as `foxhold-testbed talk` does
     #[arg(long)]
     pub groups: bool,
@@ -60,8 +61,9 @@
     #[arg(long, default_value_t = 5)]
     pub warm_up: u32,
     /// Simulated seconds after the last purge in which it may still arrive
-    #[arg(long, default_value_t = 10)]
-    pub settle: u32,
+    #[arg(long, alias = "settle", default_value_t = 10)]
+    #[serde(rename = "settle")]
+    pub arrival_seconds: u32,
     /// Share of datagrams that is lost
     #[arg(long, default_value_t = 0.0)]
     pub lost: f64,
@@ -86,14 +88,17 @@
 #[derive(Clone, Copy, Debug, clap::Args, serde::Serialize)]
 pub struct Bounds {
     /// MB that may be allocated
-    #[arg(long, default_value_t = 6_000)]
-    pub most_memory_mb: usize,
+    #[arg(long, alias = "most-memory-mb", default_value_t = 6_000)]
+    #[serde(rename = "most_memory_mb")]
+    pub max_memory_mb: usize,
     /// Events that may wait at a time
-    #[arg(long, default_value_t = 5_000_000)]
-    pub most_events: usize,
+    #[arg(long, alias = "most-events", default_value_t = 5_000_000)]
+    #[serde(rename = "most_events")]
+    pub max_events: usize,
     /// Seconds of real time for each size
-    #[arg(long, default_value_t = 600)]
-    pub most_wall_s: u64,
+    #[arg(long, alias = "most-wall-s", default_value_t = 600)]
+    #[serde(rename = "most_wall_s")]
+    pub max_wall_s: u64,
 }
 
 /// One run's size.
@@ -104,7 +109,7 @@
     /// Purges a second.
     pub purges: u32,
     /// Purges held from the start.
-    pub held: u32,
+    pub initial_entries: u32,
 }
 
 /// What a run needs from its process.
@@ -120,18 +125,28 @@
     /// The sizes, and along what they differ.
     fn sizes(&self) -> Result<(Axis, Vec<Size>), Failure> {
         let several = |list: &[u32]| list.len() > 1;
-        let lists = [&self.directors, &self.purges, &self.held];
+        let lists = [&self.directors, &self.purges, &self.initial_entries];
         if lists.iter().any(|list| list.is_empty()) || lists.iter().filter(|list| several(list)).count() > 1 {
-            return Err("one of --directors, --purges and --held may be a list, and none may be empty".into());
+            return Err(
+                "one of --directors, --purges and --initial-entries may be a list, and none may be empty"
+                    .into(),
+            );
         }
         if self.directors.contains(&0) || !(0.0..1.0).contains(&self.lost) {
             return Err("a fleet has one director at least, and loses a share below 1".into());
         }
-        let size = Size { directors: self.directors[0], purges: self.purges[0], held: self.held[0] };
+        let size = Size {
+            directors: self.directors[0],
+            purges: self.purges[0],
+            initial_entries: self.initial_entries[0],
+        };
         Ok(if several(&self.purges) {
             (Axis::Purges, self.purges.iter().map(|purges| Size { purges: *purges, ..size }).collect())
-        } else if several(&self.held) {
-            (Axis::Held, self.held.iter().map(|held| Size { held: *held, ..size }).collect())
+        } else if several(&self.initial_entries) {
+            (
+                Axis::InitialEntries,
+                self.initial_entries.iter().map(|held| Size { initial_entries: *held, ..size }).collect(),
+            )
         } else {
             (
                 Axis::Directors,
@@ -144,7 +159,7 @@
 /// Runs all sizes with a progress bar, one after the other, and fits lines through what was measured.
 pub fn run(options: &Options, host: &Host) -> Result<Report, Failure> {
     let (axis, sizes) = options.sizes()?;
-    let seconds = u64::from(options.warm_up + options.seconds + options.settle);
+    let seconds = u64::from(options.warm_up + options.seconds + options.arrival_seconds);
     let bar = indicatif::ProgressBar::new(seconds * sizes.len() as u64);
     bar.set_style(indicatif::ProgressStyle::with_template(
         "{wide_bar} {pos}/{len} simulated s, {msg}, {elapsed}",
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
@@ -187,7 +187,7 @@
          to each p50 {:.0} p99.9 {:.0} ms; missed {}{healed}; {} events, {:.1} s\n",
         run.directors,
         run.purges,
-        run.held,
+        run.initial_entries,
         run.ended,
         run.bytes_in,
         run.datagrams_in,
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/scenario.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/scenario.rs
@@ -8,7 +8,7 @@
 /// The share of directors that is restarted in [`Scenario::Restarts`]: 1,100 of 13,000.
 const RESTARTED: f64 = 1_100.0 / 13_000.0;
 /// [`Scenario::Storm`] has so many times the purges.
-const STORM: u32 = 10;
+const BURST_FACTOR: u32 = 10;
 
 /// The situations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum, serde::Serialize)]
@@ -16,7 +16,9 @@
     /// Purges told to directors anywhere
     Ordinary,
     /// Ten times the purges, all told to directors of one region
-    Storm,
+    #[value(alias = "storm")]
+    #[serde(rename = "Storm")]
+    PurgeBurst,
     /// All directors of a site are killed after a third of the time
     SiteLost,
     /// All directors of a zone are killed after a third of the time
@@ -44,14 +46,14 @@
     /// Purges a second, where so many are asked for.
     pub fn purges(self, asked: u32) -> u32 {
         match self {
-            Scenario::Storm => asked.saturating_mul(STORM),
+            Scenario::PurgeBurst => asked.saturating_mul(BURST_FACTOR),
             _ => asked,
         }
     }
 
     /// The region that all purges are told in; none: anywhere.
     pub fn purged_region(self) -> Option<usize> {
-        (self == Scenario::Storm).then_some(0)
+        (self == Scenario::PurgeBurst).then_some(0)
     }
 
     /// What goes wrong, with how long after the start of what is measured.
@@ -68,7 +70,7 @@
         };
         let last = network.place(directors.saturating_sub(1));
         match self {
-            Scenario::Ordinary | Scenario::Storm => Vec::new(),
+            Scenario::Ordinary | Scenario::PurgeBurst => Vec::new(),
             Scenario::SiteLost => killed(&|place| place.site == last.site),
             Scenario::ZoneLost => killed(&|place| place.zone == last.zone),
             Scenario::RegionApart => vec![(length / 4, Fault::Isolate(0)), (length / 4 * 3, Fault::Heal)],
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/simulation.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/simulation.rs
@@ -95,7 +95,7 @@
             options,
             size,
             host,
-            clock: Clock::new(options.bounds.most_events),
+            clock: Clock::new(options.bounds.max_events),
             network: Network::new(&options.topology, directors, options.lost, options.seed),
             slots: (0..directors).map(|_| Slot { director: None, start: 0, started: 0 }).collect(),
             seal: Rc::new(FrameCodec::new("hollow", &[KEY.to_vec()]).expect("a key that is long enough")),
@@ -122,7 +122,7 @@
         self.until(warm_up + length, bar);
         let means = Means::of(&self.notes.spent, self.clock.now().saturating_sub(warm_up));
         let crossed = self.notes.crossed;
-        self.until(warm_up + length + self.seconds(self.options.settle), bar);
+        self.until(warm_up + length + self.seconds(self.options.arrival_seconds), bar);
         self.finish(&means, crossed, measured_from)
     }
 
@@ -167,8 +167,8 @@
         let now = self.clock.host_time();
         let Some(director) = self.slots[n].director.as_mut() else { return };
         let kept = director.state().bounds().purge_retention;
-        for held in 0..self.size.held {
-            let age = kept * Micros::from(held) / Micros::from(self.size.held);
+        for held in 0..self.size.initial_entries {
+            let age = kept * Micros::from(held) / Micros::from(self.size.initial_entries);
             director.hold(Key::Object(format!("held-{held:011}")), now.unix - age, now);
         }
     }
@@ -212,10 +212,10 @@
             return;
         };
         // Who started later catches up: that is no part of the purge's own time.
-        if self.slots[n].started <= purge.told {
+        if self.slots[n].started <= purge.published_at {
             let now = self.clock.now();
             purge.latest = now;
-            self.notes.to_each.saturating_record(now - purge.told);
+            self.notes.to_each.saturating_record(now - purge.published_at);
         }
     }
 
@@ -271,15 +271,15 @@
             return;
         }
         self.schedule(SECOND / Micros::from(rate), Event::Purge);
-        let Some(n) = self.who_is_told() else { return };
+        let Some(n) = self.purge_target() else { return };
         let key = self.notes.form.key(self.notes.purges.len());
         let told = self.clock.now();
-        self.notes.purges.push(Purge { told, latest: told });
+        self.notes.purges.push(Purge { published_at: told, latest: told });
         self.handle(n, |director| director.purge(key, now));
     }
 
     /// A running director, drawn; none: of those that may be told none runs.
-    fn who_is_told(&mut self) -> Option<usize> {
+    fn purge_target(&mut self) -> Option<usize> {
         let region = self.options.scenario.purged_region();
         let may = |n: &usize| {
             let there = region.is_none_or(|region| self.network.place(*n).region == region);
@@ -306,9 +306,9 @@
             let bounds = &self.options.bounds;
             if self.host.interrupted.load(Ordering::Relaxed) {
                 self.ended = Some(Ended::Interrupted);
-            } else if (self.host.allocated)() >> 20 > bounds.most_memory_mb {
+            } else if (self.host.allocated)() >> 20 > bounds.max_memory_mb {
                 self.ended = Some(Ended::MemoryBound);
-            } else if self.begun.elapsed().as_secs() >= bounds.most_wall_s {
+            } else if self.begun.elapsed().as_secs() >= bounds.max_wall_s {
                 self.ended = Some(Ended::WallBound);
             }
         }
@@ -331,7 +331,7 @@
             let key = self.notes.form.key(*purge);
             self.running().any(|director| director.state().get(&key).is_none())
         };
-        let over = |purge: &usize| self.notes.purges[*purge].told + kept <= self.clock.now();
+        let over = |purge: &usize| self.notes.purges[*purge].published_at + kept <= self.clock.now();
         (measured_from..self.notes.purges.len()).filter(|purge| !over(purge)).filter(lacks).count()
     }
 
@@ -342,12 +342,13 @@
         let per = running.len().max(1) as f64;
         let purges = self.notes.purges.get(measured_from..).unwrap_or_default();
         let heal = self.notes.healed;
-        let late = heal
-            .and_then(|at| purges.iter().filter(|p| p.told <= at).map(|p| p.latest.saturating_sub(at)).max());
+        let late = heal.and_then(|at| {
+            purges.iter().filter(|p| p.published_at <= at).map(|p| p.latest.saturating_sub(at)).max()
+        });
         let mut measurement = Measurement {
             directors: self.size.directors,
             purges: self.options.scenario.purges(self.size.purges),
-            held: self.size.held,
+            initial_entries: self.size.initial_entries,
             ended: self.ended.unwrap_or(Ended::Complete),
             catching_up: self.notes.catching_up,
             seconds: 0.0,
@@ -363,7 +364,7 @@
             memory_mb: allocated / per / f64::from(1 << 20),
             entries: running.iter().map(|d| d.state().len() as f64).sum::<f64>() / per,
             entry_bytes: running.iter().map(|d| d.state().bytes() as f64).sum::<f64>() / per,
-            to_all: Times::of(purges.iter().map(|purge| purge.latest - purge.told)),
+            to_all: Times::of(purges.iter().map(|purge| purge.latest - purge.published_at)),
             to_each: Times::read(&self.notes.to_each),
             missed: self.missed(measured_from),
             healed_ms: late.map(|late| late as f64 / 1e3),
--- a/crates/foxhold-testbed/src/servers/emulated/config.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/config.rs
@@ -28,5 +28,5 @@
     /// The classes.
     pub kinds: Vec<ContentClass>,
     /// Starts cold.
-    pub cold: bool,
+    pub slow_start: bool,
 }
--- a/crates/foxhold-testbed/src/servers/emulated/mod.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/mod.rs
@@ -162,13 +162,13 @@
         let now = Instant::now();
         Server {
             started: now,
-            warming_since: Cell::new(config.cold.then_some(now)),
+            warming_since: Cell::new(config.slow_start.then_some(now)),
             memory: RefCell::default(),
             link: RefCell::default(),
             link_changed: Notify::new(),
             transfers: RefCell::default(),
             overload: RefCell::default(),
-            budget: RefCell::new(config.cold.then(|| budget(&config))),
+            budget: RefCell::new(config.slow_start.then(|| budget(&config))),
             stopped_until: Cell::new(None),
             draining_since: Cell::new(None),
             slowdown: Cell::new(1.0),
@@ -272,7 +272,7 @@
 
     /// Reports a request that came whole, and whether it came too late after a drain.
     fn record(&self, request: &ServerRequest, full: bool) {
-        let _ = self.events.send(ServerEvent::Asked { ms: unix_ms(), ask: request.clone(), full });
+        let _ = self.events.send(ServerEvent::Asked { ms: unix_ms(), request: request.clone(), full });
         if self.draining_since.get().is_some_and(|at| at.elapsed() > DRAIN_GRACE) {
             let _ = self.events.send(ServerEvent::Drained(request.id.clone()));
         }
@@ -287,7 +287,7 @@
         // The plain limit, without what the page puts down to chance, holds for cold servers too.
         let overrun_cold = self.overloads_slow_start(work).unwrap_or(false);
         if overrun || overrun_cold {
-            self.fall_over(overloaded);
+            self.fail_by_overload(overloaded);
         }
     }
 
@@ -322,12 +322,12 @@
         Some(window.share() > 1.0)
     }
 
-    fn fall_over(&self, overloaded: &mpsc::UnboundedSender<()>) {
+    fn fail_by_overload(&self, overloaded: &mpsc::UnboundedSender<()>) {
         if self.is_stopped() {
             return;
         }
         let spec = &self.config.spec;
-        let _ = self.events.send(ServerEvent::Fell { ms: unix_ms(), cold: self.warmth() < 1.0 });
+        let _ = self.events.send(ServerEvent::Fell { ms: unix_ms(), warming_up: self.warmth() < 1.0 });
         if spec.role == Role::Origin {
             self.stopped_until.set(Some(Instant::now() + Duration::from_secs_f64(spec.stop)));
         } else {
--- a/crates/foxhold-testbed/src/servers/emulated/protocol.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/protocol.rs
@@ -45,7 +45,7 @@
         /// Unix milliseconds.
         ms: u64,
         /// The request as it came.
-        ask: ServerRequest,
+        request: ServerRequest,
         /// Turned away unseen.
         full: bool,
     },
@@ -56,7 +56,7 @@
         /// Unix milliseconds.
         ms: u64,
         /// Whether it had started lately.
-        cold: bool,
+        warming_up: bool,
     },
     /// It is cold, and so much came within the window that ends now.
     SlowStart(SlowStartWindow),
--- a/crates/foxhold-testbed/src/servers/in_process.rs
+++ b/crates/foxhold-testbed/src/servers/in_process.rs
@@ -38,7 +38,7 @@
 struct Server {
     role: Role,
     address: SocketAddr,
-    held: HashSet<(String, String)>,
+    cached: HashSet<(String, String)>,
     /// Refuses connections, and ended those that it had.
     down: watch::Sender<bool>,
     delay: Duration,
@@ -54,8 +54,8 @@
 /// A fleet that runs on the present runtime for as long as this lives.
 pub struct EmulatedFleet {
     state: Arc<Mutex<State>>,
-    board: SocketAddr,
-    news: watch::Sender<usize>,
+    discovery_address: SocketAddr,
+    event_count: watch::Sender<usize>,
     _tasks: JoinSet<()>,
 }
 
@@ -75,7 +75,7 @@
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
                 let (down, told) = watch::channel(false);
                 let address = listener.local_addr()?;
-                let server = Server { role, address, held: HashSet::new(), down, delay: Duration::ZERO };
+                let server = Server { role, address, cached: HashSet::new(), down, delay: Duration::ZERO };
                 lock(&state).servers.insert(name.clone(), server);
                 tasks.spawn(listen(listener, name, state.clone(), told));
             }
@@ -84,7 +84,7 @@
         let board = listener.local_addr()?;
         let (news, told) = watch::channel(0);
         tasks.spawn(tell(listener, state.clone(), told));
-        let fleet = EmulatedFleet { state, board, news, _tasks: tasks };
+        let fleet = EmulatedFleet { state, discovery_address: board, event_count: news, _tasks: tasks };
         let names: Vec<String> = lock(&fleet.state).servers.keys().cloned().collect();
         fleet.event_line(|rev, state| {
             let members: Vec<String> =
@@ -101,13 +101,13 @@
         let line = event(rev, &state);
         state.events.push(line);
         drop(state);
-        self.news.send_replace(rev);
+        self.event_count.send_replace(rev);
     }
 
     /// The platform's configuration for a director before this fleet.
     pub fn config(&self, listen: &str, seed: u64) -> String {
         let state = lock(&self.state);
-        let (board, rev, notices) = (self.board, state.events.len(), state.events.join(","));
+        let (board, rev, notices) = (self.discovery_address, state.events.len(), state.events.join(","));
         let [hub, branch] = ZONES;
         format!(
             r#"{{"name":"lab","listen":"{listen}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},
@@ -134,7 +134,7 @@
     pub fn crash(&self, name: &str) {
         let mut state = lock(&self.state);
         let Some(server) = state.servers.get_mut(name) else { return };
-        server.held.clear();
+        server.cached.clear();
         server.down.send_replace(true);
     }
 
@@ -154,7 +154,7 @@
 
     /// Purges an object everywhere, and tells of it by the discovery service.
     pub fn purge(&self, object: &str) {
-        lock(&self.state).servers.values_mut().for_each(|s| s.held.retain(|(o, _)| o != object));
+        lock(&self.state).servers.values_mut().for_each(|s| s.cached.retain(|(o, _)| o != object));
         let ms = unix_ms();
         self.event_line(|rev, _| format!(r#"{{"rev":{rev},"flush":{{"asset":"{object}","ms":{ms}}}}}"#));
     }
@@ -277,20 +277,13 @@
         let fields: BTreeMap<&str, &str> = fields.split(',').filter_map(|f| f.split_once('=')).collect();
         let field = |name: &str| fields.get(name).copied();
         let via = field("via");
-        self.seen.push(ReceivedRequest {
-            id: id.into(),
-            server: name.into(),
-            via: via.map(Into::into),
-            tier: field("tier").and_then(|t| t.parse().ok()).unwrap_or(0),
-            opts: field("opts").unwrap_or("").into(),
-            aged: field("fresh").is_some_and(|f| f != "0"),
-        });
+        self.record(name, id, &fields);
         let object = field("obj").unwrap_or("").to_owned();
         let key = (object.clone(), field("seg").unwrap_or("").to_owned());
         let kept = field("tier").is_some_and(|t| t != "0");
         let (role, held, mut delay) = {
             let own = &self.servers[name];
-            (own.role, own.held.contains(&key), own.delay)
+            (own.role, own.cached.contains(&key), own.delay)
         };
         let note = match role {
             Role::Origin => "cached",
@@ -308,7 +301,7 @@
                 if down {
                     return (format!("{id} EIO res=up_lost 0\r\n\r\n").into(), delay);
                 }
-                let there = self.servers[source].held.contains(&key);
+                let there = self.servers[source].cached.contains(&key);
                 let note = if there { "fetched" } else { "fetched_root" };
                 if self.servers[source].role == Role::Parent {
                     self.hold(source, &key);
@@ -326,9 +319,21 @@
         ((head + &body + "\r\n").into_bytes(), delay)
     }
 
+    fn record(&mut self, name: &str, id: &str, fields: &BTreeMap<&str, &str>) {
+        let field = |name: &str| fields.get(name).copied();
+        self.seen.push(ReceivedRequest {
+            id: id.into(),
+            server: name.into(),
+            via: field("via").map(Into::into),
+            tier: field("tier").and_then(|t| t.parse().ok()).unwrap_or(0),
+            opts: field("opts").unwrap_or("").into(),
+            aged: field("fresh").is_some_and(|f| f != "0"),
+        });
+    }
+
     fn hold(&mut self, name: &str, key: &(String, String)) {
         if let Some(server) = self.servers.get_mut(name) {
-            server.held.insert(key.clone());
+            server.cached.insert(key.clone());
         }
     }
 }
--- a/crates/foxhold-testbed/src/servers/model.rs
+++ b/crates/foxhold-testbed/src/servers/model.rs
@@ -162,7 +162,7 @@
 /// Memory: the lowest rank goes first, in a rank what was used longest ago.
 #[derive(Debug, Default)]
 pub struct CacheMemory {
-    held: HashMap<Key, CachedCopy>,
+    copies: HashMap<Key, CachedCopy>,
     order: BTreeMap<(u8, u64), Key>,
     kb: f64,
     clock: u64,
@@ -171,7 +171,7 @@
 impl CacheMemory {
     /// The copy, which counts as used; a rank above 0 is set anew.
     pub fn get(&mut self, key: &Key, rank: u8) -> Option<CachedCopy> {
-        let held = self.held.get_mut(key)?;
+        let held = self.copies.get_mut(key)?;
         self.clock += 1;
         self.order.remove(&(held.rank, held.used));
         held.used = self.clock;
@@ -195,12 +195,12 @@
         self.clock += 1;
         self.kb += kb;
         self.order.insert((rank, self.clock), key.clone());
-        self.held.insert(key, CachedCopy { minted, kb, rank, used: self.clock });
+        self.copies.insert(key, CachedCopy { minted, kb, rank, used: self.clock });
         true
     }
 
     fn drop_copy(&mut self, key: &Key) {
-        if let Some(old) = self.held.remove(key) {
+        if let Some(old) = self.copies.remove(key) {
             self.order.remove(&(old.rank, old.used));
             self.kb -= old.kb;
         }
@@ -209,18 +209,18 @@
     /// Drops what a purge names: copies of these objects older than that.
     pub fn purge(&mut self, named: impl Fn(&str) -> bool, before_ms: u64) {
         let old = |(key, held): (&Key, &CachedCopy)| named(&key.0) && held.minted < before_ms;
-        let keys: Vec<Key> = self.held.iter().filter(|e| old(*e)).map(|e| e.0.clone()).collect();
+        let keys: Vec<Key> = self.copies.iter().filter(|e| old(*e)).map(|e| e.0.clone()).collect();
         keys.iter().for_each(|key| self.drop_copy(key));
     }
 
     /// Copies held.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.copies.len()
     }
 
     /// Whether none is.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.copies.is_empty()
     }
 }
 
--- a/crates/foxhold-testbed/tests/disconnects.rs
+++ b/crates/foxhold-testbed/tests/disconnects.rs
@@ -8,7 +8,7 @@
 
 fn asked(server: &str, id: &str, ms: u64) -> (String, ServerEvent) {
     let ask = ServerRequest { id: id.into(), ..ServerRequest::default() };
-    (server.into(), ServerEvent::Asked { ms, ask, full: false })
+    (server.into(), ServerEvent::Asked { ms, request: ask, full: false })
 }
 
 #[test]
--- a/crates/foxhold-testbed/tests/slow_start.rs
+++ b/crates/foxhold-testbed/tests/slow_start.rs
@@ -33,7 +33,7 @@
     );
     assert!(played.breaches.is_empty(), "{:?}", played.breaches);
     for name in ["cache-2", "cache-4"] {
-        let cold = played.cold.get(name).expect("it was cold and got requests");
+        let cold = played.slow_starts.get(name).expect("it was cold and got requests");
         assert!(cold.worst.share() <= 1.0, "{name}: {cold}");
         assert!(cold.came > 0.0 && cold.worst.allowed > 1.0, "{name}: {cold}");
     }
@@ -50,5 +50,5 @@
          {at: 1.5, do: plant, who: cache-1, breach: secret-restart}]",
     );
     let pushed = |b: &String| b.contains("cache-1 was pushed over while it was cold");
-    assert!(played.breaches.iter().any(pushed), "{:?}\n{:?}", played.breaches, played.cold);
+    assert!(played.breaches.iter().any(pushed), "{:?}\n{:?}", played.breaches, played.slow_starts);
 }
--- a/crates/foxhold-testbed/tests/test_client.rs
+++ b/crates/foxhold-testbed/tests/test_client.rs
@@ -36,7 +36,7 @@
         let mut client = TestClient::open(&fleet).await.expect("a client");
         let delivered = client.fill(&fleet, 0, ENTRIES).await.expect("all are acknowledged");
         assert!(delivered.retries > 0, "{delivered:?}");
-        assert_eq!(fleet.purges_held(0).await.expect("an answer"), u64::from(ENTRIES));
+        assert_eq!(fleet.purge_count(0).await.expect("an answer"), u64::from(ENTRIES));
     });
 }
 
