--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -90,7 +90,7 @@
     UnknownFault,
     /// Neither a request nor a fault.
     #[error("neither a request's seven words nor a trouble")]
-    WordCount,
+    FieldCount,
     /// The times of lines go up.
     #[error("earlier than the line before")]
     OutOfOrder,
@@ -136,7 +136,7 @@
                 size_kb: number(size)?,
                 allow_ms: number(allow)?,
             }),
-            _ => return Err(LineError::WordCount),
+            _ => return Err(LineError::FieldCount),
         };
         Ok(Line { at_ms: number::<f64>(at)?, step })
     }
--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -312,7 +312,7 @@
 }
 
 /// Variance over mean of counts.
-pub fn dispersion_over_poisson(counts: &[u32]) -> f64 {
+pub fn variance_to_mean_ratio(counts: &[u32]) -> f64 {
     let n = counts.len() as f64;
     let mean = counts.iter().sum::<u32>() as f64 / n;
     let variance = counts.iter().map(|c| (f64::from(*c) - mean).powi(2)).sum::<f64>() / (n - 1.0);
@@ -321,7 +321,7 @@
 
 fn dispersion(caches: &[(&Load, f64)]) -> f64 {
     let busy = caches.iter().filter(|c| c.0.tenths.len() > 1 && c.0.tenths.iter().any(|t| *t > 0));
-    let all: Vec<f64> = busy.map(|c| dispersion_over_poisson(&c.0.tenths)).collect();
+    let all: Vec<f64> = busy.map(|c| variance_to_mean_ratio(&c.0.tenths)).collect();
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
--- a/crates/foxhold-testbed/src/reports/scenario/tests.rs
+++ b/crates/foxhold-testbed/src/reports/scenario/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_busiest_cache_is_held_against_its_size() {
+fn the_busiest_cache_is_compared_by_its_size() {
     let (a, b) = (load(&[30; 10]), load(&[10; 10]));
     assert_eq!(busiest(&[(&a, 1.0), (&b, 1.0)]), [1.5]);
     assert_eq!(busiest(&[(&a, 3.0), (&b, 1.0)]), [1.0]);
@@ -23,7 +23,7 @@
 
 #[test]
 fn counts_in_step_are_no_poisson() {
-    assert!(dispersion_over_poisson(&[5; 50]) < 0.01);
+    assert!(variance_to_mean_ratio(&[5; 50]) < 0.01);
     let bursts: Vec<u32> = (0..50).map(|n| if n % 10 == 0 { 50 } else { 0 }).collect();
-    assert!(dispersion_over_poisson(&bursts) > 10.0);
+    assert!(variance_to_mean_ratio(&bursts) > 10.0);
 }
--- a/crates/foxhold-testbed/src/scenarios/overhead.rs
+++ b/crates/foxhold-testbed/src/scenarios/overhead.rs
@@ -41,11 +41,11 @@
 async fn measured(
     stat: &str,
     at_once: usize,
-    ask: impl Fn(usize) -> JoinHandle<Part>,
+    send: impl Fn(usize) -> JoinHandle<Part>,
 ) -> Result<Cost, Failure> {
     tokio::time::sleep(Duration::from_millis(200)).await;
     let (begun, before) = (Instant::now(), cpu(stat)?);
-    let tasks: Vec<_> = (0..at_once).map(ask).collect();
+    let tasks: Vec<_> = (0..at_once).map(send).collect();
     let (mut all, mut others) = (Histogram::<u64>::new(3)?, 0);
     for task in tasks {
         let (part, failed) = task.await??;
@@ -68,7 +68,7 @@
     let file = ConfigFile::write(fleet, 7)?;
     let (address, running) = daemon(program, &file.0)?;
     let stat = format!("/proc/{}/stat", running.id().ok_or("no process")?);
-    let ask = |k| {
+    let send = |k| {
         let address = address.clone();
         tokio::task::spawn_blocking(move || {
             let mut stream = TcpStream::connect(address)?;
@@ -88,7 +88,7 @@
             Ok((times, others))
         })
     };
-    measured(&stat, at_once, ask).await
+    measured(&stat, at_once, send).await
 }
 
 /// The library, asked by so many tasks at once.
@@ -100,7 +100,7 @@
 ) -> Result<Cost, Failure> {
     let file = ConfigFile::write(fleet, 7)?;
     let director = Director::from_file(&file.0)?.start()?;
-    let ask = |k| {
+    let send = |k| {
         let director = director.clone();
         tokio::spawn(async move {
             let (mut times, mut others) = (Histogram::<u64>::new(3)?, 0);
@@ -115,7 +115,7 @@
             Ok((times, others))
         })
     };
-    measured(&thread_named("foxhold")?, at_once, ask).await
+    measured(&thread_named("foxhold")?, at_once, send).await
 }
 
 /// The `stat` file of this process's thread of that name.
