--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,9 +1,11 @@
 //! Why the daemon can't start, or ended by itself.
 
+#[cfg(feature = "peers")]
+use crate::cluster;
+use crate::director;
 use crate::discovery::watched_file::WatchedFileError;
 use crate::frontend::admin::AdminListenError;
 use crate::frontend::serve::ListenError;
-use std::error::Error;
 use tokio::task::JoinError;
 
 /// Why the daemon can't start, or ended by itself. Its text is one line.
@@ -20,11 +22,12 @@
     #[error(transparent)]
     KeyFile(#[from] WatchedFileError),
     /// The settings or a source of endpoints can't be used.
-    #[error("{0}")]
-    Dispatcher(#[source] Box<dyn Error + Send + Sync>),
+    #[error(transparent)]
+    Dispatcher(#[from] director::StartError),
     /// The gossip among directors can't start.
-    #[error("{0}")]
-    Cluster(#[source] Box<dyn Error + Send + Sync>),
+    #[cfg(feature = "peers")]
+    #[error(transparent)]
+    Cluster(#[from] cluster::StartError),
     /// The operators' file asks for gossip, and the program was built without it.
     #[error("peers: this program was built without talk among directors")]
     ClusterNotSupported,
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -56,8 +56,7 @@
         let sources = endpoint_sources(self.discovery_address, self.xds_file, config, subscriber);
         let connector = Box::new(UpstreamConnector::new(config.connections.clone(), upstream_limit));
         let RunningDispatcher { dispatcher, task: dispatcher_task } =
-            start_dispatcher(config.settings.clone(), config.seed, clock, connector, sources)
-                .map_err(|error| DaemonError::Dispatcher(error.into()))?;
+            start_dispatcher(config.settings.clone(), config.seed, clock, connector, sources)?;
         #[cfg(feature = "peers")]
         let cluster = match self.peers.zip(events) {
             Some((section, events)) => {
@@ -106,7 +105,7 @@
     events: mpsc::Receiver<WatchEvent>,
 ) -> Result<ClusterHandle, DaemonError> {
     let opened = cluster::open(section, dispatcher.sender(), clock, &config.initial_events, events).await;
-    let (handle, actor) = opened.map_err(|error| DaemonError::Cluster(error.into()))?;
+    let (handle, actor) = opened?;
     tokio::task::spawn_local(actor.run());
     Ok(handle)
 }
