--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,8 +1,8 @@
 //! The cost of one decision: a request and the end of its attempt, with fleets of four sizes.
 #![allow(missing_docs, reason = "the macros of criterion make a function of their own")]
 
-#[path = "../tests/standin/mod.rs"]
-mod standin;
+#[path = "../tests/emulated/mod.rs"]
+mod emulated;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use foxhold::policy::types::*;
@@ -23,7 +23,7 @@
         routers: 4,
         transfer_kb_per_s: 9_500.0,
         health_checks: true,
-        ..standin::settings()
+        ..emulated::settings()
     }
 }
 
--- a/tests/admin_endpoint.rs
+++ b/tests/admin_endpoint.rs
@@ -1,14 +1,14 @@
 //! The admin endpoint, and settings that change while the process runs.
 
-mod standin;
+mod emulated;
 
+use emulated::*;
 use foxhold::config::platform::PlatformConfig;
 use foxhold::dispatch::{Clock, Dispatcher, DispatcherMessage};
 use foxhold::frontend::admin::{self, AdminEndpoint, ReloadCounters};
 use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::ShutdownPhase;
 use foxhold::policy::types::*;
-use standin::*;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const COPY: Manner = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
+const COPY: ServerBehavior = ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n");
 /// More than the admin endpoint serves at a time.
 const SILENT_CONNECTIONS: usize = 40;
 
@@ -76,15 +76,15 @@
 /// Guards against metrics that are untrue, and against connections without a command keeping others out.
 #[test]
 fn the_admin_endpoint_answers_at_once_and_truly_beside_connections_that_send_nothing() {
-    local(async {
-        let ([cache, ..], members) = trio(COPY).await;
+    run_local(async {
+        let ([cache, ..], members) = start_cache_parent_origin(COPY).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         let admin = Endpoint::start(&dispatcher).await;
         for id in 0..3 {
             assert_eq!(send(&clients, &get("videos", id)).await.status, 200);
         }
-        *cache.manner.borrow_mut() = Manner::Silent;
+        *cache.behavior.borrow_mut() = ServerBehavior::Silent;
         dispatcher.sender().send(DispatcherMessage::Members { full: true, members: Vec::new() }).await;
         assert_eq!(send(&clients, &get("videos", 3)).await.status, 503);
         admin.requests_in_flight.set(2);
@@ -108,8 +108,8 @@
 
 #[test]
 fn unknown_and_endless_commands_and_a_process_that_ends_are_answered_with_no() {
-    local(async {
-        let (_servers, members) = trio(COPY).await;
+    run_local(async {
+        let (_servers, members) = start_cache_parent_origin(COPY).await;
         let admin = Endpoint::start(&start(settings(), Clock::system(), members)).await;
         let _silent = silent_connections(&admin.address, SILENT_CONNECTIONS).await;
         assert!(command(&admin.address, "reboot\n").await.starts_with("NO "));
@@ -199,8 +199,8 @@
 /// Guards against a new class being unknown, and a dropped one still being served.
 #[test]
 fn new_classes_are_served_and_dropped_ones_are_not() {
-    local(async {
-        let (servers, members) = trio(COPY).await;
+    run_local(async {
+        let (servers, members) = start_cache_parent_origin(COPY).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         assert_eq!(send(&clients, &get("films", 1)).await.status, 404);
@@ -210,6 +210,6 @@
         dispatcher.metrics().await.expect("a dispatcher");
         assert_eq!(send(&clients, &get("films", 2)).await.status, 200);
         assert_eq!(send(&clients, &get("videos", 3)).await.status, 404);
-        assert!(servers[0].wants()[0].contains("kind=films,"), "{:?}", servers[0].wants());
+        assert!(servers[0].requests()[0].contains("kind=films,"), "{:?}", servers[0].requests());
     });
 }
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -3,8 +3,9 @@
 //! director then goes on with what it had to do next, which it must not begin. `docs/design/races.md` lists
 //! the places and their verdicts.
 
-mod standin;
+mod emulated;
 
+use emulated::*;
 use foxhold::dispatch::{
     AttemptError, AttemptId, AttemptResult, ClientRequest, Clock, Dispatcher, DispatcherMessage,
     DispatcherSender, Endpoint, EndpointCommand, EndpointConnector, Representation, ResponseStatus,
@@ -14,7 +15,6 @@
 use foxhold::frontend::stream::ClientStream;
 use foxhold::policy::types::{CacheStatus, RequestId, ServerId};
 use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
-use standin::*;
 use std::io::{ErrorKind, Write};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -37,7 +37,7 @@
     dispatcher: Dispatcher,
     frontend: String,
     cache: BufReader<TcpStream>,
-    others: [Server; 2],
+    others: [EmulatedServer; 2],
     /// Attempts that the others got before the test's own.
     before: usize,
     /// The dispatcher's number of the next request.
@@ -47,8 +47,9 @@
 impl Site {
     /// With connections to all servers that the test may use: an attempt is written at once.
     async fn start() -> Site {
-        let (stepped, address) = Stepped::start().await;
-        let ([_, parent, origin], mut members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+        let (stepped, address) = SteppedServer::start().await;
+        let ([_, parent, origin], mut members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         members[0].address = address.into();
         let dispatcher = start_dispatcher(members);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
@@ -66,7 +67,7 @@
     }
 
     fn attempts_at_others(&self) -> usize {
-        self.others.iter().map(|s| s.wants().len()).sum()
+        self.others.iter().map(|s| s.requests().len()).sum()
     }
 
     /// A client whose request the cache has got; other bytes may follow it.
@@ -126,7 +127,7 @@
 #[test]
 fn no_retry_begins_for_a_client_whose_disconnect_is_unread_in_its_socket() {
     for unread in [0, 1000] {
-        local(async {
+        run_local(async {
             let mut site = Site::start().await;
             let mut client = site.client(0xa).await;
             site.end_attempt(Err(AttemptError::NotWritten));
@@ -146,7 +147,7 @@
 #[test]
 fn no_first_attempt_begins_for_a_client_whose_disconnect_is_unread_in_its_socket() {
     for unread in [0, 1000] {
-        local(async {
+        run_local(async {
             let mut site = Site::start().await;
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = listener.local_addr().expect("an address");
@@ -173,7 +174,7 @@
 /// Two requests are on one connection. The first has its response, and the client has disconnected.
 #[test]
 fn no_attempt_begins_for_a_pipelined_request_whose_client_has_disconnected() {
-    local(async {
+    run_local(async {
         let mut site = Site::start().await;
         let mut client = std::net::TcpStream::connect(&site.frontend).expect("a frontend");
         client.write_all((get(0xa) + &get(0xb)).as_bytes()).expect("a reader");
@@ -192,7 +193,7 @@
 /// The client disconnects while an attempt is in flight; that attempt's end comes later.
 #[test]
 fn no_retry_begins_once_a_client_has_disconnected() {
-    local(async {
+    run_local(async {
         let mut site = Site::start().await;
         let client = site.client(0xa).await;
         drop(client);
@@ -206,7 +207,7 @@
 /// The client has sent more than any buffer takes, so that its disconnect can't arrive before that is read.
 #[test]
 fn no_retry_begins_for_a_client_that_disconnects_behind_more_than_its_socket_takes() {
-    local(async {
+    run_local(async {
         let mut site = Site::start().await;
         let mut client = site.client(0xa).await;
         client.set_nonblocking(true).expect("a socket");
@@ -231,11 +232,11 @@
 /// that disconnected.
 #[test]
 fn no_hedged_request_begins_once_a_client_has_disconnected() {
-    local(async {
-        let (servers, members) = trio(Manner::Silent).await;
+    run_local(async {
+        let (servers, members) = start_cache_parent_origin(ServerBehavior::Silent).await;
         let dispatcher = start_dispatcher(members);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
-        let had = || servers.iter().map(|s| s.wants().len()).sum::<usize>();
+        let had = || servers.iter().map(|s| s.requests().len()).sum::<usize>();
         let connect = |id| {
             let mut client = std::net::TcpStream::connect(&frontend).expect("a frontend");
             client.write_all(get(id).as_bytes()).expect("a reader");
@@ -279,9 +280,9 @@
 /// The connection to the server is still being established when the client disconnects.
 #[test]
 fn nothing_is_sent_on_a_connection_established_once_the_client_has_disconnected() {
-    local(async {
-        let (listener, address) = short_listener();
-        let waiting = fill(&address).await;
+    run_local(async {
+        let (listener, address) = listener_with_short_queue();
+        let waiting = fill_accept_queue(&address).await;
         let dispatcher = start_dispatcher(vec![listing("s-cache", &address, "edge", "cache")]);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         let mut client = std::net::TcpStream::connect(&frontend).expect("a frontend");
@@ -317,7 +318,7 @@
     use foxhold::dispatch::ClientHandle;
     use foxhold::middleware::DirectorService;
     use tower::ServiceExt;
-    local(async {
+    run_local(async {
         let mut site = Site::start().await;
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -349,7 +350,7 @@
 /// An attempt waits for capacity in the dispatcher's mailbox, to report that it begins.
 #[test]
 fn a_host_transport_begins_no_attempt_cancelled_while_it_waited_for_the_mailbox() {
-    local(async {
+    run_local(async {
         let started = Arc::new(AtomicUsize::new(0));
         let (reports, mut messages) = mpsc::channel(1);
         let reports = DispatcherSender::new(reports);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -3,15 +3,15 @@
 //! connections.
 #![cfg(feature = "cli")]
 
+mod emulated;
 mod program;
-mod standin;
 
+use emulated::{run_local, start_cache_parent_origin, EmulatedServer, ServerBehavior};
 use foxhold::daemon::descriptors::{DescriptorBudget, DescriptorNeeds};
 use program::{
     call, config, free_address, read_request, status, write_request, DescriptorPeak, Program, Scratch, Start,
 };
 use rustix::process::Signal;
-use standin::{local, trio, Manner, Server};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-const COPY: Manner = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
+const COPY: ServerBehavior = ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n");
 /// More than any limit here allows.
 const IDLE_CLIENTS: usize = 400;
 /// More than the smallest limit allows.
@@ -29,7 +29,7 @@
 /// Within this the discovery service is followed again, and everything works that works at once.
 const SOON: Duration = Duration::from_secs(1);
 
-fn addresses(servers: &[Server; 3]) -> [&str; 3] {
+fn addresses(servers: &[EmulatedServer; 3]) -> [&str; 3] {
     [&servers[0].address, &servers[1].address, &servers[2].address]
 }
 
@@ -137,7 +137,7 @@
 
 /// Guards the descriptors of discovery, servers, operators and files against clients that take all there are.
 async fn idle_clients_leave_a_reserve(sockets: usize, limit: u64) {
-    let (servers, _) = trio(COPY).await;
+    let (servers, _) = start_cache_parent_origin(COPY).await;
     let (discovery, admin) = (free_address(), free_address());
     let text = config(sockets, &discovery, &admin, addresses(&servers));
     let file = Scratch::new(&format!("idle-{sockets}-{limit}.json"), &text);
@@ -154,13 +154,13 @@
     assert_eq!(call(&admin, "check\n").await.as_deref().map(|a| a.starts_with("YES")), Some(true));
     assert!(begun.elapsed() < SOON, "{:?}", begun.elapsed());
     wait_until_served(&program.address, 0x100).await;
-    *servers[2].manner.borrow_mut() = Manner::Says(""); // it is alive, and answers no request
+    *servers[2].behavior.borrow_mut() = ServerBehavior::Responds(""); // it is alive, and answers no request
     let (address, in_flight) = (program.address.clone(), Rc::new(Cell::new(None)));
     let ended = in_flight.clone();
     let request = tokio::task::spawn_local(async move {
         ended.set(status(&address, &write_request(0x200, 2_500)).await);
     });
-    while servers[2].wants().is_empty() && !request.is_finished() {
+    while servers[2].requests().is_empty() && !request.is_finished() {
         sleep(Duration::from_millis(5)).await;
     }
 
@@ -186,25 +186,25 @@
 
 #[test]
 fn idle_clients_leave_descriptors_to_discovery_servers_and_operators() {
-    local(idle_clients_leave_a_reserve(256, 256));
+    run_local(idle_clients_leave_a_reserve(256, 256));
 }
 
 #[test]
 fn a_process_limit_below_the_configured_one_applies() {
-    local(idle_clients_leave_a_reserve(4096, 256));
+    run_local(idle_clients_leave_a_reserve(4096, 256));
 }
 
 #[test]
 fn the_smallest_limit_leaves_a_reserve() {
-    local(idle_clients_leave_a_reserve(64, 64));
+    run_local(idle_clients_leave_a_reserve(64, 64));
 }
 
 /// Guards against each of two processes counting on the whole limit while both serve one socket.
 #[test]
 fn the_processes_of_a_handover_hold_no_more_than_the_limit_together() {
-    local(async {
+    run_local(async {
         const LIMIT: usize = 256;
-        let (servers, _) = trio(COPY).await;
+        let (servers, _) = start_cache_parent_origin(COPY).await;
         let (discovery, admins) = (free_address(), [free_address(), free_address()]);
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let run = |admin: &str| {
@@ -247,8 +247,8 @@
 /// Guards servers against being ejected for what this process lacks, and discovery against being given up.
 #[test]
 fn without_descriptors_no_server_is_ejected_and_everything_recovers_at_once() {
-    local(async {
-        let (servers, _) = trio(COPY).await;
+    run_local(async {
+        let (servers, _) = start_cache_parent_origin(COPY).await;
         let (discovery, admin) = (free_address(), free_address());
         let file = Scratch::new("none.json", &config(256, &discovery, &admin, addresses(&servers)));
         let start = Start { config: Some(&file.0), descriptors: Some(256), ..Start::default() };
@@ -280,8 +280,8 @@
 /// Guards against new clients waiting in the backlog for ever while idle ones hold all descriptors.
 #[test]
 fn an_idle_client_is_closed_where_an_accept_finds_no_descriptor() {
-    local(async {
-        let (servers, _) = trio(COPY).await;
+    run_local(async {
+        let (servers, _) = start_cache_parent_origin(COPY).await;
         let file = Scratch::new("room.json", &config(256, "", "", addresses(&servers)));
         let start = Start { config: Some(&file.0), descriptors: Some(256), ..Start::default() };
         let program = start.run();
--- a/tests/director.rs
+++ b/tests/director.rs
@@ -1,25 +1,25 @@
 //! The platform's frontend on loopback, from a client to emulated servers and back.
 
-mod standin;
+mod emulated;
 
+use emulated::*;
 use foxhold::dispatch::{ClientResponse, Clock, FailureReason};
 use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::{Frontend, ShutdownPhase};
 use foxhold::policy::types::Settings;
-use standin::*;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 struct Site {
-    cache: Server,
-    parent: Server,
-    origin: Server,
+    cache: EmulatedServer,
+    parent: EmulatedServer,
+    origin: EmulatedServer,
     address: String,
 }
 
-async fn site(manner: Manner) -> Site {
-    let ([cache, parent, origin], members) = trio(manner).await;
+async fn site(behavior: ServerBehavior) -> Site {
+    let ([cache, parent, origin], members) = start_cache_parent_origin(behavior).await;
     let dispatcher = start(settings(), Clock::system(), members);
     let address = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
     Site { cache, parent, origin, address }
@@ -40,32 +40,33 @@
     )
 }
 
-const SERVED: Manner = Manner::Says("ID ACK tag=4be0c1927d55a6f3,minted=1,res=cached 5\r\nbytes\r\n");
+const SERVED: ServerBehavior =
+    ServerBehavior::Responds("ID ACK tag=4be0c1927d55a6f3,minted=1,res=cached 5\r\nbytes\r\n");
 
 #[test]
 fn a_hit_forwards_id_class_object_part_and_bytes_unchanged() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
         let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
         assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
         assert_eq!(response.header("etag"), Some("\"4be0c1927d55a6f3\""));
-        let wants = site.cache.wants();
+        let wants = site.cache.requests();
         assert_eq!(wants.len(), 1);
         let fields = "want 9b1f03aa5c7e2d41 kind=videos,obj=7f3a9c21e0b4d655,seg=3,ms=";
         assert!(wants[0].starts_with(fields), "{wants:?}");
         assert!(wants[0].contains(",via=s-parent,tier=1 0"), "{wants:?}");
-        assert!(site.parent.wants().is_empty() && site.origin.wants().is_empty());
+        assert!(site.parent.requests().is_empty() && site.origin.requests().is_empty());
     });
 }
 
 #[test]
 fn a_current_copy_of_the_clients_is_a_304_without_a_body() {
-    local(async {
-        let site = site(Manner::Says("ID NOMOD tag=aa,res=cached 0\r\n\r\n")).await;
+    run_local(async {
+        let site = site(ServerBehavior::Responds("ID NOMOD tag=aa,res=cached 0\r\n\r\n")).await;
         let response = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
         assert_eq!((response.status, response.body.len()), (304, 0));
         assert_eq!(response.header("etag"), Some("\"aa\""));
-        assert!(site.cache.wants()[0].contains(",known=aa "), "{:?}", site.cache.wants());
+        assert!(site.cache.requests()[0].contains(",known=aa "), "{:?}", site.cache.requests());
     });
 }
 
@@ -73,26 +74,26 @@
 /// can't be served.
 #[test]
 fn a_clients_idempotency_key_is_forwarded_unchanged_and_none_is_made_up() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
         let put = |token: &str| put("x").replace("Content-Length", &format!("{token}Content-Length"));
         assert_eq!(send(&site.address, &put("X-Unique: k-17f\r\n")).await.status, 200);
         assert_eq!(send(&site.address, &put("")).await.status, 200);
-        let wants = site.origin.wants();
+        let wants = site.origin.requests();
         assert!(wants[0].contains(",token=k-17f "), "{wants:?}");
         assert!(!wants[1].contains("token"), "{wants:?}");
         // One that no server can read, or two of them, would cost the connection or be ambiguous.
         for bad in ["X-Unique: a,b=c\r\n", "X-Unique: a\r\nX-Unique: b\r\n", "X-Unique:\r\n"] {
             assert_eq!(send(&site.address, &put(bad)).await.status, 400, "{bad}");
         }
-        assert_eq!(site.origin.wants().len(), 2);
+        assert_eq!(site.origin.requests().len(), 2);
     });
 }
 
 #[test]
 fn a_rejection_is_immediate_and_advises_when_to_come_back() {
-    local(async {
-        let site = site(Manner::Says("ID AGAIN - 0\r\n\r\n")).await;
+    run_local(async {
+        let site = site(ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n")).await;
         let started = Instant::now();
         let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
         assert_eq!(response.status, 503);
@@ -104,20 +105,26 @@
 
 #[test]
 fn a_write_that_may_have_run_is_sent_once_and_not_called_safe_to_retry() {
-    for manner in [Manner::Closes, Manner::BreaksOff, Manner::Silent, Manner::Says("ID EIO - 0\r\n\r\n")] {
-        local(async {
-            let site = site(manner.clone()).await;
+    for behavior in [
+        ServerBehavior::ClosesConnection,
+        ServerBehavior::BreaksOffResponse,
+        ServerBehavior::Silent,
+        ServerBehavior::Responds("ID EIO - 0\r\n\r\n"),
+    ] {
+        run_local(async {
+            let site = site(behavior.clone()).await;
             let response = send(&site.address, &put("a filing")).await;
-            let sent = site.cache.wants().len() + site.parent.wants().len() + site.origin.wants().len();
-            assert_eq!(sent, 1, "{manner:?}");
-            assert!(matches!(response.status, 502 | 504), "{manner:?}: {response:?}");
+            let sent =
+                site.cache.requests().len() + site.parent.requests().len() + site.origin.requests().len();
+            assert_eq!(sent, 1, "{behavior:?}");
+            assert!(matches!(response.status, 502 | 504), "{behavior:?}: {response:?}");
         });
     }
 }
 
 #[test]
 fn a_write_that_certainly_did_not_run_is_rejected_and_can_be_retried() {
-    local(async {
+    run_local(async {
         let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = gone.local_addr().expect("an address").to_string();
         drop(gone); // nobody listens there any more
@@ -130,10 +137,10 @@
 
 #[test]
 fn an_interrupted_read_is_retried_elsewhere_and_never_partially_served() {
-    for manner in [Manner::Closes, Manner::BreaksOff] {
-        local(async {
+    for behavior in [ServerBehavior::ClosesConnection, ServerBehavior::BreaksOffResponse] {
+        run_local(async {
             let site = site(SERVED).await;
-            *site.cache.manner.borrow_mut() = manner;
+            *site.cache.behavior.borrow_mut() = behavior;
             let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
             assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
         });
@@ -142,11 +149,11 @@
 
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
-    local(async {
-        let site = site(Manner::Silent).await;
+    run_local(async {
+        let site = site(ServerBehavior::Silent).await;
         let mut stream = TcpStream::connect(&site.address).await.expect("a listener");
         stream.write_all(get("7f3a9c21e0b4d655", "").as_bytes()).await.expect("a reader");
-        while site.cache.wants().is_empty() {
+        while site.cache.requests().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         drop(stream);
@@ -159,7 +166,7 @@
 
 #[test]
 fn a_malformed_request_is_answered_and_its_connection_closed() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
         let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000));
         let cases = [
@@ -177,13 +184,13 @@
         for (request, status) in cases {
             assert_eq!(send(&site.address, request).await.status, status, "{:.60}", request);
         }
-        assert!(site.cache.wants().is_empty());
+        assert!(site.cache.requests().is_empty());
     });
 }
 
 #[test]
 fn a_connection_carries_one_request_after_another_even_when_pipelined() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
         let mut stream = TcpStream::connect(&site.address).await.expect("a listener");
         let both = get("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "").repeat(2);
@@ -197,19 +204,19 @@
 
 #[test]
 fn a_malformed_response_ends_its_connection_and_only_that() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
-        *site.cache.manner.borrow_mut() = Manner::Says("ID WHAT - 0\r\n\r\n");
+        *site.cache.behavior.borrow_mut() = ServerBehavior::Responds("ID WHAT - 0\r\n\r\n");
         assert_eq!(send(&site.address, &get("7f3a9c21e0b4d655", "")).await.status, 200, "served elsewhere");
-        *site.cache.manner.borrow_mut() = SERVED;
+        *site.cache.behavior.borrow_mut() = SERVED;
         assert_ne!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
     });
 }
 
 #[test]
 fn a_request_that_has_begun_is_still_answered_during_shutdown() {
-    local(async {
-        let cache = Server::start(SERVED).await;
+    run_local(async {
+        let cache = EmulatedServer::start(SERVED).await;
         let dispatcher = start(settings(), Clock::system(), vec![cache.listing("s-cache", "edge", "cache")]);
         let (close, closing) = tokio::sync::watch::channel(ShutdownPhase::Running);
         let address = serve_until(&dispatcher, PlatformFrontend(dispatcher.clone()), closing).await;
@@ -233,7 +240,7 @@
 /// Guards against silent connections occupying all slots, while clients with requests wait to be accepted.
 #[test]
 fn silent_connections_are_evicted_for_clients_with_requests_and_closed_in_time() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
         let started = Instant::now();
         let mut silent = Vec::new();
@@ -263,7 +270,7 @@
 /// Guards against a message that never ends, and against one that hides another in its body.
 #[test]
 fn a_request_without_a_clear_end_is_rejected_and_its_connection_closed() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
         let hidden = get("7f3a9c21e0b4d655", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n");
         let hidden = hidden.replace("Connection: close\r\n", "") + "0\r\n\r\n" + &get("aa", "");
@@ -276,14 +283,14 @@
         let started = Instant::now();
         assert_eq!(send(&site.address, "GET /ops/videos/aa HTTP/1.1\r\nX-Job").await.status, 408);
         assert!(started.elapsed() < Duration::from_millis(2500), "{:?}", started.elapsed());
-        assert!(site.cache.wants().is_empty());
+        assert!(site.cache.requests().is_empty());
     });
 }
 
 /// Guards against forwarding what a server can't use or read, which would cost an attempt or a connection.
 #[test]
 fn invalid_values_are_rejected_and_not_forwarded() {
-    local(async {
+    run_local(async {
         let site = site(SERVED).await;
         let good = get("7f3a9c21e0b4d655", "X-Ram-Kb: 12.5\r\n");
         for (from, to) in [
@@ -304,7 +311,7 @@
             assert_ne!(request, good, "{from}");
             assert_eq!(send(&site.address, &request).await.status, 400, "{to}");
         }
-        assert!(site.cache.wants().is_empty());
+        assert!(site.cache.requests().is_empty());
         assert_eq!(send(&site.address, &good).await.status, 200);
     });
 }
@@ -312,17 +319,17 @@
 /// Guards the first of two requests with one id: it is answered as if the second had never arrived.
 #[test]
 fn a_duplicate_of_a_pending_request_is_rejected_and_the_first_goes_on() {
-    local(async {
-        let site = site(Manner::Says("")).await;
+    run_local(async {
+        let site = site(ServerBehavior::Responds("")).await;
         let address = site.address.clone();
         let first =
             tokio::task::spawn_local(async move { send(&address, &get("7f3a9c21e0b4d655", "")).await });
-        while site.cache.wants().is_empty() {
+        while site.cache.requests().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         assert_eq!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
         assert_eq!(first.await.expect("an answer").status, 503);
-        *site.cache.manner.borrow_mut() = SERVED;
+        *site.cache.behavior.borrow_mut() = SERVED;
         assert_ne!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
     });
 }
@@ -331,8 +338,8 @@
 #[test]
 fn a_not_modified_response_for_another_copy_or_none_is_corrupt() {
     for says in ["ID NOMOD tag=bb,res=cached 0\r\n\r\n", "ID NOMOD res=cached 0\r\n\r\n"] {
-        local(async {
-            let site = site(Manner::Says(says)).await;
+        run_local(async {
+            let site = site(ServerBehavior::Responds(says)).await;
             let response = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
             assert!(![200, 304].contains(&response.status), "{response:?}");
         });
@@ -342,8 +349,8 @@
 /// Clients of other sites follow a shorter Retry-After, or none.
 #[test]
 fn the_retry_after_of_a_frontend_at_capacity_is_no_longer_than_clients_follow() {
-    local(async {
-        let ([_cache, ..], members) = trio(SERVED).await;
+    run_local(async {
+        let ([_cache, ..], members) = start_cache_parent_origin(SERVED).await;
         for (gives_advice, max_retry_after, advised) in [(true, 300_000, Some("300")), (false, 300_000, None)]
         {
             let settings = Settings { retry_after: gives_advice, max_retry_after, ..settings() };
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -1,11 +1,11 @@
 //! The discovery client against an emulated discovery service on loopback.
 
-mod standin;
+mod emulated;
 
+use emulated::run_local;
 use foxhold::discovery::client::DiscoveryClient;
 use foxhold::discovery::{DiscoveryService, WatchScope};
 use foxhold::dispatch::{DispatcherMessage, DispatcherSender};
-use standin::local;
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_reconnect_requests_only_missing_events_and_reports_none_twice() {
-    local(async {
+    run_local(async {
         let mut service = Service::start(WatchScope::MembersAndPurges).await;
         let (mut stream, request) = service.connection().await;
         assert_eq!(request, "watch 3\n");
@@ -94,7 +94,7 @@
 fn an_unreadable_line_a_revision_ahead_or_silence_ends_the_connection() {
     // Events before the fault count, and the missing one is requested on the next connection.
     for fault in ["{\"rev\":\n", "{\"rev\":5,\"flush\":{\"ms\":1}}\n", "9\n", ""] {
-        local(async {
+        run_local(async {
             let mut service = Service::start(WatchScope::MembersAndPurges).await;
             let (mut stream, _) = service.connection().await;
             stream.write_all((purge(4) + fault).as_bytes()).await.expect("a reader");
@@ -113,7 +113,7 @@
         "{\"rev\":5,\"pool\":{\"members\":[{\"id\":\"s\",\"host_port\":\"127.0.0.1:1\",\"locality\":\"a\",\
                    \"flavor\":\"b\",\"phase\":\"resting\"}]}}\n";
     for bad in [unknown, "{\"rev\":5\n"] {
-        local(async {
+        run_local(async {
             let mut service = Service::start(WatchScope::MembersAndPurges).await;
             let (mut stream, _) = service.connection().await;
             stream.write_all((purge(4) + bad + &purge(6)).as_bytes()).await.expect("a reader");
@@ -140,7 +140,7 @@
 #[test]
 fn a_client_with_scope_purges_only_reports_no_members() {
     for scope in [WatchScope::MembersAndPurges, WatchScope::PurgesOnly] {
-        local(async {
+        run_local(async {
             let mut service = Service::start(scope).await;
             let (mut stream, _) = service.connection().await;
             let events = purge(4) + MEMBERS + &purge(6);
@@ -161,7 +161,7 @@
 /// effect in time.
 #[test]
 fn a_new_address_is_watched_at_once_from_the_latest_revision() {
-    local(async {
+    run_local(async {
         let mut service = Service::start(WatchScope::MembersAndPurges).await;
         let (mut old, _) = service.connection().await;
         // The last event is incomplete, so it has to be sent again.
@@ -181,7 +181,7 @@
 /// Guards against the herd that a reconnect without jitter makes: all came back within 2 ms.
 #[test]
 fn clients_that_lose_their_service_at_once_reconnect_with_jitter_and_without_extra_delay() {
-    local(async {
+    run_local(async {
         let (listener, at) = listener().await;
         let mut clients = Vec::new();
         for _ in 0..60 {
@@ -215,7 +215,7 @@
 /// Guards against a backoff that grows with each end of a good connection that brought no events.
 #[test]
 fn a_heartbeat_resets_the_reconnect_backoff() {
-    local(async {
+    run_local(async {
         let service = Service::start(WatchScope::MembersAndPurges).await;
         let begun = std::time::Instant::now();
         for _ in 0..8 {
@@ -272,7 +272,7 @@
 /// Guards against a connect timeout and a backoff that take over a second together.
 #[test]
 fn a_service_that_was_unreachable_is_watched_within_a_second_of_its_return() {
-    local(async {
+    run_local(async {
         let mut returns = Vec::new();
         for n in 0..10 {
             let service = Unreachable::start().await;
@@ -302,7 +302,7 @@
 #[test]
 fn a_watch_that_falls_silent_late_is_replaced_in_time_and_resumed() {
     for last_words in ["4\n", "{\"rev\":5,\"flush\":{\"asset\":"] {
-        local(async {
+        run_local(async {
             let mut service = Service::start(WatchScope::MembersAndPurges).await;
             let (mut stream, _) = service.connection().await;
             stream.write_all(purge(4).as_bytes()).await.expect("a reader");
@@ -327,7 +327,7 @@
 #[test]
 fn a_complete_list_is_reported_once_with_its_revision_and_an_older_one_is_ignored() {
     let whole = |rev: u64| MEMBERS.replace("\"rev\":5", &format!("\"rev\":{rev}"));
-    local(async {
+    run_local(async {
         let mut service = Service::start(WatchScope::MembersAndPurges).await;
         let (mut stream, _) = service.connection().await;
         // The list includes events 4 to 8; it comes again, and then an older one.
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,6 +1,6 @@
 //! The dispatcher with a clock that stands still and a connector that records its commands.
 
-mod standin;
+mod emulated;
 
 #[path = "dispatch/credentials.rs"]
 mod credentials;
@@ -13,16 +13,16 @@
 #[path = "dispatch/purges.rs"]
 mod purges;
 
+use emulated::{listing, run_with_paused_clock};
 use fixture::*;
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
-use standin::{listing, paused};
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
 #[test]
 fn the_first_end_of_an_attempt_counts_and_later_ones_change_nothing() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let pending = site.dispatcher.submit(request(1));
         run_until_idle().await;
@@ -42,7 +42,7 @@
 #[test]
 fn a_write_is_retried_only_where_its_attempt_certainly_never_ran() {
     let is_retried = |error: AttemptError| {
-        paused(async move {
+        run_with_paused_clock(async move {
             let site = site();
             let pending = site.dispatcher.submit(request(1));
             run_until_idle().await;
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_request_that_no_server_can_take_is_rejected_at_once_with_a_retry_after() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let members = [("cache-1", "a"), ("cache-2", "b"), ("parent-1", "c"), ("origin-1", "d")];
         let gone = |(name, address)| Endpoint {
@@ -83,7 +83,7 @@
 
 #[test]
 fn the_attempts_of_a_client_that_disconnects_are_cancelled() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let pending = site.dispatcher.submit(request(0));
         run_until_idle().await;
@@ -97,7 +97,7 @@
 /// where a third of them are late. The time counts from when the server had the request.
 #[test]
 fn time_spent_waiting_for_a_connection_is_not_counted_against_the_server() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         for _ in 0..60 {
             let pending = site.dispatcher.submit(ClientRequest {
--- a/tests/dispatch/credentials.rs
+++ b/tests/dispatch/credentials.rs
@@ -1,7 +1,7 @@
 //! Requests whose credentials expire.
 
+use crate::emulated::run_with_paused_clock;
 use crate::fixture::*;
-use crate::standin::paused;
 use foxhold::dispatch::*;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
@@ -12,7 +12,7 @@
         (0, ClientResponse::Rejected { retry_after: None, reason: FailureReason::CredentialExpired }),
         (1, ClientResponse::Failed(FailureReason::CredentialExpired)), // a write that may have run
     ] {
-        paused(async {
+        run_with_paused_clock(async {
             let (site, started) = (site(), Instant::now());
             let expires_at = Some(site.clock.unix() + 300_000);
             assert_eq!(
@@ -31,7 +31,7 @@
 #[test]
 fn a_credential_is_valid_to_its_last_microsecond_and_no_longer() {
     for (left, sent) in [(1_000, 1), (0, 0)] {
-        paused(async {
+        run_with_paused_clock(async {
             let site = site();
             let expires_at = Some(site.clock.unix() + left);
             let pending =
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_response_that_began_before_the_credential_expired_is_delivered() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let expires_at = Some(site.clock.unix() + 300_000);
         let pending =
@@ -66,7 +66,7 @@
 
 #[test]
 fn no_retry_is_sent_once_the_credential_has_expired() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let expires_at = Some(site.clock.unix() + 300_000);
         let pending =
--- a/tests/dispatch/endpoints.rs
+++ b/tests/dispatch/endpoints.rs
@@ -1,7 +1,7 @@
 //! Changes of the endpoint list, and connection actors that end.
 
+use crate::emulated::{listing, run_with_paused_clock};
 use crate::fixture::*;
-use crate::standin::{listing, paused};
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_draining_server_gets_no_new_request_and_is_named_as_no_fill_source() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         for (name, kind, zone) in [("cache-1", "cache", "edge"), ("parent-1", "parent", "hub")] {
             let address = if kind == "cache" { "a" } else { "c" };
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_restarted_server_ends_the_attempts_at_its_previous_process() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let pending = site.dispatcher.submit(request(1));
         run_until_idle().await;
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_connection_actor_that_ended_is_started_anew() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site_with_connector(RecordingConnector::ending_after_one_command());
         for n in 1..=3 {
             let pending = site.dispatcher.submit(request(1));
--- a/tests/dispatch/fixture.rs
+++ b/tests/dispatch/fixture.rs
@@ -1,6 +1,6 @@
 //! A dispatcher whose clock stands still and whose connector records the commands to each server.
 
-use crate::standin::{listing, settings};
+use crate::emulated::{listing, settings};
 use foxhold::dispatch::{self, *};
 use foxhold::policy::types::*;
 use std::cell::RefCell;
--- a/tests/dispatch/limits.rs
+++ b/tests/dispatch/limits.rs
@@ -1,7 +1,7 @@
 //! Timeouts, send deadlines and the capacity of the dispatcher.
 
+use crate::emulated::{run_with_paused_clock, settings};
 use crate::fixture::*;
-use crate::standin::{paused, settings};
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[test]
 fn an_unresponsive_server_still_leaves_one_response_before_the_client_gives_up() {
     for class in [0, 1] {
-        paused(async {
+        run_with_paused_clock(async {
             let (site, started) = (site(), Instant::now());
             let response = site.dispatcher.submit(request(class)).await;
             assert!(started.elapsed() < Duration::from_secs(2), "{:?}", started.elapsed());
@@ -33,7 +33,7 @@
 
 #[test]
 fn requests_beyond_capacity_are_rejected_at_once() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let mut pending = Vec::new();
         for _ in 0..256 {
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_request_without_a_practical_timeout_is_pending_for_a_day_at_most() {
-    paused(async {
+    run_with_paused_clock(async {
         let (site, started) = (site(), Instant::now());
         let response = site
             .dispatcher
@@ -77,7 +77,7 @@
 #[test]
 fn a_response_leaves_before_the_client_times_out_by_a_small_share_of_its_timeout() {
     for (timeout, min_ms, max_ms) in [(60, 54, 59), (200, 185, 196), (2000, 1960, 1980)] {
-        paused(async move {
+        run_with_paused_clock(async move {
             let site = site();
             let timeout = Duration::from_millis(timeout);
             let started = Instant::now();
@@ -95,7 +95,7 @@
 #[test]
 fn the_send_deadline_follows_grace_periods_and_the_idempotency_window() {
     for (drain, purge, wait) in [(1_000_000, 1_000_000, 500), (300_000, 0, 150), (900_000, 200_000, 100)] {
-        paused(async {
+        run_with_paused_clock(async {
             let site = site_with_settings(Settings { drain_grace: drain, purge_grace: purge, ..settings() });
             let (_pending, now) = (site.dispatcher.submit(request(1)), Instant::now());
             run_until_idle().await;
@@ -103,7 +103,7 @@
             assert_eq!(by.saturating_duration_since(now).as_millis(), wait, "{drain} {purge}");
         });
     }
-    paused(async {
+    run_with_paused_clock(async {
         let mut settings = settings();
         settings.classes[0].idempotency =
             Idempotency::IdempotencyKey { scope: KeyScope::All, window: 400_000 };
--- a/tests/dispatch/purges.rs
+++ b/tests/dispatch/purges.rs
@@ -1,14 +1,14 @@
 //! Purges and the bound on the age of copies.
 
+use crate::emulated::run_with_paused_clock;
 use crate::fixture::*;
-use crate::standin::paused;
 use foxhold::dispatch::*;
 use std::time::Duration;
 use tokio::time::Instant;
 
 #[test]
 fn a_purge_limits_the_age_of_copies_even_where_the_group_is_unknown() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let purge = DispatcherMessage::Purged {
             object: None,
@@ -32,7 +32,7 @@
 /// Directors that are notified late may have an old copy fetched long after servers have dropped theirs.
 #[test]
 fn a_purge_with_a_retention_is_in_force_for_as_long_as_that() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         let (at, started) = (site.clock.unix(), Instant::now());
         for (group, retention) in [(8, 0), (9, 60_000_000)] {
@@ -56,7 +56,7 @@
 
 #[test]
 fn not_before_bars_older_copies_and_joining_fills_until_it_is_lifted() {
-    paused(async {
+    run_with_paused_clock(async {
         let site = site();
         for (at, limited) in [(Some(site.clock.unix() - 250_000), true), (None, false)] {
             site.dispatcher.sender().send(DispatcherMessage::NotBefore(at)).await;
--- a/tests/standin/mod.rs
+++ b/tests/emulated/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the project's own: servers that speak the line protocol, and a client's side of HTTP.
+//! Emulated servers that speak the line protocol, and a client's side of HTTP.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use foxhold::config::settings::ConnectionSettings;
@@ -15,46 +15,46 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// What a stand-in server does with each request.
+/// What a emulated server does with each request.
 #[derive(Clone, Debug)]
-pub enum Manner {
+pub enum ServerBehavior {
     /// Answers so, with ID in place of the id.
-    Says(&'static str),
+    Responds(&'static str),
     /// Takes the request and says nothing.
     Silent,
     /// Takes the request and closes the connection.
-    Closes,
+    ClosesConnection,
     /// Begins an answer and closes the connection.
-    BreaksOff,
+    BreaksOffResponse,
     /// Begins an answer and stays.
-    Stalls,
+    StallsResponse,
 }
 
 /// A server that listens on loopback and notes what it was sent.
-pub struct Server {
+pub struct EmulatedServer {
     pub address: String,
-    pub manner: Rc<RefCell<Manner>>,
+    pub behavior: Rc<RefCell<ServerBehavior>>,
     pub lines: Rc<RefCell<Vec<String>>>,
     /// Connections that came, and that have ended.
     pub connections: Rc<Cell<usize>>,
     pub closed: Rc<Cell<usize>>,
 }
 
-impl Server {
-    pub async fn start(manner: Manner) -> Server {
+impl EmulatedServer {
+    pub async fn start(behavior: ServerBehavior) -> EmulatedServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
         let (connections, closed) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
-        let (manner, lines) = (Rc::new(RefCell::new(manner)), Rc::default());
-        let server = Server { address, manner, lines, connections, closed };
-        let (manner, lines) = (server.manner.clone(), server.lines.clone());
+        let (behavior, lines) = (Rc::new(RefCell::new(behavior)), Rc::default());
+        let server = EmulatedServer { address, behavior, lines, connections, closed };
+        let (behavior, lines) = (server.behavior.clone(), server.lines.clone());
         let (connections, closed) = (server.connections.clone(), server.closed.clone());
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 connections.set(connections.get() + 1);
-                let (manner, lines, closed) = (manner.clone(), lines.clone(), closed.clone());
+                let (behavior, lines, closed) = (behavior.clone(), lines.clone(), closed.clone());
                 tokio::task::spawn_local(async move {
-                    Self::serve(stream, manner, lines).await;
+                    Self::serve(stream, behavior, lines).await;
                     closed.set(closed.get() + 1);
                 });
             }
@@ -62,7 +62,11 @@
         server
     }
 
-    async fn serve(stream: TcpStream, manner: Rc<RefCell<Manner>>, lines: Rc<RefCell<Vec<String>>>) {
+    async fn serve(
+        stream: TcpStream,
+        behavior: Rc<RefCell<ServerBehavior>>,
+        lines: Rc<RefCell<Vec<String>>>,
+    ) {
         let mut stream = BufReader::new(stream);
         loop {
             let mut line = String::new();
@@ -72,7 +76,9 @@
             let line = line.trim_end().to_owned();
             let words: Vec<String> = line.split(' ').map(str::to_owned).collect();
             lines.borrow_mut().push(line);
-            if words[0] == "busy" && !matches!(*manner.borrow(), Manner::Silent | Manner::Stalls) {
+            if words[0] == "busy"
+                && !matches!(*behavior.borrow(), ServerBehavior::Silent | ServerBehavior::StallsResponse)
+            {
                 stream
                     .write_all(format!("{} READY - 0\r\n\r\n", words[1]).as_bytes())
                     .await
@@ -83,18 +89,18 @@
             }
             let mut body = vec![0; words[3].parse::<usize>().expect("a length") + 2];
             stream.read_exact(&mut body).await.expect("a body");
-            let manner = manner.borrow().clone();
-            match manner {
-                Manner::Says(answer) => {
+            let behavior = behavior.borrow().clone();
+            match behavior {
+                ServerBehavior::Responds(answer) => {
                     let answer = answer.replace("ID", &words[1]);
                     stream.write_all(answer.as_bytes()).await.expect("a reader");
                 }
-                Manner::Silent => {}
-                Manner::Closes => return,
-                Manner::BreaksOff | Manner::Stalls => {
+                ServerBehavior::Silent => {}
+                ServerBehavior::ClosesConnection => return,
+                ServerBehavior::BreaksOffResponse | ServerBehavior::StallsResponse => {
                     let begun = format!("{} ACK - 10\r\nhalf", words[1]);
                     stream.write_all(begun.as_bytes()).await.expect("a reader");
-                    if matches!(manner, Manner::BreaksOff) {
+                    if matches!(behavior, ServerBehavior::BreaksOffResponse) {
                         return;
                     }
                 }
@@ -103,7 +109,7 @@
     }
 
     /// The requests that it was sent.
-    pub fn wants(&self) -> Vec<String> {
+    pub fn requests(&self) -> Vec<String> {
         self.lines.borrow().iter().filter(|l| l.starts_with("want ")).cloned().collect()
     }
 
@@ -113,10 +119,10 @@
 }
 
 /// A cache, a parent and an origin that all behave alike, and their entries in the list.
-pub async fn trio(manner: Manner) -> ([Server; 3], Vec<Endpoint>) {
-    let cache = Server::start(manner.clone()).await;
-    let parent = Server::start(manner.clone()).await;
-    let origin = Server::start(manner).await;
+pub async fn start_cache_parent_origin(behavior: ServerBehavior) -> ([EmulatedServer; 3], Vec<Endpoint>) {
+    let cache = EmulatedServer::start(behavior.clone()).await;
+    let parent = EmulatedServer::start(behavior.clone()).await;
+    let origin = EmulatedServer::start(behavior).await;
     let members = vec![
         cache.listing("s-cache", "edge", "cache"),
         parent.listing("s-parent", "hub", "parent"),
@@ -269,13 +275,13 @@
 }
 
 /// Runs a test's body where the director's tasks can run.
-pub fn local<T>(test: impl Future<Output = T>) -> T {
+pub fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
 /// The same with a clock that stands still and jumps ahead when nothing else can happen; no sockets.
-pub fn paused<T>(test: impl Future<Output = T>) -> T {
+pub fn run_with_paused_clock<T>(test: impl Future<Output = T>) -> T {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test)
@@ -285,13 +291,13 @@
 pub const SOON: Duration = Duration::from_secs(5);
 
 /// A server that does nothing by itself: the test takes its connections and lines one by one.
-pub struct Stepped(pub TcpListener);
+pub struct SteppedServer(pub TcpListener);
 
-impl Stepped {
-    pub async fn start() -> (Stepped, String) {
+impl SteppedServer {
+    pub async fn start() -> (SteppedServer, String) {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address").to_string();
-        (Stepped(listener), address)
+        (SteppedServer(listener), address)
     }
 
     pub async fn connection(&self) -> BufReader<TcpStream> {
@@ -300,7 +306,7 @@
     }
 
     /// Whether a connection has come that was not taken yet.
-    pub async fn is_asked(&self) -> bool {
+    pub async fn has_connection(&self) -> bool {
         timeout(Duration::from_millis(300), self.0.accept()).await.is_ok()
     }
 }
@@ -321,7 +327,7 @@
 }
 
 /// A listener with the shortest queue there is.
-pub fn short_listener() -> (TcpListener, String) {
+pub fn listener_with_short_queue() -> (TcpListener, String) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(0).expect("a listener");
@@ -330,7 +336,7 @@
 }
 
 /// Fills a listener's queue, so that a further connection hangs until one is taken from it.
-pub async fn fill(address: &str) -> Vec<TcpStream> {
+pub async fn fill_accept_queue(address: &str) -> Vec<TcpStream> {
     let mut waiting = Vec::new();
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(address)).await {
         waiting.push(stream.expect("a connection"));
--- a/tests/library.rs
+++ b/tests/library.rs
@@ -1,7 +1,7 @@
 //! The director embedded in a host: what its handle guarantees while the host cancels, blocks, drains and
 //! ends.
 
-mod standin;
+mod emulated;
 
 #[path = "library/cancellation.rs"]
 mod cancellation;
@@ -10,13 +10,13 @@
 #[path = "library/fixture.rs"]
 mod fixture;
 
+use emulated::settings;
 use fixture::*;
 use foxhold::director::{CacheRequest, Director, SendError, Stopped};
 use foxhold::discovery::StaticEndpoints;
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
 use foxhold::upstream::host::HostTransport;
-use standin::settings;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
--- a/tests/library/cancellation.rs
+++ b/tests/library/cancellation.rs
@@ -1,7 +1,7 @@
 //! Requests that the host cancels by dropping their futures.
 
+use crate::emulated::{self, run_local, settings, want, EmulatedServer, ServerBehavior};
 use crate::fixture::*;
-use crate::standin::{self, local, settings, want, Manner, Server};
 use foxhold::director::{CacheRequest, Director};
 use foxhold::discovery::StaticEndpoints;
 use foxhold::dispatch::*;
@@ -49,20 +49,20 @@
 
 #[test]
 fn a_cancelled_attempt_that_was_written_is_cancelled_at_its_server_and_may_have_run() {
-    for manner in [Manner::Silent, Manner::Stalls] {
-        local(async {
-            let origin = Server::start(manner).await;
+    for behavior in [ServerBehavior::Silent, ServerBehavior::StallsResponse] {
+        run_local(async {
+            let origin = EmulatedServer::start(behavior).await;
             let source = StaticEndpoints(vec![origin.listing("s-origin", "hub", "origin")]);
             let director = Director::builder(settings()).endpoint_source(source).start().expect("a director");
             let pending = director.send(filing("one"));
-            wait_until("it is sent", async || origin.wants().len() == 1).await;
+            wait_until("it is sent", async || origin.requests().len() == 1).await;
             drop(pending);
             wait_until("it is counted", async || cancelled(&director, "filing").await == (0, 1)).await;
             wait_until("it is cancelled", async || {
                 origin.lines.borrow().iter().any(|l| l.starts_with("never_mind"))
             })
             .await;
-            assert_eq!(origin.wants().len(), 1);
+            assert_eq!(origin.requests().len(), 1);
             drop(director);
             wait_until("connections are closed", async || origin.closed.get() == origin.connections.get())
                 .await;
@@ -72,10 +72,10 @@
 
 #[test]
 fn a_cancelled_attempt_that_no_connection_began_to_write_never_ran() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let (reports, mut inbox) = tokio::sync::mpsc::channel(16);
-        let mut connector = foxhold::upstream::UpstreamConnector::new(standin::transport(), 4);
+        let mut connector = foxhold::upstream::UpstreamConnector::new(emulated::transport(), 4);
         let commands = connector.connect(
             ServerId(1),
             &server.listing("s", "edge", "cache"),
@@ -96,7 +96,7 @@
             "{report:?}"
         );
         sleep(Duration::from_millis(50)).await;
-        assert_eq!(server.wants(), Vec::<String>::new());
+        assert_eq!(server.requests(), Vec::<String>::new());
     });
 }
 
@@ -112,8 +112,8 @@
 
 #[test]
 fn ten_thousand_cancelled_requests_leave_nothing_behind() {
-    local(async {
-        let cache = Server::start(Manner::Silent).await;
+    run_local(async {
+        let cache = EmulatedServer::start(ServerBehavior::Silent).await;
         let source = StaticEndpoints(vec![cache.listing("s-cache", "edge", "cache")]);
         let director = Director::builder(settings()).endpoint_source(source).start().expect("a director");
         let mut before = 0;
--- a/tests/library/drains.rs
+++ b/tests/library/drains.rs
@@ -1,7 +1,7 @@
 //! Drains by the handle, and a host that blocks its own runtime.
 
+use crate::emulated::run_local;
 use crate::fixture::*;
-use crate::standin::local;
 use foxhold::director::{CacheRequest, Director, SendError};
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
@@ -86,7 +86,7 @@
 #[test]
 fn a_host_that_blocks_its_own_runtime_delays_neither_deadlines_nor_drains() {
     // One thread for the host, which is blocked for 800 ms.
-    local(async {
+    run_local(async {
         let dropped_at = Arc::new(Mutex::new(None));
         let recorded = dropped_at.clone();
         struct RecordDrop(Arc<Mutex<Option<Instant>>>);
--- a/tests/library/fixture.rs
+++ b/tests/library/fixture.rs
@@ -1,6 +1,6 @@
 //! A director whose transport is the host's own and records what it is to exchange.
 
-use crate::standin::{listing, settings};
+use crate::emulated::{listing, settings};
 use foxhold::director::{CacheRequest, Director};
 use foxhold::discovery::StaticEndpoints;
 use foxhold::dispatch::*;
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -1,13 +1,14 @@
 //! The middleware in axum, with a dispatcher whose servers are emulated on loopback.
 #![cfg(feature = "axum")]
 
-mod standin;
+mod emulated;
 
 use axum::body::Body;
 use axum::http::{Request, Response};
 use axum::routing::get;
 use axum::Router;
 use base64::{engine::general_purpose::URL_SAFE, Engine};
+use emulated::{run_local, settings, start, EmulatedServer, ServerBehavior};
 use foxhold::config::operator::LibrarySection;
 use foxhold::director::Director;
 use foxhold::discovery::StaticEndpoints;
@@ -16,7 +17,6 @@
 use foxhold::signed::{Grant, KeySet, OutcomeCounters};
 use hmac::{Hmac, KeyInit, Mac};
 use http_body_util::BodyExt;
-use standin::{local, settings, start, Manner, Server};
 use std::sync::Arc;
 use tower::ServiceExt;
 
@@ -46,7 +46,7 @@
 
 #[test]
 fn the_signed_layer_strips_valid_credentials_and_denies_all_others() {
-    local(async {
+    run_local(async {
         let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(OutcomeCounters::default()));
         let show = |grant: Grant, uri: axum::http::Uri| async move {
             format!("{uri} {}", grant.expires_at.expect("an end"))
@@ -65,8 +65,9 @@
 
 #[test]
 fn the_director_serves_behind_the_layer_in_axum() {
-    local(async {
-        let cache = Server::start(Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
+    run_local(async {
+        let cache =
+            EmulatedServer::start(ServerBehavior::Responds("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
         let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(OutcomeCounters::default()));
         let dispatcher = start(settings(), clock, vec![cache.listing("s-cache", "edge", "cache")]);
         let director = DirectorService::new(dispatcher, counts.clone());
@@ -75,7 +76,7 @@
         assert_eq!(response.status(), 200);
         assert_eq!(response.headers()["etag"], "\"aa\"");
         assert_eq!(body(response).await, "bytes");
-        *cache.manner.borrow_mut() = Manner::Says("ID AGAIN - 0\r\n\r\n");
+        *cache.behavior.borrow_mut() = ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n");
         let response = app.clone().oneshot(request("/videos/b.mp4", NOW + 60)).await.expect("an answer");
         assert_eq!(response.status(), 503);
         assert_eq!(response.headers()["retry-after"], "1");
@@ -93,8 +94,9 @@
 
 #[test]
 fn the_director_layer_serves_what_its_routes_match_and_leaves_the_rest_to_the_host() {
-    local(async {
-        let cache = Server::start(Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
+    run_local(async {
+        let cache =
+            EmulatedServer::start(ServerBehavior::Responds("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
         let members =
             vec![cache.listing("s-cache", "edge", "cache"), cache.listing("s-origin", "hub", "origin")];
         let director = Director::builder(settings())
@@ -113,7 +115,7 @@
         assert_eq!(send("PUT", "/desk/filings/7", "a filing").await.expect("an answer").status(), 200);
         assert_eq!(send("GET", "/desk/filings/7", "").await.expect("an answer").status(), 405);
         assert_eq!(send("GET", "/mediax/a", "").await.expect("an answer").status(), 404, "the host's own");
-        let wants = cache.wants();
+        let wants = cache.requests();
         assert!(wants[0].contains("obj=a/b.mp4") && wants[0].contains("seg=2"), "{wants:?}");
         assert!(wants[1].contains("kind=filing"), "{wants:?}");
         assert_eq!([counts.get("served"), counts.get("bad_request")], [2, 1]);
@@ -122,8 +124,8 @@
 
 #[test]
 fn readiness_reserves_a_slot_and_bodies_share_one_budget() {
-    local(async {
-        let origin = Server::start(Manner::Silent).await;
+    run_local(async {
+        let origin = EmulatedServer::start(ServerBehavior::Silent).await;
         let members = vec![origin.listing("s-origin", "hub", "origin")];
         let director = Director::builder(settings())
             .endpoint_source(StaticEndpoints(members))
@@ -139,7 +141,7 @@
         let call =
             |service: &mut DirectorService, request| tokio::spawn(tower::Service::call(service, request));
         let first = call(ready(&mut service).await.expect("a slot"), put(40_000));
-        while origin.wants().is_empty() {
+        while origin.requests().is_empty() {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
         // No capacity for these bytes beside the first's: rejected at once, with a Retry-After.
@@ -159,7 +161,7 @@
             .await
             .expect("a slot");
         let fourth = call(&mut service, put(40_000));
-        while origin.wants().len() < 3 {
+        while origin.requests().len() < 3 {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
         third.abort();
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,12 +1,12 @@
 //! The process: how it starts, what it opens, and its log.
 #![cfg(feature = "cli")]
 
+mod emulated;
 mod program;
-mod standin;
 
+use emulated::{run_local, send, EmulatedServer, ServerBehavior};
 use program::{config_with_origin, write_request, Program, Scratch, Start};
 use rustix::process::Signal;
-use standin::{local, send, Manner, Server};
 use std::io::{BufRead, BufReader, Read};
 use std::time::Duration;
 use tokio::time::timeout;
@@ -37,8 +37,8 @@
 /// gone.
 #[test]
 fn a_log_that_nobody_reads_holds_up_no_request() {
-    local(async {
-        let origin = Server::start(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let origin = EmulatedServer::start(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let file = Scratch::new("log", &config_with_origin(&origin.address));
         let start = Start { config: Some(&file.0), log_level: Some("debug"), ..Start::default() };
         let mut child = start.spawn().expect("the program");
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -2,15 +2,15 @@
 //! between them, or an emulated server waits for a step. `docs/design/races.md` lists the places and their
 //! verdicts.
 
-mod standin;
+mod emulated;
 
 #[path = "races/upstream.rs"]
 mod upstream;
 
+use emulated::*;
 use foxhold::dispatch::{AttemptId, Clock, Dispatcher, DispatcherMessage};
 use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::frontend::serve::{self, ConnectionSlots, ListenerContext, ShutdownPhase};
-use standin::*;
 use std::cell::Cell;
 use std::io::{Read, Write};
 use std::rc::Rc;
@@ -46,9 +46,10 @@
 /// the policy would retry.
 #[test]
 fn no_retry_is_sent_for_a_client_whose_disconnect_found_the_mailbox_full() {
-    local(async {
-        let (server, address) = Stepped::start().await;
-        let ([cache, parent, origin], mut members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let (server, address) = SteppedServer::start().await;
+        let ([cache, parent, origin], mut members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         members[0].address = address.into();
         let dispatcher = start(settings(), Clock::system(), members);
         let request = foxhold::dispatch::ClientRequest {
@@ -69,7 +70,7 @@
         while dispatcher.metrics().await.expect("a dispatcher").tables.pending_requests > 0 {
             tokio::task::yield_now().await;
         }
-        let sent = cache.wants().len() + parent.wants().len() + origin.wants().len();
+        let sent = cache.requests().len() + parent.requests().len() + origin.requests().len();
         assert_eq!(sent, 0);
         assert_eq!(
             dispatcher.metrics().await.expect("a dispatcher").requests["videos"].cancelled_may_have_run,
@@ -81,13 +82,13 @@
 /// A client that keeps sending fills what is read ahead; its disconnect behind that was never noticed.
 #[test]
 fn the_disconnect_of_a_client_that_sends_much_is_noticed() {
-    local(async {
-        let ([cache, ..], members) = trio(Manner::Silent).await;
+    run_local(async {
+        let ([cache, ..], members) = start_cache_parent_origin(ServerBehavior::Silent).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let frontend = frontend(&dispatcher, 100).await;
         let mut client = TcpStream::connect(&frontend.address).await.expect("a frontend");
         client.write_all(get(1).as_bytes()).await.expect("a reader");
-        while cache.wants().is_empty() {
+        while cache.requests().is_empty() {
             tokio::task::yield_now().await;
         }
         client.write_all(&[b'x'; 100_000]).await.expect("a reader");
@@ -103,8 +104,9 @@
 /// Request and disconnect are both in the socket before the director reads: nothing is sent for nobody.
 #[test]
 fn a_request_whose_client_disconnected_before_it_was_read_is_not_sent() {
-    local(async {
-        let ([cache, ..], members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let ([cache, ..], members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let frontend = frontend(&dispatcher, 100).await;
         let mut client = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
@@ -114,15 +116,16 @@
             send(&frontend.address, &get(2).replace("X-Allow", "Connection: close\r\nX-Allow")).await.status,
             200
         );
-        assert_eq!(cache.wants().len(), 1, "{:?}", cache.wants());
+        assert_eq!(cache.requests().len(), 1, "{:?}", cache.requests());
     });
 }
 
 /// The shutdown and a request on an idle connection arrive together, the request first.
 #[test]
 fn a_request_that_arrived_before_the_shutdown_is_answered() {
-    local(async {
-        let (_servers, members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let (_servers, members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         for n in 0..8 {
             let frontend = frontend(&dispatcher, 100).await;
@@ -144,8 +147,9 @@
 /// A new connection and its request are in the listener's queue, unnoticed, when the shutdown begins.
 #[test]
 fn a_connection_that_arrived_before_the_shutdown_is_accepted_and_answered() {
-    local(async {
-        let (_servers, members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let (_servers, members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         for late in [false, true] {
             let frontend = frontend(&dispatcher, 100).await;
@@ -194,8 +198,9 @@
 /// A connection in the listener's queue at the shutdown that finds no slot was dropped, which resets it.
 #[test]
 fn a_connection_that_arrived_before_the_shutdown_and_finds_no_slot_is_rejected() {
-    local(async {
-        let (_servers, members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let (_servers, members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let (frontend, _occupied) = full_frontend(&dispatcher).await;
         // With nothing run in between: a connection with a complete request, and the shutdown.
@@ -211,8 +216,9 @@
 /// once and the connection closed, so that the request met a close, which resets the rejection with the rest.
 #[test]
 fn a_request_that_arrives_after_its_connection_found_no_slot_is_rejected_completely() {
-    local(async {
-        let (servers, members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let (servers, members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let (frontend, _occupied) = full_frontend(&dispatcher).await;
         for n in 0..8 {
@@ -234,15 +240,16 @@
                 .expect("a complete response");
             assert!(rest.ends_with(b"\r\n\r\n"));
         }
-        assert!(servers[0].wants().is_empty());
+        assert!(servers[0].requests().is_empty());
     });
 }
 
 /// A new connection is to be evicted when its complete request has arrived and is not read.
 #[test]
 fn a_new_connection_whose_complete_request_has_arrived_is_not_evicted_unanswered() {
-    local(async {
-        let (_servers, members) = trio(Manner::Says("ID ACK - 2\r\nok\r\n")).await;
+    run_local(async {
+        let (_servers, members) =
+            start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         for n in 0..8 {
             let frontend = frontend(&dispatcher, 1).await;
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -1,6 +1,6 @@
 //! Races on connections to servers.
 
-use crate::standin::{self, *};
+use crate::emulated::{self, *};
 use foxhold::config::settings::ConnectionSettings;
 use foxhold::dispatch::{
     AttemptError, AttemptId, AttemptResult, CancellationToken, DispatcherMessage, DispatcherSender,
@@ -32,7 +32,7 @@
     /// Puts an attempt into the mailbox, with nothing run meanwhile.
     fn send(&self, attempt: u32, id: &str, body: Vec<u8>) -> CancellationToken {
         let deadline = Instant::now() + Duration::from_secs(20);
-        let request = standin::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
+        let request = emulated::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
         let cancellation = request.cancellation.clone();
         self.commands.try_send(EndpointCommand::Send(request)).expect("capacity");
         cancellation
@@ -63,8 +63,8 @@
 /// was written, had to count as run, and one of a class that must not run twice failed.
 #[test]
 fn an_attempt_that_meets_an_idle_connection_just_closed_is_sent_on_another() {
-    local(async {
-        let (server, address) = Stepped::start().await;
+    run_local(async {
+        let (server, address) = SteppedServer::start().await;
         let mut actor = ConnectionActor::start(&address, transport(), 9);
         actor.send(0, "a", Vec::new());
         let mut first = server.connection().await;
@@ -85,8 +85,8 @@
 #[test]
 fn an_attempt_queued_behind_another_is_not_sent_once_cancelled_even_if_the_command_is_lost() {
     for ended in [false, true] {
-        local(async {
-            let (server, address) = Stepped::start().await;
+        run_local(async {
+            let (server, address) = SteppedServer::start().await;
             let mut actor = ConnectionActor::start(&address, transport(), 1);
             actor.send(0, "a", vec![0; 64 << 20]);
             let cancellation = actor.send(1, "b", Vec::new());
@@ -106,7 +106,7 @@
                 }
             }
             assert_eq!(actor.attempt_error().await, (1, AttemptError::Cancelled));
-            assert!(!ended || !server.is_asked().await);
+            assert!(!ended || !server.has_connection().await);
         });
     }
 }
@@ -115,11 +115,11 @@
 /// disconnected, once a server that had not read began to.
 #[test]
 fn an_attempt_queued_behind_another_is_not_written_to_the_socket_before_that_is_sent() {
-    local(async {
+    run_local(async {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let server = Stepped(socket.listen(8).expect("a listener"));
+        let server = SteppedServer(socket.listen(8).expect("a listener"));
         let address = server.0.local_addr().expect("an address").to_string();
         let mut actor = ConnectionActor::start(&address, transport(), 1);
         actor.send(0, "a", vec![b'x'; 300_000]);
@@ -138,8 +138,8 @@
 /// A connection that is established late delayed what established ones had capacity for.
 #[test]
 fn an_attempt_prefers_an_established_connection_to_one_being_established() {
-    local(async {
-        let (listener, address) = short_listener();
+    run_local(async {
+        let (listener, address) = listener_with_short_queue();
         let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
         let mut actor = ConnectionActor::start(&address, slow, 9);
         (0..4).for_each(|n| drop(actor.send(n, &format!("a{n}"), Vec::new())));
@@ -147,7 +147,7 @@
         for n in 0..4 {
             assert!(line(&mut up).await.starts_with(&format!("want a{n} ")));
         }
-        let _waiting = fill(&address).await;
+        let _waiting = fill_accept_queue(&address).await;
         actor.send(4, "late", Vec::new()); // one carries four at most before another is opened
         tokio::task::yield_now().await;
         for n in 0..3 {
@@ -165,9 +165,9 @@
 #[test]
 fn a_request_cancelled_before_its_connection_is_established_is_not_sent() {
     for by_command in [true, false] {
-        local(async {
-            let (listener, address) = short_listener();
-            let waiting = fill(&address).await;
+        run_local(async {
+            let (listener, address) = listener_with_short_queue();
+            let waiting = fill_accept_queue(&address).await;
             let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
             let mut actor = ConnectionActor::start(&address, slow, 9);
             let cancellation = actor.send(0, "a", Vec::new());
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -4,14 +4,14 @@
 //! 30 processes here; `FOXHOLD_READINESS_PROCESSES=100` in the environment runs the full form.
 #![cfg(feature = "cli")]
 
+mod emulated;
 mod program;
-mod standin;
 
+use emulated::{run_local, start_cache_parent_origin, EmulatedServer, ServerBehavior};
 use foxhold::dispatch::{self, Clock, DispatcherMessage};
 use foxhold::frontend::platform::PlatformFrontend;
 use foxhold::upstream::UpstreamConnector;
 use program::{call, config, read_request, status, write_request, Program, Scratch, Start};
-use standin::{local, trio, Manner, Server};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-const COPY: Manner = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
+const COPY: ServerBehavior = ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n");
 const PROCESSES: usize = 30;
 /// Nine in ten must be ready within this of the restart,
 const P90_READY: Duration = Duration::from_secs(10);
@@ -96,7 +96,7 @@
 }
 
 /// The full list with a cache that the configuration does not know.
-fn full_list(rev: u64, servers: &[Server; 3]) -> String {
+fn full_list(rev: u64, servers: &[EmulatedServer; 3]) -> String {
     let member = |id: &str, address: &str, zone: &str, kind: &str| {
         format!(
             "{{\"id\":\"{id}\",\"host_port\":\"{address}\",\"locality\":\"{zone}\",\"flavor\":\"{kind}\",\
@@ -118,7 +118,7 @@
 async fn serve_watch(
     stream: TcpStream,
     fault: DiscoveryFault,
-    servers: Rc<[Server; 3]>,
+    servers: Rc<[EmulatedServer; 3]>,
 ) -> std::io::Result<()> {
     let mut stream = BufReader::new(stream);
     let mut line = String::new();
@@ -157,7 +157,7 @@
 async fn start_discovery(
     address: SocketAddr,
     fault: DiscoveryFault,
-    servers: Rc<[Server; 3]>,
+    servers: Rc<[EmulatedServer; 3]>,
 ) -> Option<TcpListener> {
     if fault == DiscoveryFault::Down {
         return None;
@@ -266,7 +266,7 @@
 }
 
 async fn restart_all_at_once(fault: DiscoveryFault, count: usize) {
-    let (servers, _) = trio(COPY).await;
+    let (servers, _) = start_cache_parent_origin(COPY).await;
     let at = addresses(FIRST_RESTART_PORT, 2 * count + 1);
     let (ports, discovery) = (&at[1..], at[0]);
     let directors: Vec<Director> = (0..count)
@@ -311,20 +311,21 @@
 #[test]
 fn directors_restarted_together_are_ready_in_time_and_serve_whatever_the_discovery_fault() {
     for fault in DiscoveryFault::ALL {
-        local(restart_all_at_once(fault, processes()));
+        run_local(restart_all_at_once(fault, processes()));
     }
 }
 
 /// Guards against a frontend that says it is ready while its dispatcher can't be asked.
 #[test]
 fn a_frontend_whose_dispatcher_has_ended_is_not_ready_and_still_answers() {
-    local(async {
-        let (_servers, members) = trio(COPY).await;
+    run_local(async {
+        let (_servers, members) = start_cache_parent_origin(COPY).await;
         let known = vec![DispatcherMessage::Members { full: true, members }];
-        let servers = UpstreamConnector::new(standin::transport(), 10);
+        let servers = UpstreamConnector::new(emulated::transport(), 10);
         let running =
-            dispatch::start(standin::settings(), 7, Clock::system(), servers, known).expect("settings");
-        let address = standin::serve(&running.dispatcher, PlatformFrontend(running.dispatcher.clone())).await;
+            dispatch::start(emulated::settings(), 7, Clock::system(), servers, known).expect("settings");
+        let address =
+            emulated::serve(&running.dispatcher, PlatformFrontend(running.dispatcher.clone())).await;
         let read = read_request(1, 1_000).replace("guide-videos", "videos");
         assert_eq!(status(&address, ALIVE).await, Some(200));
         assert_eq!(status(&address, &read).await, Some(200));
@@ -340,8 +341,8 @@
 #[test]
 fn a_director_killed_within_the_first_second_of_its_start_is_ready_and_serves_after_a_restart() {
     use rustix::process::Signal;
-    local(async {
-        let (servers, _) = trio(COPY).await;
+    run_local(async {
+        let (servers, _) = start_cache_parent_origin(COPY).await;
         let [listen, admin, gossip] = addresses(FIRST_KILL_PORT, 3)[..] else { panic!("three") };
         let [cache, parent, origin] = [0, 1, 2].map(|n: usize| servers[n].address.as_str());
         let text = config(256, "", &admin.to_string(), [cache, parent, origin]);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,12 +1,12 @@
 //! Reloads at SIGHUP: what is in flight is left alone, and no drain is lost.
 #![cfg(feature = "cli")]
 
+mod emulated;
 mod program;
-mod standin;
 
+use emulated::{run_local, send, start_cache_parent_origin, EmulatedServer, ServerBehavior};
 use program::{config, config_with_origin, read_request, write_request, Scratch, Start};
 use rustix::process::Signal;
-use standin::{local, send, trio, Manner, Server};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -36,8 +36,8 @@
 /// Guards against the signal's default, which ends a process, and against dropping what is in flight.
 #[test]
 fn sighup_applies_the_discovery_address_and_leaves_requests_in_flight_alone() {
-    local(async {
-        let origin = Server::start(Manner::Says("")).await;
+    run_local(async {
+        let origin = EmulatedServer::start(ServerBehavior::Responds("")).await;
         let ((old, old_address), (new, new_address)) = (discovery_service().await, discovery_service().await);
         let with_discovery = |address: &str| {
             config_with_origin(&origin.address)
@@ -50,7 +50,7 @@
         let mut in_flight = TcpStream::connect(&program.address).await.expect("a listener");
         in_flight.write_all(write_request(1, 1_500).as_bytes()).await.expect("a reader");
         let begun = Instant::now();
-        while origin.wants().is_empty() {
+        while origin.requests().is_empty() {
             assert!(begun.elapsed() < Duration::from_secs(10), "nothing was sent");
             sleep(Duration::from_millis(1)).await;
         }
@@ -97,19 +97,20 @@
 #[test]
 fn a_reload_at_the_moment_of_a_drain_loses_it_in_no_order() {
     for gap_ms in [-20, -5, -1, 0, 1, 5, 20_i64] {
-        local(reload_beside_drain(gap_ms));
+        run_local(reload_beside_drain(gap_ms));
     }
 }
 
 async fn reload_beside_drain(gap_ms: i64) {
-    let ([cache, parent, origin], _) = trio(Manner::Says("ID ACK res=cached 5\r\nbytes\r\n")).await;
+    let ([cache, parent, origin], _) =
+        start_cache_parent_origin(ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n")).await;
     let ((old, old_address), (new, new_address)) = (discovery_service().await, discovery_service().await);
     let servers = [&cache, &parent, &origin].map(|server| server.address.as_str());
     let file = Scratch::new(&format!("drain-{gap_ms}"), &config(1024, &old_address, "", servers));
     let program = Start { config: Some(&file.0), ..Start::default() }.run();
     let request = |id: u64| read_request(id, 1_500);
     assert_eq!(send(&program.address, &request(1)).await.status, 200);
-    assert!(!cache.wants().is_empty(), "it goes to the cache");
+    assert!(!cache.requests().is_empty(), "it goes to the cache");
     // Settings change too, so that the dispatcher hears of both.
     let changed = config(1024, &new_address, "", servers);
     file.replace(&changed.replace("\"maxAttempts\": 6", "\"maxAttempts\": 5"));
@@ -120,11 +121,11 @@
     sleep(Duration::from_millis(reload_after as u64)).await;
     program.signal(Signal::HUP);
     sleep(DRAIN_HEEDED).await;
-    let sent = cache.wants().len();
+    let sent = cache.requests().len();
     for id in 2..22 {
         assert_eq!(send(&program.address, &request(id)).await.status, 200);
         sleep(Duration::from_millis(10)).await;
     }
-    let late = cache.wants().split_off(sent);
+    let late = cache.requests().split_off(sent);
     assert!(late.is_empty(), "reload {gap_ms} ms after the drain: {late:?}");
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,18 +1,18 @@
 //! The graceful shutdown: what was accepted is answered, and a successor takes over an inherited socket.
 #![cfg(feature = "cli")]
 
+mod emulated;
 mod program;
-mod standin;
 
+use emulated::{run_local, send, EmulatedServer, ServerBehavior};
 use program::{config_with_origin, write_request, Program, Scratch, Start};
 use rustix::process::Signal;
-use standin::{local, send, Manner, Server};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-const COPY: Manner = Manner::Says("ID ACK - 2\r\nok\r\n");
+const COPY: ServerBehavior = ServerBehavior::Responds("ID ACK - 2\r\nok\r\n");
 const ALIVE: &str = "GET /alive HTTP/1.1\r\nConnection: close\r\n\r\n";
 /// New connections are served for this long after SIGTERM.
 const GRACE_PERIOD: Duration = Duration::from_millis(700);
@@ -27,9 +27,9 @@
 }
 
 /// Waits until the server has been sent a request; a program that has ended never sends one.
-async fn request_reached(origin: &Server) {
+async fn request_reached(origin: &EmulatedServer) {
     let begun = Instant::now();
-    while origin.wants().is_empty() {
+    while origin.requests().is_empty() {
         assert!(begun.elapsed() < Duration::from_secs(10), "nothing was sent");
         sleep(Duration::from_millis(1)).await;
     }
@@ -52,8 +52,8 @@
 
 #[test]
 fn after_sigterm_accepted_requests_and_new_connections_are_served_before_the_process_ends() {
-    local(async {
-        let origin = Server::start(Manner::Says("")).await;
+    run_local(async {
+        let origin = EmulatedServer::start(ServerBehavior::Responds("")).await;
         let config = Scratch::new("term", &config_with_origin(&origin.address));
         let program = run(&config);
         let mut accepted = TcpStream::connect(&program.address).await.expect("a listener");
@@ -72,8 +72,8 @@
 /// Guards against an end while a request is still coming: it has begun, and is not dispatched yet.
 #[test]
 fn a_request_that_has_begun_to_come_at_the_shutdown_is_answered() {
-    local(async {
-        let origin = Server::start(COPY).await;
+    run_local(async {
+        let origin = EmulatedServer::start(COPY).await;
         let config = Scratch::new("begun", &config_with_origin(&origin.address));
         let program = run(&config);
         let mut client = TcpStream::connect(&program.address).await.expect("a listener");
@@ -104,8 +104,8 @@
 /// lost between the two: each connection of the old one ends with an answer that says so.
 #[test]
 fn a_successor_on_the_inherited_socket_takes_over_from_a_process_that_ends() {
-    local(async {
-        let origin = Server::start(COPY).await;
+    run_local(async {
+        let origin = EmulatedServer::start(COPY).await;
         let config = Scratch::new("successor", &config_with_origin(&origin.address));
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("an address").to_string();
@@ -135,8 +135,8 @@
 #[test]
 fn a_reload_at_the_same_moment_leaves_the_shutdown_as_it_is() {
     for signals in [[Signal::HUP, Signal::TERM], [Signal::TERM, Signal::HUP]] {
-        local(async {
-            let origin = Server::start(Manner::Says("")).await;
+        run_local(async {
+            let origin = EmulatedServer::start(ServerBehavior::Responds("")).await;
             let config = Scratch::new("reload-at-end", &config_with_origin(&origin.address));
             let program = run(&config);
             let mut accepted = TcpStream::connect(&program.address).await.expect("a listener");
--- a/tests/signed_frontend.rs
+++ b/tests/signed_frontend.rs
@@ -1,8 +1,9 @@
 //! The signed frontend on loopback, from a client's link to fake servers and back, each outcome counted.
 
-mod standin;
+mod emulated;
 
 use base64::{engine::general_purpose::URL_SAFE, Engine};
+use emulated::*;
 use foxhold::discovery::watched_file::WatchedFile;
 use foxhold::dispatch::{Clock, Dispatcher, DispatcherMessage};
 use foxhold::frontend::metrics::MetricsFrontend;
@@ -10,7 +11,6 @@
 use foxhold::policy::types::Micros;
 use foxhold::signed::OutcomeCounters;
 use hmac::{Hmac, KeyInit, Mac};
-use standin::*;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -20,16 +20,16 @@
 
 struct Deployment {
     dispatcher: Dispatcher,
-    cache: Server,
-    parent: Server,
-    origin: Server,
+    cache: EmulatedServer,
+    parent: EmulatedServer,
+    origin: EmulatedServer,
     address: String,
     counts: Arc<OutcomeCounters>,
 }
 
 /// A director whose clock differs from the issuer's, and servers that all behave alike.
-async fn deployment(manner: Manner, clock_offset: i64) -> Deployment {
-    let ([cache, parent, origin], members) = trio(manner).await;
+async fn deployment(behavior: ServerBehavior, clock_offset: i64) -> Deployment {
+    let ([cache, parent, origin], members) = start_cache_parent_origin(behavior).await;
     let clock = Clock::starting_at((NOW * 1_000_000).saturating_add_signed(clock_offset));
     let dispatcher = start(settings(), clock, members);
     let secret = URL_SAFE.encode(SECRET);
@@ -46,7 +46,7 @@
 
 impl Deployment {
     fn attempts(&self) -> usize {
-        [&self.cache, &self.parent, &self.origin].iter().map(|s| s.wants().len()).sum()
+        [&self.cache, &self.parent, &self.origin].iter().map(|s| s.requests().len()).sum()
     }
 
     async fn get(&self, target: &str) -> Response {
@@ -93,17 +93,17 @@
     }
 }
 
-const COPY: Manner = Manner::Says("ID ACK tag=aa,minted=1,res=cached 5\r\nbytes\r\n");
+const COPY: ServerBehavior = ServerBehavior::Responds("ID ACK tag=aa,minted=1,res=cached 5\r\nbytes\r\n");
 const SECOND: i64 = 1_000_000;
 
 #[test]
 fn a_valid_link_is_served_and_its_credential_goes_no_further() {
-    local(async {
+    run_local(async {
         let deployment = deployment(COPY, 0).await;
         let answer = deployment.get(&deployment.link("/videos/guide/one.mp4", NOW + 60)).await;
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes"[..]));
         assert_eq!(answer.header("etag"), Some("\"aa\""));
-        let wants = deployment.cache.wants();
+        let wants = deployment.cache.requests();
         assert!(wants[0].contains("kind=videos,obj=guide/one.mp4,ms="), "{wants:?}");
         assert!(!wants[0].contains("Signature"), "{wants:?}");
         deployment.assert_counted("served", 1);
@@ -117,7 +117,7 @@
 
 #[test]
 fn forged_expired_early_and_malformed_links_are_403_and_counted_apart() {
-    local(async {
+    run_local(async {
         let far = format!(r#"{{"cdniuc":"regex:.*","nbf":{}}}"#, NOW + 600);
         type Target<'a> = &'a dyn Fn(&Deployment) -> String;
         let cases: [(&str, Target); 5] = [
@@ -142,7 +142,7 @@
     for (clock_offset, link, token) in
         [(4 * SECOND, 200, 200), (5 * SECOND, 403, 200), (-4 * SECOND, 200, 200), (-6 * SECOND, 200, 403)]
     {
-        local(async {
+        run_local(async {
             let deployment = deployment(COPY, clock_offset).await;
             assert_eq!(
                 deployment.get(&deployment.link("/videos/a", NOW)).await.status,
@@ -164,9 +164,9 @@
 
 #[test]
 fn a_link_that_expires_while_its_request_is_pending_is_answered_once_and_cancelled() {
-    local(async {
+    run_local(async {
         // 300 ms are left of its five seconds of skew.
-        let deployment = deployment(Manner::Silent, 4_700_000).await;
+        let deployment = deployment(ServerBehavior::Silent, 4_700_000).await;
         assert_eq!(deployment.get(&deployment.link("/videos/a", NOW)).await.status, 403);
         deployment.assert_counted("expired", 1);
         assert_eq!(deployment.attempts(), 1);
@@ -178,8 +178,8 @@
 
 #[test]
 fn a_write_whose_link_expires_after_it_was_sent_may_have_run() {
-    local(async {
-        let deployment = deployment(Manner::Silent, 4_700_000).await;
+    run_local(async {
+        let deployment = deployment(ServerBehavior::Silent, 4_700_000).await;
         let answer = deployment.send("PUT", &deployment.link("/filing/a", NOW), "a filing").await;
         assert_eq!((answer.status, answer.header("retry-after")), (504, None));
         deployment.assert_counted("expired_unknown", 1);
@@ -189,18 +189,18 @@
 
 #[test]
 fn slow_broken_and_rejecting_servers_each_have_their_status() {
-    for (manner, method, path, status, outcome, retry) in [
-        (Manner::Says(""), "GET", "/videos/a", 504, "deadline", false),
-        (Manner::Closes, "PUT", "/filing/a", 502, "upstream", false),
-        (Manner::BreaksOff, "GET", "/videos/a", 502, "upstream", true),
-        (Manner::Says("ID EIO - 0\r\n\r\n"), "PUT", "/filing/a", 502, "upstream", false),
-        (Manner::Says("ID AGAIN - 0\r\n\r\n"), "GET", "/videos/a", 503, "refused", true),
+    for (behavior, method, path, status, outcome, retry) in [
+        (ServerBehavior::Responds(""), "GET", "/videos/a", 504, "deadline", false),
+        (ServerBehavior::ClosesConnection, "PUT", "/filing/a", 502, "upstream", false),
+        (ServerBehavior::BreaksOffResponse, "GET", "/videos/a", 502, "upstream", true),
+        (ServerBehavior::Responds("ID EIO - 0\r\n\r\n"), "PUT", "/filing/a", 502, "upstream", false),
+        (ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n"), "GET", "/videos/a", 503, "refused", true),
     ] {
-        local(async {
-            let deployment = deployment(manner.clone(), 0).await;
+        run_local(async {
+            let deployment = deployment(behavior.clone(), 0).await;
             let answer = deployment.send(method, &deployment.link(path, NOW + 60), "").await;
-            assert_eq!(answer.status, status, "{manner:?}");
-            assert_eq!(answer.header("retry-after").is_some(), retry, "{manner:?}: {answer:?}");
+            assert_eq!(answer.status, status, "{behavior:?}");
+            assert_eq!(answer.header("retry-after").is_some(), retry, "{behavior:?}: {answer:?}");
             deployment.assert_counted(outcome, 1);
         });
     }
@@ -208,7 +208,7 @@
 
 #[test]
 fn a_valid_link_to_an_unknown_object_is_a_bad_request() {
-    local(async {
+    run_local(async {
         let deployment = deployment(COPY, 0).await;
         for (path, status) in
             [("/nothing/a", 404), ("/videos/", 400), ("/videos/../filing/a", 400), ("/filing/a", 405)]
@@ -222,7 +222,7 @@
 
 #[test]
 fn the_counters_are_served_at_metrics() {
-    local(async {
+    run_local(async {
         let counts = Arc::new(OutcomeCounters::default());
         counts.increment("forged");
         let dispatcher = start(settings(), Clock::starting_at(1 as Micros), Vec::new());
@@ -235,7 +235,7 @@
 
 #[test]
 fn servers_that_refuse_connections_are_a_502_with_retry_after() {
-    local(async {
+    run_local(async {
         let nobody = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = nobody.local_addr().expect("an address").to_string();
         let deployment = deployment(COPY, 0).await;
@@ -266,7 +266,7 @@
         format!(r#"{{"scheme":"http","keys":[{{"name":"{name}","alg":"HMAC-SHA1","key":"{key}"}}]}}"#)
     };
     std::fs::write(&path, file("u0")).expect("a file");
-    paused(async {
+    run_with_paused_clock(async {
         let (watched, first) = WatchedFile::open(path.clone(), parse_keys).expect("a good file");
         let (sender, keys) = watch::channel(Arc::new(first));
         tokio::task::spawn_local(follow_keys(watched, sender));
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,12 +1,12 @@
 //! Forty-five minutes of a director's work in a few seconds of paused time: new ids, clients that disconnect,
 //! servers that are replaced, responses that never come. No table may grow with time.
 
-mod standin;
+mod emulated;
 
+use emulated::{listing, run_with_paused_clock, settings};
 use foxhold::dispatch::{self, *};
 use foxhold::policy::types::*;
 use quickcheck::{Arbitrary, Gen};
-use standin::{listing, paused, settings};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::sleep;
@@ -155,7 +155,7 @@
 
 #[test]
 fn forty_five_minutes_leave_every_table_the_mailbox_and_the_memory_as_they_were() {
-    paused(async {
+    run_with_paused_clock(async {
         let initial = vec![DispatcherMessage::Members { full: true, members: fleet(0) }];
         let settings = Settings { health_checks: true, ..settings() };
         let clock = Clock::starting_at(START);
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -1,7 +1,8 @@
 //! The actor of an endpoint over real connections: how each attempt ends, and which connection carries it.
 
-mod standin;
+mod emulated;
 
+use emulated::{listing, run_local, transport, EmulatedServer, ServerBehavior};
 use foxhold::config::settings::ConnectionSettings;
 use foxhold::dispatch::{
     AttemptError, AttemptId, AttemptResult, DispatcherMessage, DispatcherSender, EndpointCommand,
@@ -9,7 +10,6 @@
 };
 use foxhold::policy::types::ServerId;
 use foxhold::upstream::UpstreamConnector;
-use standin::{listing, local, transport, Manner, Server};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpListener;
@@ -38,7 +38,7 @@
 
     async fn send(&self, attempt: u32, id: &str, body: Vec<u8>) {
         let deadline = Instant::now() + Duration::from_secs(20);
-        let request = standin::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
+        let request = emulated::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
         self.commands.send(EndpointCommand::Send(request)).await.expect("an actor");
     }
 
@@ -59,20 +59,20 @@
 }
 
 /// Waits until the server has received this many requests.
-async fn sent(server: &Server, count: usize) {
-    while server.wants().len() < count {
+async fn sent(server: &EmulatedServer, count: usize) {
+    while server.requests().len() < count {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
 #[test]
 fn the_error_of_an_attempt_tells_how_far_it_had_come() {
-    local(async {
-        for (manner, error) in [
-            (Manner::Closes, AttemptError::Unanswered),
-            (Manner::BreaksOff, AttemptError::ResponseInterrupted),
+    run_local(async {
+        for (behavior, error) in [
+            (ServerBehavior::ClosesConnection, AttemptError::Unanswered),
+            (ServerBehavior::BreaksOffResponse, AttemptError::ResponseInterrupted),
         ] {
-            let server = Server::start(manner).await;
+            let server = EmulatedServer::start(behavior).await;
             let mut actor = EndpointActor::open(&server.address, transport(), 9);
             actor.send(0, "a", Vec::new()).await;
             assert_eq!(actor.error().await, error);
@@ -89,15 +89,15 @@
 /// Guards the metrics: a request written completely counts once, be it answered, interrupted or cancelled.
 #[test]
 fn each_completely_written_attempt_is_reported_once() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let mut actor = EndpointActor::open(&server.address, transport(), 9);
         actor.send(0, "a", Vec::new()).await;
         actor.send(1, "b", Vec::new()).await;
         sent(&server, 2).await;
         let id = AttemptId { request: 1, attempt: 0 };
         actor.commands.send(EndpointCommand::Cancel(id)).await.expect("an actor");
-        *server.manner.borrow_mut() = Manner::Closes;
+        *server.behavior.borrow_mut() = ServerBehavior::ClosesConnection;
         actor.send(2, "c", Vec::new()).await;
         assert_eq!(
             (actor.error().await, actor.error().await),
@@ -114,7 +114,7 @@
 
 #[test]
 fn a_request_that_the_server_cannot_have_completely_ends_as_partially_written() {
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut actor =
             EndpointActor::open(&listener.local_addr().expect("an address").to_string(), transport(), 9);
@@ -128,12 +128,12 @@
 
 #[test]
 fn an_attempt_without_a_descriptor_ends_unsent() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let mut actor = EndpointActor::open(&server.address, transport(), 0);
         actor.send(0, "a", Vec::new()).await;
         assert_eq!(actor.error().await, AttemptError::NoDescriptor);
-        assert!(server.wants().is_empty());
+        assert!(server.requests().is_empty());
     });
 }
 
@@ -141,7 +141,7 @@
 /// in between ended unsent, and counted against the server.
 #[test]
 fn an_attempt_is_not_placed_on_a_connection_that_has_ended_unreported() {
-    local(async {
+    run_local(async {
         let address =
             TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("an address");
         // Room for one message: the connection waits with the second, and its end is not reported.
@@ -169,9 +169,9 @@
 /// Guards a server that is added late against waiting for the idle timeout of connections to others.
 #[test]
 fn an_idle_connection_closes_if_another_endpoint_needs_its_descriptor() {
-    local(async {
-        let copy = Manner::Says("ID ACK res=cached 5\r\nbytes\r\n");
-        let (first, second) = (Server::start(copy.clone()).await, Server::start(copy).await);
+    run_local(async {
+        let copy = ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n");
+        let (first, second) = (EmulatedServer::start(copy.clone()).await, EmulatedServer::start(copy).await);
         let mut connector = UpstreamConnector::new(transport(), 1);
         let mut early = EndpointActor::open_by(&mut connector, &first.address);
         let mut late = EndpointActor::open_by(&mut connector, &second.address);
@@ -194,8 +194,8 @@
     for (streams, ids, connections) in
         [(100, ["a", "b", "c"], 1), (100, ["a", "a", "b"], 2), (2, ["a", "b", "c"], 2)]
     {
-        local(async {
-            let server = Server::start(Manner::Silent).await;
+        run_local(async {
+            let server = EmulatedServer::start(ServerBehavior::Silent).await;
             let actor = EndpointActor::open(
                 &server.address,
                 ConnectionSettings { max_streams: streams, ..transport() },
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_response_that_crosses_its_cancellation_is_ignored_and_the_connection_stays_open() {
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut actor =
             EndpointActor::open(&listener.local_addr().expect("an address").to_string(), transport(), 9);
@@ -243,9 +243,9 @@
 /// one under an id that was never sent, one to a health check that is not under way.
 #[test]
 fn unrequested_responses_are_ignored_and_the_connection_stays_open() {
-    local(async {
+    run_local(async {
         let surplus = "other ACK - 4\r\nevil\r\np9 READY\r\nID ACK - 4\r\ngood\r\nID ACK - 4\r\nevil\r\n";
-        let server = Server::start(Manner::Says(surplus)).await;
+        let server = EmulatedServer::start(ServerBehavior::Responds(surplus)).await;
         let mut actor = EndpointActor::open(&server.address, transport(), 9);
         for (attempt, id) in ["a", "b", "c"].into_iter().enumerate() {
             actor.send(attempt as u32, id, Vec::new()).await;
@@ -261,8 +261,8 @@
 
 #[test]
 fn a_connection_that_is_silent_past_a_cancellation_gets_no_new_attempts() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let actor = EndpointActor::open(&server.address, transport(), 9);
         actor.send(0, "a", Vec::new()).await;
         sent(&server, 1).await;
@@ -283,8 +283,8 @@
 
 #[test]
 fn an_idle_connection_closes_before_the_server_closes_it_and_a_new_one_opens_on_demand() {
-    local(async {
-        let server = Server::start(Manner::Says("ID ACK - 0\r\n\r\n")).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Responds("ID ACK - 0\r\n\r\n")).await;
         let mut actor = EndpointActor::open(
             &server.address,
             ConnectionSettings { idle_timeout: Duration::from_millis(50), ..transport() },
@@ -304,15 +304,15 @@
 /// Guards against one invalid response costing all attempts in flight at a server.
 #[test]
 fn attempts_are_spread_so_that_an_invalid_response_costs_few() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let mut actor = EndpointActor::open(&server.address, transport(), 9);
         for attempt in 0..12 {
             actor.send(attempt, &format!("a{attempt}"), Vec::new()).await;
         }
         sent(&server, 12).await;
         assert_eq!(server.connections.get(), 3);
-        *server.manner.borrow_mut() = Manner::Says("ID ACK - 4\r\nmore than four\r\n");
+        *server.behavior.borrow_mut() = ServerBehavior::Responds("ID ACK - 4\r\nmore than four\r\n");
         actor.send(12, "a12", Vec::new()).await;
         let (attempt, end) = actor.end().await;
         assert_eq!((attempt, end.expect_err("an invalid response")), (12, AttemptError::ResponseInterrupted));
@@ -322,12 +322,12 @@
 /// Guards against waiting, up to the deadline, behind a truncated response on a connection that stays open.
 #[test]
 fn a_truncated_response_ends_all_attempts_on_its_connection() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let mut actor = EndpointActor::open(&server.address, transport(), 9);
         actor.send(0, "a", Vec::new()).await;
         sent(&server, 1).await;
-        *server.manner.borrow_mut() = Manner::Stalls;
+        *server.behavior.borrow_mut() = ServerBehavior::StallsResponse;
         let begun = Instant::now();
         actor.send(1, "b", Vec::new()).await;
         let mut ends =
@@ -341,8 +341,8 @@
 /// Guards against a liveness check for every large object, whose first byte often takes a second.
 #[test]
 fn a_response_that_takes_most_of_a_second_costs_no_liveness_check() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let actor = EndpointActor::open(&server.address, transport(), 9);
         actor.send(0, "a", Vec::new()).await;
         sent(&server, 1).await;
@@ -354,16 +354,16 @@
 /// Guards against a connection that stays open and silent, and against taking a slow response for one.
 #[test]
 fn a_silent_connection_ends_unless_it_answers_a_liveness_check() {
-    local(async {
-        let server = Server::start(Manner::Silent).await;
+    run_local(async {
+        let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let mut actor = EndpointActor::open(&server.address, transport(), 9);
         actor.send(0, "a", Vec::new()).await;
         assert_eq!(actor.error().await, AttemptError::Unanswered);
-        let slow = Server::start(Manner::Says("")).await;
+        let slow = EmulatedServer::start(ServerBehavior::Responds("")).await;
         let mut actor = EndpointActor::open(&slow.address, transport(), 9);
         actor.send(0, "a", Vec::new()).await;
         let waited = tokio::time::timeout(Duration::from_millis(3500), actor.end()).await;
         assert!(waited.is_err(), "{waited:?}");
-        assert_eq!(slow.wants().len(), 1);
+        assert_eq!(slow.requests().len(), 1);
     });
 }
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -1,9 +1,10 @@
 //! The bytes that others read: written once by revision 752f85b, and the same since. Nothing here may change
 //! with a renaming; the fixtures in `tests/fixtures/v0` are not written anew.
 
-mod standin;
+mod emulated;
 
 use bytes::BytesMut;
+use emulated::*;
 use foxhold::config::settings::{decode_connection_settings, parse_settings};
 use foxhold::discovery::codec::{decode_line, WatchLine};
 use foxhold::discovery::WatchChange;
@@ -13,7 +14,6 @@
 use foxhold::frontend::serve::ShutdownPhase;
 use foxhold::upstream::line_codec;
 use foxhold::{CacheStatusLevel, Idempotency, KeyScope, Siblings};
-use standin::*;
 use std::cell::Cell;
 use std::path::Path;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 
 fn plain(id: &str, now: Instant) -> UpstreamRequest {
     let ticket = AttemptId { request: 1, attempt: 0 };
-    standin::want(ticket, id, "videos", Vec::new(), now + Duration::from_millis(1500))
+    emulated::want(ticket, id, "videos", Vec::new(), now + Duration::from_millis(1500))
 }
 
 #[test]
@@ -207,7 +207,7 @@
 
 // ---- clients and operators ----
 
-const COPY: Manner = Manner::Says("ID ACK tag=aa,res=cached 5\r\nbytes\r\n");
+const COPY: ServerBehavior = ServerBehavior::Responds("ID ACK tag=aa,res=cached 5\r\nbytes\r\n");
 
 /// The whole answer to one request, as it stood on the wire; what differs by chance is masked.
 async fn raw(address: &str, request: &str) -> String {
@@ -232,8 +232,8 @@
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table: a request a line, which the admin endpoint counts")]
 fn answers_to_clients_and_operators_are_byte_by_byte_as_before() {
-    local(async {
-        let ([cache, parent, origin], members) = trio(COPY).await;
+    run_local(async {
+        let ([cache, parent, origin], members) = start_cache_parent_origin(COPY).await;
         let core = start(settings(), Clock::system(), members);
         let front = serve(&core, PlatformFrontend(core.clone())).await;
         let (close, closing) = watch::channel(ShutdownPhase::Running);
@@ -255,19 +255,19 @@
         out += &raw(&front, &request("GET", "/alive", "", "")).await;
         out += &raw(&front, &request("GET", videos, &job(1), "")).await;
         out += &raw(&front, &request("GET", &format!("{videos}?block=3"), &job(2), "")).await;
-        *cache.manner.borrow_mut() = Manner::Says("ID NOMOD tag=aa 0\r\n\r\n");
+        *cache.behavior.borrow_mut() = ServerBehavior::Responds("ID NOMOD tag=aa 0\r\n\r\n");
         let known = job(3) + "If-None-Match: \"aa\"\r\n";
         out += &raw(&front, &request("GET", videos, &known, "")).await;
         for server in [&cache, &parent, &origin] {
-            *server.manner.borrow_mut() = Manner::Says("ID AGAIN - 0\r\n\r\n");
+            *server.behavior.borrow_mut() = ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n");
         }
         out += &raw(&front, &request("GET", videos, &job(4), "")).await;
         for server in [&cache, &parent, &origin] {
-            *server.manner.borrow_mut() = Manner::Says("ID EIO - 0\r\n\r\n");
+            *server.behavior.borrow_mut() = ServerBehavior::Responds("ID EIO - 0\r\n\r\n");
         }
         out += &raw(&front, &request("PUT", "/ops/filing/7f3a9c21e0b4d655", &job(5), "text")).await;
         for server in [&cache, &parent, &origin] {
-            *server.manner.borrow_mut() = Manner::Silent;
+            *server.behavior.borrow_mut() = ServerBehavior::Silent;
         }
         let short = "X-Job-Id: 0000000000000006\r\nX-Allow-Ms: 200\r\n";
         out += &raw(&front, &request("GET", videos, short, "")).await;
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -1,12 +1,12 @@
 //! Endpoint lists in xDS form: decoding, encoding, and responses that are rejected as a whole.
 
-mod standin;
+mod emulated;
 
+use emulated::{listing, run_with_paused_clock};
 use foxhold::discovery::xds;
 use foxhold::discovery::{follow_file, watched_file::WatchedFile};
 use foxhold::dispatch::{DispatcherMessage, DispatcherSender, Endpoint};
 use foxhold::policy::types::MemberState;
-use standin::{listing, paused};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
@@ -101,7 +101,7 @@
 fn a_watched_file_that_becomes_invalid_leaves_the_last_valid_list() {
     let path = std::env::temp_dir().join(format!("foxhold-xds-{}.json", std::process::id()));
     std::fs::write(&path, SNAKE).expect("a file");
-    paused(async {
+    run_with_paused_clock(async {
         let (mailbox, mut inbox) = mpsc::channel(8);
         let (file, first) = WatchedFile::open(path.clone(), xds::parse).expect("a valid file");
         assert_eq!(first.members.len(), 2);
