--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -12,7 +12,7 @@
 //! The state of a director is a map from [`entry::Key`] to [`entry::Value`]. Two maps are merged entry by
 //! entry, and each merge is commutative, associative and idempotent (a CRDT): directors that have received
 //! the same updates hold the same state, in whatever order and however often these arrived.
-//! `docs/design/replica.md` compares the alternatives; `docs/replica.md` is for operators.
+//! `docs/design/replica.md` compares the alternatives; `docs/replication.md` is for operators.
 
 pub mod digest;
 pub mod entry;
