--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,4 +1,5 @@
 //! The cost of one decision: a request and the end of its attempt, with fleets of four sizes.
+#![allow(missing_docs, reason = "the macros of criterion make a function of their own")]
 
 #[path = "../tests/standin/mod.rs"]
 mod standin;
--- a/src/frontend/serve/session.rs
+++ b/src/frontend/serve/session.rs
@@ -36,8 +36,8 @@
     frontend: &'a F,
     shutdown: watch::Receiver<ShutdownPhase>,
     awaited: Awaited,
-    /// Counts a request that is still to come whole: at the end of the process it is waited for. Otherwise a
-    /// request is counted from then on.
+    /// Counts a request that was not complete when idle connections were closed, so that the process waits
+    /// for it. Any other request is counted once it is complete.
     in_flight: Option<InFlightGuard>,
 }
 
@@ -113,7 +113,7 @@
     }
 
     /// Whether a request crosses the close of its connection and is read all the same; on a new connection
-    /// only one that has come whole.
+    /// only a complete one.
     fn stays_at_close(&mut self) -> bool {
         if !self.connection.has_request_begun() {
             return false;
