--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -1,7 +1,7 @@
 //! Delivers operators' drains to the dispatcher, again until it has taken them.
 
 use super::LOG_TARGET;
-use crate::dispatch::{self, DispatcherMessage, DispatcherSender};
+use crate::dispatch::{DispatcherMessage, DispatcherSender};
 use crate::replication::entry::{DrainCommand, Key, Kind, Value};
 use crate::replication::gossip::Update;
 use crate::replication::state::ReplicatedState;
@@ -102,10 +102,6 @@
     command: DrainCommand,
 ) -> Option<oneshot::Receiver<bool>> {
     let (reply, answer) = oneshot::channel();
-    let command = match command {
-        DrainCommand::Drain => dispatch::DrainCommand::Drain,
-        DrainCommand::Undrain => dispatch::DrainCommand::Undrain,
-    };
     let message = DispatcherMessage::Drain { name: server.into(), command, listed: reply };
     dispatcher.try_send(message).then_some(answer)
 }
--- a/src/dispatch/membership.rs
+++ b/src/dispatch/membership.rs
@@ -29,6 +29,15 @@
     pub started_at: Micros,
 }
 
+/// What an operator or a host application wants of a server, whatever its source says of it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DrainCommand {
+    /// Drain it.
+    Drain,
+    /// End the drain.
+    Undrain,
+}
+
 /// Drains that an operator or a host application has ordered, by server, with the start of the process that
 /// is to drain. The endpoint list bounds them, for one of a name that no source lists is removed.
 #[derive(Debug, Default)]
--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -1,5 +1,6 @@
 //! The messages that the dispatcher's actor receives, and the mailbox that they are sent to.
 
+use crate::dispatch::membership::DrainCommand;
 use crate::dispatch::membership::Endpoint;
 use crate::dispatch::request::{ClientRequest, ClientResponse};
 use crate::dispatch::{
@@ -22,15 +23,6 @@
     pub cancellation: CancellationToken,
 }
 
-/// What an operator or a host application wants of a server, whatever its source says of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DrainCommand {
-    /// Drain it.
-    Drain,
-    /// End the drain.
-    Undrain,
-}
-
 /// A message to the actor.
 #[derive(Debug)]
 pub enum DispatcherMessage {
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -43,8 +43,8 @@
     EndpointCommand, EndpointConnector, HealthReport, ResponseStatus, UpstreamRequest, UpstreamResponse,
 };
 pub use handle::{Dispatcher, PendingResponse};
-pub use membership::Endpoint;
-pub use message::{DispatcherMessage, DispatcherSender, DrainCommand, SubmittedRequest};
+pub use membership::{DrainCommand, Endpoint};
+pub use message::{DispatcherMessage, DispatcherSender, SubmittedRequest};
 pub use metrics::{ClassCounts, DispatcherMetrics, TableSizes};
 pub use naming::{object_number, server_number};
 pub use request::{
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,8 +16,8 @@
 //!
 //! # The decisions
 //!
-//! A [`Router`] is one gateway's decision maker. It holds no clock, does no I/O and shares nothing: the
-//! gateway tells it what happened ([`Event`]) and when, and carries out what it answers ([`Action`]).
+//! A [`Router`] decides for one director. It holds no clock, does no I/O and shares nothing: its host tells
+//! it what happened ([`Event`]) and when, and carries out what it answers ([`Action`]).
 //!
 //! ```
 //! use foxhold::{Action, Class, Event, Member, MemberState, ObjectId, MemberUpdate, Request, RequestId};
--- a/src/replication/entry/drain_record.rs
+++ b/src/replication/entry/drain_record.rs
@@ -1,5 +1,6 @@
 //! Operators' drains and undrains of one server, as an observed-remove set.
 
+use crate::dispatch::membership::DrainCommand;
 use crate::policy::types::Micros;
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
@@ -10,15 +11,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// What an operator commands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DrainCommand {
-    /// The server is to drain.
-    Drain,
-    /// It is no longer to drain.
-    Undrain,
-}
-
 /// Operators' drains of one server. Each drain is a dot: an incarnation and a number. An undrain removes the
 /// dots that it has observed and no others: a drain published elsewhere at the same time stays in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/replication/entry/mod.rs
+++ b/src/replication/entry/mod.rs
@@ -6,7 +6,8 @@
 mod drain_record;
 mod endpoint_record;
 
-pub use drain_record::{DrainCommand, DrainRecord, Incarnation};
+pub use crate::dispatch::membership::DrainCommand;
+pub use drain_record::{DrainRecord, Incarnation};
 pub use endpoint_record::{EndpointRecord, EndpointState};
 
 use crate::policy::types::Micros;
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -106,8 +106,8 @@
     std::str::from_utf8(answer.get(9..12)?).ok()?.parse().ok()
 }
 
-/// Whether a connection that the other side closed is then reset too. The system does so for bytes that reach a
-/// closed socket, and not where the other side read them before it closed.
+/// Whether a connection that the other side closed is then reset too. The system does so for bytes that reach
+/// a closed socket, and not where the other side read them before it closed.
 async fn has_been_reset(stream: &TcpStream) -> std::io::Result<bool> {
     let begun = Instant::now();
     while begun.elapsed() < MAX_CROSSING {
