--- a/src/bin/foxhold-adapter.rs
+++ b/src/bin/foxhold-adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts the decisions on the simulator's wire: events on standard input, actions on standard output.
+//! Runs routers for the simulator: reads events from standard input and writes actions to standard output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/src/policy/estimators/admitted_share.rs
+++ b/src/policy/estimators/admitted_share.rs
@@ -1,17 +1,17 @@
 //! The share of work admitted to a congested resource: additive increase, multiplicative decrease (AIMD).
 
-/// How a share moves with each observation.
+/// The parameters by which observations change an [`AdmittedShare`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AimdSteps {
-    /// Congestion multiplies the share by this.
+    /// Factor applied to the share when the resource is congested, from 0 to 1.
     pub decrease_factor: f64,
-    /// Spare capacity adds this.
+    /// Amount added to the share when the resource is not congested.
     pub increase: f64,
-    /// The share stays at or above this, so that the resource is still observed.
+    /// Lower bound of the share, above 0, so that some work still reaches the resource and is observed.
     pub min_share: f64,
 }
 
-/// A share of requests that are admitted, from [`AimdSteps::min_share`] to 1; 1 before any observation.
+/// The share of requests that are admitted, from [`AimdSteps::min_share`] to 1; 1 before any observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmittedShare(f64);
 
@@ -22,17 +22,17 @@
 }
 
 impl AdmittedShare {
-    /// The present share.
+    /// Returns the current share.
     pub fn value(self) -> f64 {
         self.0
     }
 
-    /// Whether everything is admitted.
+    /// Returns whether all requests are admitted.
     pub fn is_full(self) -> bool {
         self.0 >= 1.0
     }
 
-    /// Records one observation: whether the resource was congested.
+    /// Records whether the resource was congested, and adjusts the share.
     pub fn observe(&mut self, congested: bool, steps: AimdSteps) {
         let next = if congested { self.0 * steps.decrease_factor } else { self.0 + steps.increase };
         self.0 = next.clamp(steps.min_share, 1.0);
--- a/src/policy/estimators/decaying_counter.rs
+++ b/src/policy/estimators/decaying_counter.rs
@@ -1,9 +1,9 @@
 //! An exponentially decaying counter.
 
-/// A sum whose parts lose weight with time: `e^(-age / time_constant)`.
+/// A sum in which each amount has the weight `e^(-age / time_constant)`.
 ///
-/// In a steady stream of `r` events a second the sum stands at `r * time_constant`, with a relative error
-/// (standard deviation over mean) of `1 / sqrt(2 * r * time_constant)`.
+/// For a steady stream of `r` events per second the sum converges to `r * time_constant`, with a relative
+/// error (standard deviation over mean) of `1 / sqrt(2 * r * time_constant)`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DecayingCounter {
     value: f64,
@@ -11,7 +11,7 @@
 }
 
 impl DecayingCounter {
-    /// Adds `amount` and returns the sum. `time_constant` is in microseconds, above 0.
+    /// Adds `amount` and returns the sum. Times are in microseconds, and `time_constant` is positive.
     pub fn add(&mut self, now: u64, amount: f64, time_constant: f64) -> f64 {
         *self = DecayingCounter {
             value: self.value(now, time_constant) + amount,
@@ -20,7 +20,7 @@
         self.value
     }
 
-    /// The sum as it stands at `now`. A time before the last addition counts as that of the addition.
+    /// Returns the sum at `now`. A time before the last addition counts as the time of that addition.
     pub fn value(&self, now: u64, time_constant: f64) -> f64 {
         self.value * (-(now.saturating_sub(self.updated_at) as f64) / time_constant).exp()
     }
--- a/src/policy/estimators/gamma_prior.rs
+++ b/src/policy/estimators/gamma_prior.rs
@@ -1,19 +1,20 @@
 //! Bayesian estimates of rates and shares from few events (Gamma prior, Poisson counts).
 //!
-//! Events of a rate `x` over an exposure `e` are Poisson with mean `x * e`. Before any event `x` has a Gamma
-//! distribution with the prior's mean and shape; after `n` events it has a Gamma distribution again, whose
-//! mean is as if `shape` events had been seen at the prior mean beside the `n`.
+//! The number of events at a rate `x` over an exposure `e` has a Poisson distribution with mean `x * e`.
+//! Before any event `x` has a Gamma distribution with the prior's mean and shape. After `n` events it again
+//! has a Gamma distribution; its mean is the same as if `shape` more events had been observed at the prior
+//! mean.
 
 /// The distribution of a rate before any observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GammaPrior {
-    /// The prior mean, above 0.
+    /// Expected rate before any observation, above 0.
     pub mean: f64,
-    /// The prior weight, in events: the relative standard deviation is `1 / sqrt(shape)`.
+    /// Weight of the prior, in events. The relative standard deviation is `1 / sqrt(shape)`.
     pub shape: f64,
 }
 
-/// An estimated rate with its error.
+/// An estimated rate with its standard error.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateEstimate {
     /// The posterior mean.
@@ -23,12 +24,12 @@
 }
 
 impl GammaPrior {
-    /// A prior with this mean and this shape.
+    /// Creates a prior; `mean` is above 0, `shape` is in events.
     pub fn new(mean: f64, shape: f64) -> GammaPrior {
         GammaPrior { mean, shape }
     }
 
-    /// The estimate after `events` over `exposure`, both at least 0.
+    /// Returns the estimate after `events` over `exposure`, both at least 0.
     pub fn posterior(&self, events: f64, exposure: f64) -> RateEstimate {
         let shape = self.shape + events;
         let rate = self.shape / self.mean + exposure;
--- a/src/policy/estimators/load_sharing.rs
+++ b/src/policy/estimators/load_sharing.rs
@@ -1,12 +1,13 @@
-//! How independent routers split a load between them without talking to each other.
+//! Functions by which independent routers split a load without exchanging messages.
 
-/// Rounds `target` to a whole number from 1 to `max` whose mean over uniform draws is `target`, so that a
-/// fleet of routers does on average what none of them could do exactly. `draw` is uniform in [0, 1).
+/// Rounds `target` at random to an integer from 1 to `max` whose mean is `target`, so that a fleet of routers
+/// reaches a fractional target on average. `draw` is uniformly distributed in [0, 1).
 pub fn stochastic_round(target: f64, max: usize, draw: f64) -> usize {
     ((target + draw).floor().max(1.0) as usize).min(max)
 }
 
-/// The share of a load that has to go elsewhere for the rest to stay within `bound`; 0 for a load within it.
+/// Returns the share of a load that has to be moved elsewhere so that the rest stays within `bound`; 0 if the
+/// whole load does.
 pub fn excess_share(load: f64, bound: f64) -> f64 {
     if load > bound {
         1.0 - bound / load
--- a/src/policy/estimators/pending_purges.rs
+++ b/src/policy/estimators/pending_purges.rs
@@ -1,31 +1,31 @@
-//! Purges that servers may not have completed yet, by the numbers of objects and groups.
+//! Purges that servers may not have completed yet, identified by object and group numbers.
 
-/// One purge: of one object, or of a whole group. Times are microseconds.
+/// A purge of one object or of a whole group. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Purge {
-    /// The object; `None` for the whole group.
+    /// The purged object; `None` if the whole group is purged.
     pub object: Option<u64>,
-    /// The group.
+    /// The group to purge; ignored if `object` is given.
     pub group: u32,
-    /// When it was issued.
+    /// Time when the purge was issued.
     pub purged_at: u64,
-    /// When no server holds a purged copy any more.
+    /// Time from which no server holds a purged copy any more.
     pub complete_at: u64,
 }
 
-/// The purges that are not complete.
+/// The purges that servers may not have completed yet.
 #[derive(Debug, Default)]
 pub struct PendingPurges(Vec<Purge>);
 
 impl PendingPurges {
-    /// Adds a purge, and removes those that are complete.
+    /// Adds a purge and removes the completed ones.
     pub fn add(&mut self, purge: Purge, now: u64) {
         self.0.retain(|p| p.complete_at > now);
         self.0.push(purge);
     }
 
-    /// The greatest age, in microseconds, at which a copy of the object is valid; `None` if no purge covers
-    /// it. An object of unknown group may be of any.
+    /// Returns the maximum age, in microseconds, at which a copy of the object is valid; `None` if no purge
+    /// covers the object. An object whose group is unknown is covered by a purge of any group.
     pub fn max_age(&self, object: u64, group: Option<u32>, now: u64) -> Option<u64> {
         let in_group = |p: &Purge| group.is_none_or(|group| group == p.group);
         let covers = |p: &&Purge| p.complete_at > now && p.object.map_or(in_group(p), |o| o == object);
--- a/src/policy/types/actions.rs
+++ b/src/policy/types/actions.rs
@@ -1,62 +1,63 @@
-//! What a router asks its host to do.
+//! Actions: instructions from the router to its host.
 
 use super::{Micros, RequestId, ServerId, TimerToken};
 
 /// How a cache miss is filled, and how the copy is cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fill {
-    /// A parent, the origin, another cache, or the server itself for no fill.
+    /// The fill source: a parent, the origin or another cache. The attempt's own server if there is no fill.
     pub source: ServerId,
-    /// 0 to cache no copy; 1 to 3: its rank in the cache, low ranks are evicted first.
+    /// Cache rank of the copy, from 1 to 3; lower ranks are evicted first. 0 if no copy is cached.
     pub cache_rank: u8,
-    /// Greatest age of an acceptable copy; 0 for the class's freshness lifetime.
+    /// Maximum age of an acceptable copy, in microseconds; 0 for the class's freshness lifetime.
     pub max_age: Micros,
-    /// Collapse into a running fill of the same object.
+    /// The request may be collapsed into a running fill of the same object.
     pub collapse: bool,
-    /// The source may serve only what it has cached (only-if-cached, RFC 9111).
+    /// The source may only serve a copy that it has cached (only-if-cached, RFC 9111).
     pub only_if_cached: bool,
-    /// Serve an ageing copy and revalidate it in the background.
+    /// The cache serves an ageing copy without delay and revalidates it in the background.
     pub revalidate: bool,
 }
 
-/// Something the host is to do.
+/// An instruction from the router to its host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Attempt {
-        /// The request.
+        /// A request that has no final response yet.
         request: RequestId,
-        /// The server.
+        /// The cache, parent or origin to send the attempt to.
         server: ServerId,
-        /// Timeout; 0 for the request's deadline.
+        /// Timeout in microseconds; 0 if only the request's deadline applies.
         timeout: Micros,
-        /// How a miss is filled; `None` to serve only what the server holds (the origin holds all objects).
+        /// How a miss is filled; `None` if the server may only serve what it holds (the origin holds all
+        /// objects).
         fill: Option<Fill>,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt within the request, from 0.
         attempt: u32,
     },
     /// Final response: rejected; the request had no effect, so the client may retry.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// When the client may retry; 0 for no advice.
+        /// Time after which the client may retry, in microseconds; 0 to send no Retry-After.
         retry_after: Micros,
     },
     /// Final response: failed; the request may have had an effect.
     Fail(RequestId),
-    /// Set a timer.
+    /// Set a one-shot timer.
     SetTimer {
-        /// It fires at or after this time.
+        /// Earliest time at which the timer fires, on the router's clock.
         at: Micros,
-        /// Comes back with the event.
+        /// Returned to the router in [`Event::Timer`](super::Event::Timer).
         token: TimerToken,
     },
-    /// Check the health of a server.
+    /// Send a health check to a server.
     HealthCheck(ServerId),
     /// Subscribe to changes of the member list.
     Subscribe,
@@ -64,7 +65,7 @@
     FetchMembers,
     /// Send a message to one router, or to all.
     SendMessage {
-        /// The number of the receiver; `None` for all.
+        /// Number of the receiving router; `None` for all routers.
         to: Option<u32>,
         /// The payload, at most 256 bytes.
         bytes: Vec<u8>,
--- a/src/policy/types/events.rs
+++ b/src/policy/types/events.rs
@@ -1,63 +1,63 @@
-//! What a router is notified of.
+//! Events: notifications from the host to the router.
 
 use super::{
     AttemptEnd, Member, MemberUpdate, Micros, ObjectId, Outcome, Request, RequestId, ServerId, Settings,
     TimerToken,
 };
 
-/// Something that happened.
+/// A notification from the host to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the member list.
+    /// The member list changed, was fetched or is unavailable.
     Members {
-        /// What `members` holds.
+        /// Whether `members` holds changed entries or the whole list, and whether it may be out of date.
         kind: MemberUpdate,
-        /// The entries.
+        /// Empty after a failure.
         members: Vec<Member>,
     },
     /// A client request arrived.
     Request(Request),
-    /// A streamed response started: from now on the attempt serves the client.
+    /// A streamed response started: the client receives the body of this attempt from now on.
     ResponseStarted {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt within the request, from 0.
         attempt: u32,
     },
-    /// An attempt ended.
+    /// An attempt succeeded, failed, timed out, was cancelled or was not sent.
     AttemptEnded(AttemptEnd),
     /// The client cancelled the request, or its final response is overdue.
     ClientCancelled(RequestId),
-    /// A timer fired.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) fired.
     Timer(TimerToken),
     /// A health check ended.
     HealthChecked {
-        /// The checked server.
+        /// Target of the health check.
         server: ServerId,
         /// How the check ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the health check was sent, in microseconds.
         elapsed: Micros,
-        /// Load report, in the order of [`Settings::load_report`]; may be empty.
+        /// Load report: values in the order of [`Settings::load_report`]; empty if the server sent none.
         load_report: Vec<f64>,
     },
-    /// Another router's message.
+    /// A message from another router.
     Message {
-        /// The number of the sender.
+        /// Number of the sending router.
         from: u32,
-        /// The payload.
+        /// The payload, as passed to [`Action::SendMessage`](super::Action::SendMessage).
         bytes: Vec<u8>,
     },
-    /// New settings for requests to come; pending requests keep the old ones. Classes keep their indices, see
-    /// [`Settings::updated_to`]; zones and kinds stay as they were.
+    /// New settings for future requests; pending requests keep the old ones. Class indices stay valid, see
+    /// [`Settings::updated_to`]; zones and kinds don't change.
     Settings(Box<Settings>),
-    /// Copies older than this purge must not be served.
+    /// An object or a group was purged: copies older than the purge must not be served.
     Purged {
-        /// The object; `None` for the whole group.
+        /// The purged object; `None` if the whole group is purged.
         object: Option<ObjectId>,
-        /// The group.
+        /// The group to purge; ignored if `object` is given.
         group: u32,
-        /// Time since the purge.
+        /// Time since the purge was issued, in microseconds.
         age: Micros,
     },
 }
--- a/src/policy/types/members.rs
+++ b/src/policy/types/members.rs
@@ -8,32 +8,33 @@
     /// Accepts requests.
     #[default]
     Running,
-    /// Completes the requests it has, and accepts no new ones.
+    /// Completes its running requests and accepts no new ones.
     Draining,
-    /// Removed.
+    /// No longer in service.
     Gone,
 }
 
 /// An entry of the member list: one server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Member {
-    /// The server.
+    /// Unique within the member list.
     pub server: ServerId,
     /// Index in [`Settings::zones`](super::Settings::zones).
     pub zone: usize,
     /// Index in [`Settings::kinds`](super::Settings::kinds).
     pub kind: usize,
-    /// The cell within the zone.
+    /// Number of the server's cell within its zone.
     pub cell: u32,
-    /// The lifecycle state.
+    /// Whether the server accepts requests, drains or has been removed.
     pub state: MemberState,
-    /// The registered capacity, in concurrent transfers at full rate.
+    /// Registered capacity in concurrent transfers at full rate. Ignored if it is 0 or if
+    /// [`Settings::sizes_known`](super::Settings::sizes_known) is not set.
     pub size: f64,
-    /// When the process last started; 0 if long ago.
+    /// Time when the server's process last started; 0 if that was long ago, so that no slow start applies.
     pub started_at: Micros,
 }
 
-/// What an event about the member list holds.
+/// The content of a member list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberUpdate {
     /// Only changed entries.
@@ -42,6 +43,6 @@
     Full,
     /// The whole list as last known, possibly out of date.
     Stale,
-    /// Nothing: a call failed, or the subscription broke.
+    /// No entries: a fetch failed or the subscription broke.
     Failed,
 }
--- a/src/policy/types/mod.rs
+++ b/src/policy/types/mod.rs
@@ -4,12 +4,12 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `ids` | ids of servers, requests and objects; units of time |
-//! | `settings` | what a router is configured with |
+//! | `ids` | ids of servers, requests and objects; the unit of time |
+//! | `settings` | the configuration of a router |
 //! | `members` | entries of the member list |
-//! | `requests` | client requests, and how attempts end |
-//! | `events` | what a router is notified of |
-//! | `actions` | what a router asks its host to do |
+//! | `requests` | client requests and results of attempts |
+//! | `events` | notifications from the host to the router |
+//! | `actions` | instructions from the router to its host |
 
 mod actions;
 mod events;
--- a/src/policy/types/requests.rs
+++ b/src/policy/types/requests.rs
@@ -1,23 +1,23 @@
-//! Client requests, and how attempts to serve them end.
+//! Client requests and the results of attempts to serve them.
 
 use super::{Micros, ObjectId, RequestId, ServerId};
 
 /// A client's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Assigned by the host.
     pub id: RequestId,
     /// Index in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// The requested object.
+    /// The object that is read or written.
     pub object: ObjectId,
-    /// The requested part of the object.
+    /// Number of the requested part of the object, from 0.
     pub part: u32,
-    /// The object's group, which purges may name; `None` if unknown, so that it may be any.
+    /// The object's group, which a purge can name; `None` if unknown: a purge of any group then applies.
     pub group: Option<u32>,
-    /// When the client gives up.
+    /// Time at which the client gives up, on the router's clock.
     pub deadline: Micros,
-    /// Size in KB; 0 if unknown.
+    /// Size of the response in KB; 0 if unknown.
     pub size_kb: f64,
     /// Whether the client marked the request as a retry of an earlier one.
     pub is_retry: bool,
@@ -26,80 +26,81 @@
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server served the request.
     Ok,
-    /// An error; the request may have run.
+    /// The server answered with an error; the request may have run.
     Failed,
-    /// Rejected for lack of capacity at the server or at its source; the request never ran.
+    /// Rejected because the server or its fill source had no capacity; the request never ran.
     Rejected,
     /// No response in time; the request may have run.
     TimedOut,
-    /// No connection; the request never ran.
+    /// No connection could be established; the request never ran.
     ConnectError,
     /// The connection broke; the request may have run.
     Reset,
     /// Cancelled by the router; the request may have run.
     Cancelled,
-    /// Not sent.
+    /// The host never sent the attempt; the request never ran.
     NotSent,
     /// No suitable copy was cached; the request never ran.
     Miss,
 }
 
 impl Outcome {
-    /// Whether the outcome proves that the attempt had no effect.
+    /// Returns whether the outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectError | Outcome::NotSent | Outcome::Miss)
     }
 }
 
-/// What a response tells about its copy or fill.
+/// The cache status of a response: how its copy was obtained, or why a fill failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// Nothing.
+    /// Not reported.
     #[default]
     Unknown,
     /// Served from a cached copy.
     Hit,
-    /// Filled from the source.
+    /// Filled from the fill source.
     Filled,
-    /// Filled from the source, which fetched the object from the origin.
+    /// Filled from the fill source, which fetched the object from the origin.
     FilledFromOrigin,
-    /// Collapsed into a running fill; with a miss, that a fill is running.
+    /// Collapsed into a running fill. With [`Outcome::Miss`]: a fill of the object is running.
     Collapsed,
     /// Served from a stale copy.
     Stale,
-    /// The source rejected the fill.
+    /// The fill source rejected the fill.
     SourceRejected,
-    /// The source could not be reached, broke off or timed out.
+    /// The fill source could not be reached, broke the connection or timed out.
     SourceUnreachable,
-    /// The source does not hold the object.
+    /// The fill source does not hold the object.
     SourceMiss,
-    /// The cache has no slot for another fill.
+    /// The cache has reached its limit of concurrent fills.
     FillLimitReached,
-    /// The origin failed behind the parent.
+    /// The parent could not fetch the object because the origin failed.
     OriginFailed,
 }
 
-/// The end of one attempt.
+/// The result of one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request it belongs to.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number: 0 for the request's first attempt, then upwards.
+    /// Number of the attempt within the request: 0 for the first, 1 for the second and so on.
     pub attempt: u32,
-    /// The server it was sent to.
+    /// The cache, parent or origin that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Success, or the kind of failure.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end, in microseconds.
     pub elapsed: Micros,
-    /// Whether the request is finished, by this attempt or before.
+    /// Whether the request is finished, either by this attempt or earlier.
     pub request_finished: bool,
-    /// What the response tells about the copy.
+    /// As reported by the server; `Unknown` if it reports none.
     pub cache_status: CacheStatus,
-    /// Time to the source's first byte or failure; 0 if unknown.
+    /// Time until the fill source's first byte or failure, in microseconds; 0 if unknown.
     pub source_wait: Micros,
-    /// Load report, in the order of [`Settings::load_report`](super::Settings::load_report); may be empty.
+    /// Load report: values in the order of [`Settings::load_report`](super::Settings::load_report); empty if
+    /// the server sent none.
     pub load_report: Vec<f64>,
 }
--- a/src/policy/types/settings.rs
+++ b/src/policy/types/settings.rs
@@ -1,4 +1,4 @@
-//! What a router is configured with: classes of requests, topology, limits and capabilities of the platform.
+//! The configuration of a router: request classes, topology, limits and capabilities of the platform.
 
 use super::Micros;
 
@@ -8,11 +8,11 @@
     /// May run any number of times.
     #[default]
     Idempotent,
-    /// Carries an idempotency key, by which servers drop duplicates.
+    /// Carries an idempotency key, by which servers recognize and drop duplicates.
     IdempotencyKey {
         /// The servers that recognize a duplicate.
         scope: KeyScope,
-        /// For how long, from the send of the first attempt that may have run.
+        /// How long they recognize it, in microseconds from sending the first attempt that may have run.
         window: Micros,
     },
     /// Must not run twice.
@@ -22,145 +22,147 @@
 /// The servers that recognize a duplicate by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All servers.
+    /// Every server.
     All,
-    /// Those in the zone of the first attempt's server.
+    /// Servers in the zone of the first attempt's server.
     Zone,
-    /// Those in the cell of the first attempt's server.
+    /// Servers in the cell of the first attempt's server.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Its name, for log lines only.
+    /// Identifies the class in requests, log lines and metrics; the policy does not use it.
     pub name: String,
-    /// A response within this time has full weight.
+    /// A response within this time, in microseconds, has full weight.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the request's own transfer time.
+    /// Multiple of the request's own transfer time that is added to the latency objective.
     pub objective_stretch: f64,
-    /// The time after which a client gives up.
+    /// Time after which a client gives up, in microseconds from the arrival of the request.
     pub deadline: Micros,
     /// Weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// Share of that weight for a later response.
+    /// Share of `priority_weight` that a later response has.
     pub late_weight_share: f64,
-    /// Whether a request may run more than once.
+    /// Decides which attempts may follow one that may have run.
     pub idempotency: Idempotency,
-    /// How long a copy is fresh; 0 if until it is purged.
+    /// How long a copy is fresh, in microseconds; 0 if it stays fresh until it is purged.
     pub freshness_lifetime: Micros,
-    /// How long after that a stale copy may be served.
+    /// How long after `freshness_lifetime` a stale copy may still be served, in microseconds.
     pub stale_grace: Micros,
-    /// Share of the weight for a response from a stale copy.
+    /// Share of the weight that a response from a stale copy has.
     pub stale_weight_share: f64,
-    /// Requests run at the origin and responses are never cached.
+    /// Whether requests run at the origin and responses are never cached.
     pub write: bool,
-    /// No longer configured: only requests that arrived before belong to it.
+    /// Whether the class is no longer configured and has only requests that arrived before its removal. Set
+    /// by [`Settings::updated_to`].
     pub retired: bool,
 }
 
 /// Which caches may be the source of another cache's fill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Siblings {
-    /// None.
+    /// Fills come from parents and the origin only.
     #[default]
     None,
-    /// Those of the same zone.
+    /// Caches in the same zone as the filled one.
     Zone,
-    /// Any.
+    /// Caches in all zones.
     Any,
 }
 
-/// How much responses tell of hits and fills.
+/// The detail in which responses report their cache status.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CacheStatusLevel {
-    /// Nothing.
+    /// Responses report no cache status.
     #[default]
     None,
     /// Whether a response was a hit, filled, collapsed or stale.
     Hit,
-    /// Also how it was filled, why a fill failed, and how long it waited.
+    /// As `Hit`, and how the response was filled, why a fill failed and how long it waited for the source.
     All,
 }
 
-/// Capacity of a server that started lately.
+/// The capacity of a server during slow start, which grows linearly with the time since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartRule {
-    /// Least share of its capacity that a server has at its start.
+    /// Minimum share of its full capacity that a server has at its start, from 0 to 1.
     pub initial_capacity_share: f64,
-    /// Time after which it has all of its capacity.
+    /// Time after the start at which the server has its full capacity, in microseconds.
     pub warm_up_time: Micros,
-    /// The server fails when its load is over this multiple of its present capacity ...
+    /// The server fails if its load exceeds this multiple of its present capacity for `overload_window`.
     pub overload_multiple: f64,
-    /// ... during this time.
+    /// How long a load above `overload_multiple` makes the server fail, in microseconds.
     pub overload_window: Micros,
 }
 
 /// The configuration of a router.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Classes of requests; a request names one by its index.
+    /// Request classes; [`Request::class`](super::Request::class) is an index in this list.
     pub classes: Vec<Class>,
-    /// Kinds of servers.
+    /// Names of the kinds of servers; [`Member::kind`](super::Member::kind) is an index in this list.
     pub kinds: Vec<String>,
-    /// Index in `kinds` of parents, if there are any.
+    /// Index in `kinds` of the parents; `None` if the platform has no parents.
     pub parent_kind: Option<usize>,
     /// Index in `kinds` of the origin.
     pub origin_kind: usize,
-    /// Zones.
+    /// Names of the zones; [`Member::zone`](super::Member::zone) is an index in this list.
     pub zones: Vec<String>,
-    /// Index in `zones` of this router.
+    /// Index in `zones` of this router's zone.
     pub zone: usize,
-    /// Number of routers in each zone; empty if only the total is known.
+    /// Number of routers in each zone, in the order of `zones`; empty if only the total is known.
     pub routers_by_zone: Vec<u32>,
-    /// Total number of routers.
+    /// Number of routers in all zones, including this one.
     pub routers: u32,
-    /// Capacity of the link into each zone, in KB a second; 0 or absent if unknown.
+    /// Capacity of the link into each zone, in KB/s and in the order of `zones`; 0 or absent if unknown.
     pub zone_link_kb_per_s: Vec<f64>,
-    /// Rate of one transfer to a client at full rate, in KB a second; 0 if unknown.
+    /// Full rate of one transfer to a client, in KB/s; 0 if unknown.
     pub transfer_kb_per_s: f64,
-    /// Whether a member's size is its capacity in such transfers.
+    /// Whether [`Member::size`](super::Member::size) is the server's capacity in such transfers.
     pub sizes_known: bool,
-    /// Whether the member list has to be polled.
+    /// Whether the member list has to be polled, by [`Action::Subscribe`](super::Action::Subscribe);
+    /// otherwise changes are pushed.
     pub poll_members: bool,
-    /// Whether attempts can be cancelled.
+    /// Whether the platform can cancel an attempt.
     pub can_cancel: bool,
-    /// Whether two attempts of a request may be in flight together.
+    /// Whether two attempts of a request may be in flight at the same time (hedged requests).
     pub hedging: bool,
-    /// Whether rejected clients receive Retry-After.
+    /// Whether clients of rejected requests receive Retry-After.
     pub retry_after: bool,
-    /// The longest Retry-After that clients obey.
+    /// Longest Retry-After that clients obey, in microseconds.
     pub max_retry_after: Micros,
-    /// Most attempts for a request; 0 for no limit.
+    /// Maximum number of attempts for a request; 0 for no limit.
     pub max_attempts: u32,
     /// Whether the router may send health checks.
     pub health_checks: bool,
     /// Whether routers may send messages to each other.
     pub peer_messages: bool,
-    /// Names of the values in a load report.
+    /// Names of the values in a load report, in their order there.
     pub load_report: Vec<String>,
-    /// Whether parents and the origin accept requests directly.
+    /// Whether parents and the origin accept requests that do not come through a cache.
     pub direct_requests: bool,
     /// Whether a request can collapse into a running fill.
     pub request_collapsing: bool,
     /// Which caches may be the source of another cache's fill.
     pub siblings: Siblings,
-    /// How much responses tell of hits and fills.
+    /// The detail in which responses report their cache status.
     pub cache_status_level: CacheStatusLevel,
-    /// How long after the notice of its drain a server may still receive new requests.
+    /// How long a server may still receive new requests after its drain was announced, in microseconds.
     pub drain_grace: Micros,
-    /// Capacity of a cache that started lately.
+    /// Limits the capacity of a cache after its start.
     pub cache_slow_start: SlowStartRule,
-    /// Capacity of a parent that started lately.
+    /// Limits the capacity of a parent after its start.
     pub parent_slow_start: SlowStartRule,
-    /// Time within which a purge has to be obeyed.
+    /// Time within which a purge has to be applied, in microseconds.
     pub purge_grace: Micros,
-    /// Time after which servers have dropped purged copies by themselves.
+    /// Time after which servers have dropped purged copies without the routers' help, in microseconds.
     pub purge_complete_within: Micros,
 }
 
 impl Settings {
-    /// Checks the indices that a router relies on.
+    /// Checks that there is a class, and that `zone` and `parent_kind` are valid indices.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -176,60 +178,60 @@
         }
     }
 
-    /// The index of a class that is configured now.
+    /// Returns the index of the class with this name; `None` if there is none or it is retired.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| !c.retired && c.name == name)
     }
 
-    /// `later` with its classes arranged so that indices stay valid for pending requests, which keep the
-    /// rules of their class: an unchanged class keeps its index, a changed one gets a new index, and one that
-    /// is not configured any more is retired. The index of a class that was retired before is used again once
-    /// `in_use` is false for it, so that the table stays small.
-    pub fn updated_to(&self, mut later: Settings, in_use: impl Fn(usize) -> bool) -> Settings {
+    /// Returns `new` with its classes reordered so that indices stay valid for pending requests, which keep
+    /// the rules of their class: an unchanged class keeps its index, a changed one gets a new index, and one
+    /// that is no longer configured is retired. The index of a class that an earlier update retired is reused
+    /// once `in_use` returns `false` for it, so that the table stays small.
+    pub fn updated_to(&self, mut new: Settings, in_use: impl Fn(usize) -> bool) -> Settings {
         let mut classes: Vec<Class> =
             self.classes.iter().map(|c| Class { retired: true, ..c.clone() }).collect();
         let mut added = Vec::new();
-        for class in std::mem::take(&mut later.classes) {
+        for class in std::mem::take(&mut new.classes) {
             let unchanged = |c: &&mut Class| c.retired && Class { retired: false, ..(**c).clone() } == class;
             match classes.iter_mut().find(unchanged) {
-                Some(kept) => *kept = class,
+                Some(existing) => *existing = class,
                 None => added.push(class),
             }
         }
         for class in added {
-            // Only a class that an earlier update retired: a request read just before this update still has
-            // one that is retired now.
-            let is_free = |i: &usize| self.classes[*i].retired && classes[*i].retired && !in_use(*i);
-            match (0..self.classes.len()).find(is_free) {
+            // Reuses only an index that an earlier update retired: a request that was read just before this
+            // update may still refer to a class that this update retires.
+            let is_reusable = |i: &usize| self.classes[*i].retired && classes[*i].retired && !in_use(*i);
+            match (0..self.classes.len()).find(is_reusable) {
                 Some(index) => classes[index] = class,
                 None => classes.push(class),
             }
         }
-        later.classes = classes;
-        later
+        new.classes = classes;
+        new
     }
 }
 
-/// Why settings are invalid.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// No class of requests is configured.
-    #[error("settings: no classes")]
+    #[error("settings: no request classes are configured")]
     NoClasses,
-    /// The router's zone is not an index of the zones.
-    #[error("settings: own zone is not among the zones")]
+    /// The router's zone is not a valid index in the list of zones.
+    #[error("settings: index {zone} of the router's zone is out of range for {zones} zones")]
     UnknownZone {
-        /// The router's zone.
+        /// Value of [`Settings::zone`].
         zone: usize,
-        /// The number of zones.
+        /// Length of [`Settings::zones`].
         zones: usize,
     },
-    /// The parents' kind is not an index of the kinds.
-    #[error("settings: parents' kind is not among the kinds")]
+    /// The parents' kind is not a valid index in the list of kinds.
+    #[error("settings: index {kind} of the parents' kind is out of range for {kinds} kinds")]
     UnknownParentKind {
-        /// The parents' kind.
+        /// Value of [`Settings::parent_kind`].
         kind: usize,
-        /// The number of kinds.
+        /// Length of [`Settings::kinds`].
         kinds: usize,
     },
 }
--- a/src/simulator/codec/decode.rs
+++ b/src/simulator/codec/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the fields of messages into events of the router.
+//! Decodes the fields of messages into events for the router.
 
 use super::fields::FieldReader;
 use super::{EventKind, Names};
@@ -10,38 +10,38 @@
 use crate::simulator::error::{FieldFault, MessageError};
 use base64::{engine::general_purpose::STANDARD, Engine};
 
-/// The bit of `stateBits` that marks a request as a retry by the client.
+/// Bit of `stateBits` that is set if the request is a retry by the client.
 const RETRY_BIT: u32 = 2;
 
-/// What a router is started with.
+/// The content of a `start` message.
 pub(in crate::simulator) struct StartMessage {
     pub(in crate::simulator) seed: u64,
     pub(in crate::simulator) settings: Settings,
 }
 
-/// The head of a member list, whose entries follow on lines of their own.
+/// The head of a member list; each entry follows on a separate line.
 pub(in crate::simulator) struct MemberListHead {
     pub(in crate::simulator) router: u32,
     pub(in crate::simulator) kind: MemberUpdate,
     pub(in crate::simulator) entries: usize,
 }
 
-/// The time at which a batch begins.
+/// Decodes the time of a batch.
 pub(in crate::simulator) fn decode_batch_start(fields: &mut FieldReader) -> Result<Micros, MessageError> {
     fields.time("clockMs")
 }
 
-/// The router that a message is for.
+/// Decodes the number of the router that a message is for.
 pub(in crate::simulator) fn decode_router(fields: &mut FieldReader) -> Result<u32, MessageError> {
     fields.integer("who")
 }
 
-/// The error for a router that was not started.
+/// Creates the error for a message to a router that is not running.
 pub(in crate::simulator) fn unknown_router(fields: &FieldReader, router: u32) -> MessageError {
     fields.error("who", FieldFault::UnknownInstance(router))
 }
 
-/// The rest of a `start` message.
+/// Decodes the fields of a `start` message that follow `who`.
 pub(in crate::simulator) fn decode_start(fields: &mut FieldReader) -> Result<StartMessage, MessageError> {
     let seed = fields.integer("entropy")?;
     let text = fields.tail("params")?;
@@ -50,12 +50,12 @@
     Ok(StartMessage { seed, settings })
 }
 
-/// The error for settings of a `start` message.
+/// Creates the error for invalid settings in a `start` message.
 pub(in crate::simulator) fn settings_error(fields: &FieldReader, fault: FieldFault) -> MessageError {
     fields.error("params", fault)
 }
 
-/// The rest of a message that stands for an event.
+/// Decodes the fields that follow `who` in the message for an event.
 pub(in crate::simulator) fn decode_event(
     kind: EventKind,
     fields: &mut FieldReader,
@@ -67,11 +67,12 @@
         EventKind::AttemptEnded => decode_attempt_end(fields),
         EventKind::ClientCancelled => Ok(Event::ClientCancelled(RequestId(fields.integer("xid")?))),
         EventKind::Timer => {
-            // A tag that is not a number is none of ours; the router ignores an unknown token.
+            // Routers only set timers with numeric tags. Any other tag becomes an unknown token, which the
+            // router ignores.
             Ok(Event::Timer(fields.tail("tag")?.parse().unwrap_or(TimerToken::MAX)))
         }
         EventKind::HealthChecked => decode_health_check(fields),
-        EventKind::Message => decode_gossip(fields),
+        EventKind::Message => decode_peer_message(fields),
         EventKind::Purged => decode_purge(fields),
     }
 }
@@ -79,7 +80,7 @@
 fn decode_request(fields: &mut FieldReader, names: &Names) -> Result<Event, MessageError> {
     let id = RequestId(fields.integer("xid")?);
     let class = fields.index_in("type", &names.classes)?;
-    fields.optional(); // the tenant: no decision depends on it
+    fields.optional(); // Skips the tenant: no decision depends on it.
     Ok(Event::Request(Request {
         id,
         class,
@@ -122,7 +123,7 @@
     })
 }
 
-fn decode_gossip(fields: &mut FieldReader) -> Result<Event, MessageError> {
+fn decode_peer_message(fields: &mut FieldReader) -> Result<Event, MessageError> {
     let from = fields.integer("from")?;
     let text = fields.optional().unwrap_or("");
     let bytes = STANDARD.decode(text).map_err(|error| fields.error("msg", FieldFault::NotBase64(error)))?;
@@ -135,7 +136,7 @@
     Ok(Event::Purged { object, group, age })
 }
 
-/// The head of a member list.
+/// Decodes the head of a member list.
 pub(in crate::simulator) fn decode_member_list(
     fields: &mut FieldReader,
 ) -> Result<MemberListHead, MessageError> {
@@ -147,11 +148,11 @@
         "broken" => MemberUpdate::Failed,
         other => return Err(fields.error("how", FieldFault::UnknownName(other.to_owned()))),
     };
-    fields.optional(); // the list's version: changes come in order, none missing
+    fields.optional(); // Skips the list's version: changes arrive in order and none is lost.
     Ok(MemberListHead { router, kind, entries: fields.number_or("hosts", 0)? })
 }
 
-/// An entry of a member list.
+/// Decodes an entry of a member list.
 pub(in crate::simulator) fn decode_member(line: &str, names: &Names) -> Result<Member, MessageError> {
     let mut fields = FieldReader::new(line);
     if fields.message != "item" {
@@ -173,7 +174,7 @@
     })
 }
 
-/// The error for entries of a member list that are missing.
+/// Creates the error for missing or invalid entries of a member list.
 pub(in crate::simulator) fn member_list_error(fault: FieldFault) -> MessageError {
     MessageError::Field { message: "view".to_owned(), field: "hosts", fault }
 }
--- a/src/simulator/codec/encode.rs
+++ b/src/simulator/codec/encode.rs
@@ -12,12 +12,12 @@
 const ONLY_IF_CACHED_BIT: u32 = 2;
 const REVALIDATE_BIT: u32 = 8;
 
-/// Appends the end of the reply to a batch.
+/// Appends the line that ends the reply to a batch.
 pub(in crate::simulator) fn encode_end_of_reply(out: &mut String) {
     out.push_str(END_OF_REPLY);
 }
 
-/// Appends the line of an action of this router.
+/// Appends the line for an action of this router.
 pub(in crate::simulator) fn encode_action(router: u32, action: &Action, out: &mut String) {
     let written = match action {
         Action::Attempt { request, server, timeout, fill: None } => {
@@ -53,7 +53,7 @@
     debug_assert!(written.is_ok(), "writing to a string can't fail");
 }
 
-/// A time in milliseconds with three decimals.
+/// Formats a time in milliseconds with three decimals.
 fn milliseconds(time: Micros) -> String {
     format!("{}.{:03}", time / 1000, time % 1000)
 }
--- a/src/simulator/codec/mod.rs
+++ b/src/simulator/codec/mod.rs
@@ -1,8 +1,8 @@
-//! Codec of the simulator's text protocol; no other module knows its words.
+//! Codec of the simulator's text protocol. No other module depends on the words of the protocol.
 //!
-//! A line is a message's name and its fields, separated by spaces; `-` stands for an absent field. Times are
-//! in milliseconds on the wire and in microseconds here. Every message to a router begins with `who`, the
-//! router's number.
+//! A line consists of a message's name and its fields, separated by spaces; `-` marks an absent field. Times
+//! are in milliseconds on the wire and in microseconds in the program. The first field of every message to a
+//! router is `who`, the router's number.
 //!
 //! | message in | here |
 //! | --- | --- |
@@ -57,24 +57,24 @@
 pub(super) use encode::{encode_action, encode_end_of_reply};
 pub(super) use fields::FieldReader;
 
-/// What a message is.
+/// The kinds of messages from the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageKind {
-    /// A batch of events begins.
+    /// Begins a batch of events.
     BeginBatch,
-    /// A batch ends, and its reply is expected.
+    /// Ends a batch; the simulator then waits for the reply.
     EndBatch,
-    /// A router is started.
+    /// Starts a router.
     Start,
-    /// A router is stopped.
+    /// Stops a router.
     Stop,
-    /// A member list for a router.
+    /// Head of a member list for a router; the entries follow, one per line.
     MemberList,
-    /// Another event for a router.
+    /// Any other event for a router.
     Event(EventKind),
 }
 
-/// Events whose message is one line.
+/// The events whose message is a single line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventKind {
     Request,
@@ -88,7 +88,7 @@
 }
 
 impl MessageKind {
-    /// The kind of a message by its name.
+    /// Returns the kind of the message with this name; `None` if the name is unknown.
     pub(super) fn from_name(name: &str) -> Option<MessageKind> {
         Some(match name {
             "sync" => MessageKind::BeginBatch,
@@ -109,7 +109,7 @@
     }
 }
 
-/// The names that messages to a router use in place of indices.
+/// The names that messages use for zones, kinds of servers and classes, in the order of a router's indices.
 #[derive(Debug)]
 pub(super) struct Names {
     pub(super) zones: Vec<String>,
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,91 +1,91 @@
-//! Why input from the simulator is rejected, with the line, the message and the field at fault.
+//! Errors for invalid input from the simulator, with the line, the message and the field.
 
 use crate::config::settings::SettingsDecodeError;
 use crate::policy::types::SettingsError;
 use std::io;
 
-/// Why the exchange with the simulator ended early.
+/// An error that ends the exchange with the simulator.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatorError {
-    /// A line of the input has a fault.
+    /// A line of the input is invalid.
     #[error("line {line}: {source}")]
     Input {
-        /// The line, counted from 1.
+        /// Line number, from 1.
         line: usize,
-        /// Its fault.
+        /// The error in this line.
         source: MessageError,
     },
-    /// The input can't be read or the output can't be written.
+    /// Reading the input or writing the output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The fault of a message.
+/// The reason why a message is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// It is not UTF-8.
-    #[error("not UTF-8 text")]
+    /// The line is not valid UTF-8.
+    #[error("invalid UTF-8")]
     NotUtf8,
-    /// It stands where a batch should begin.
-    #[error("'{message}' where 'sync' should begin a batch")]
+    /// A message other than `sync` outside a batch.
+    #[error("expected 'sync' at the start of a batch, found '{message}'")]
     OutsideBatch {
-        /// Its name.
+        /// Name of the message that was found.
         message: String,
     },
     /// The input ends within a batch.
-    #[error("the input ends inside a batch, no 'eof_batch'")]
+    #[error("input ended inside a batch, expected 'eof_batch'")]
     UnfinishedBatch,
-    /// Its name is not known.
+    /// No message has this name, or it is not allowed inside a batch.
     #[error("unknown message '{message}'")]
     Unknown {
-        /// Its name.
+        /// Name of the message, as received.
         message: String,
     },
-    /// One of its fields has a value that it can't have.
+    /// A field is missing or has an invalid value.
     #[error("message '{message}', field '{field}': {fault}")]
     Field {
-        /// Its name.
+        /// Name of the message that contains the field.
         message: String,
-        /// Name of the field.
+        /// Name of the field on the wire.
         field: &'static str,
-        /// What is wrong with the value.
+        /// The reason why the value is rejected.
         fault: FieldFault,
     },
 }
 
-/// What is wrong with the value of a field.
+/// The reason why the value of a field is rejected.
 #[derive(Debug, thiserror::Error)]
-#[allow(missing_docs, reason = "the fields are the parts of the messages")]
+#[allow(missing_docs, reason = "the error texts describe the variants and their fields")]
 pub enum FieldFault {
     #[error("missing")]
     Missing,
-    #[error("'{0}' is not a whole number in range")]
+    #[error("'{0}' is not an integer in the valid range")]
     NotAnInteger(String),
-    #[error("'{0}' is not a number in range")]
+    #[error("'{0}' is not a number in the valid range")]
     NotInRange(String),
-    #[error("not a finite number")]
-    NotFinite,
-    #[error("'{0}' is not a time")]
+    #[error("{0} is not a finite number")]
+    NotFinite(f64),
+    #[error("'{0}' is not a time in milliseconds")]
     NotATime(String),
-    #[error("not a finite time")]
-    NotAFiniteTime,
-    #[error("'{0}' is neither 0 nor 1")]
+    #[error("{0} is not a finite time")]
+    NotAFiniteTime(f64),
+    #[error("expected 0 or 1, found '{0}'")]
     NotAFlag(String),
-    #[error("'{0}' is not hex")]
+    #[error("'{0}' is not a hexadecimal integer")]
     NotHex(String),
-    #[error("'{0}' is not known")]
+    #[error("unknown name '{0}'")]
     UnknownName(String),
     #[error("'{0}' is not a number")]
     NotANumber(String),
-    #[error("'{0}' is not an outcome")]
+    #[error("unknown outcome '{0}'")]
     NotAnOutcome(String),
-    #[error("not base64")]
+    #[error("invalid base64")]
     NotBase64(#[source] base64::DecodeError),
-    #[error("no instance {0} was started")]
+    #[error("router {0} is not running")]
     UnknownInstance(u32),
-    #[error("'{0}' where an 'item' should be")]
+    #[error("expected 'item', found '{0}'")]
     NotAnItem(String),
-    #[error("the input ends before its entries do")]
+    #[error("input ended before the last entry of the list")]
     UnfinishedList,
     #[error(transparent)]
     Undecodable(SettingsDecodeError),
--- a/src/simulator/lines.rs
+++ b/src/simulator/lines.rs
@@ -1,16 +1,16 @@
-//! Reads numbered lines from the simulator, without the empty ones.
+//! Reads and numbers the lines from the simulator, skipping empty ones.
 
 use super::error::{MessageError, SimulatorError};
 use std::io::{BufRead, ErrorKind};
 
-/// A line of the input without its line end.
+/// A line of the input without its line ending.
 pub(super) struct Line<'a> {
-    /// Its number, counted from 1.
+    /// Line number, from 1; empty lines count.
     pub(super) number: usize,
     pub(super) text: &'a str,
 }
 
-/// Reads lines one after the other.
+/// A reader of the non-empty lines of `input`.
 pub(super) struct LineReader<R> {
     input: R,
     line: String,
@@ -22,12 +22,12 @@
         LineReader { input, line: String::new(), number: 0 }
     }
 
-    /// Number of the line that was read last; 0 before the first.
+    /// Returns the number of the line that was read last; 0 before the first.
     pub(super) fn number(&self) -> usize {
         self.number
     }
 
-    /// The next line that is not empty; `None` at the end of the input.
+    /// Reads the next line that is not empty. Returns `None` at the end of the input.
     pub(super) fn next(&mut self) -> Result<Option<Line<'_>>, SimulatorError> {
         loop {
             self.line.clear();
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! Runs any number of routers behind the simulator's text protocol. It decides nothing.
+//! Host for any number of routers that are driven by the simulator's text protocol. It contains no policy.
 
 mod codec;
 mod error;
@@ -12,19 +12,19 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// A router, and the names that messages to it use.
+/// A router and the names that messages to it use.
 struct RouterInstance {
     router: Router,
     names: Names,
 }
 
-/// Many routers behind one connection to the simulator; they share nothing.
+/// Runs many routers over one connection to the simulator; the routers share no state.
 #[derive(Default)]
 pub struct SimulatorHost {
     instances: BTreeMap<u32, RouterInstance>,
     now: Micros,
     actions: Vec<Action>,
-    /// The reply to the present batch.
+    /// The reply to the current batch, written when the batch ends.
     reply: String,
 }
 
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Handles all messages up to the end of the batch.
+    /// Handles the messages of a batch up to and including its end.
     fn run_batch(&mut self, lines: &mut LineReader<impl BufRead>) -> Result<(), SimulatorError> {
         loop {
             let Some(line) = lines.next()? else {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The head of a member list, whose router must have been started.
+    /// Decodes the head of a member list. Returns an error if its router is not running.
     fn member_list(&self, fields: &mut FieldReader) -> Result<codec::MemberListHead, MessageError> {
         let list = codec::decode_member_list(fields)?;
         if !self.instances.contains_key(&list.router) {
@@ -72,7 +72,7 @@
         Ok(list)
     }
 
-    /// Reads the entries of a member list and passes it on.
+    /// Reads the entries of a member list and delivers the list to its router.
     fn read_members(
         &mut self,
         list: codec::MemberListHead,
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// Handles one message that is neither the frame of a batch nor a list.
+    /// Handles one message that neither begins nor ends a batch and is not a member list.
     fn handle_message(
         &mut self,
         kind: Option<MessageKind>,
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// Passes an event to a router and appends its actions to the reply.
+    /// Passes an event to a router and appends the resulting actions to the reply.
     fn deliver(&mut self, id: u32, event: Event) {
         let Some(instance) = self.instances.get_mut(&id) else { return };
         self.actions.clear();
@@ -139,7 +139,7 @@
     }
 }
 
-/// The time of the batch that this message begins.
+/// Returns the time of the batch that this message begins. Returns an error if it is another message.
 fn begin_batch(fields: &mut FieldReader) -> Result<Micros, MessageError> {
     if MessageKind::from_name(fields.message) != Some(MessageKind::BeginBatch) {
         return Err(MessageError::OutsideBatch { message: fields.message.to_owned() });
