--- a/src/dispatch/actor/attempts.rs
+++ b/src/dispatch/actor/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts from their start to their end.
+//! Attempts, from start to end.
 
 use super::{ordered_load_report, Actor};
 use crate::dispatch::attempts_in_flight::{fill_source, AttemptInFlight};
@@ -13,16 +13,16 @@
 };
 use std::sync::Arc;
 
-/// An attempt without a timeout of its own times out this much after the deadline, in microseconds: the
-/// policy is to act first.
+/// Time from a request's deadline to the timeout of an attempt for which the policy set none, in
+/// microseconds. It lets the policy act on the deadline first.
 const TIMEOUT_AFTER_DEADLINE: Micros = 2_000;
 
-/// An attempt that has not been sent within this time, in microseconds, is not sent at all, nor past half of
-/// the time in which drains and purges must be complete: what is decided just before such an update may
-/// still be sent just after it.
+/// Longest time, in microseconds, that an attempt may wait before it is sent; after that it is not sent at
+/// all. The limit is lower if half of the time within which drains and purges must be complete is shorter: an
+/// attempt decided just before a drain or purge may still be sent just after it.
 const MAX_SEND_DELAY: Micros = 500_000;
 
-/// An attempt that is about to be sent, with times by the monotonic clock.
+/// An attempt about to be sent. Times are by the monotonic clock.
 struct AttemptPlan {
     id: AttemptId,
     server: ServerId,
@@ -34,7 +34,7 @@
 impl<C: EndpointConnector> Actor<C> {
     // ---- start ----
 
-    /// Starts an attempt at a server. A timeout of 0 leaves it the time to the request's deadline.
+    /// Starts an attempt at a server. With a timeout of 0, the attempt may take until the request's deadline.
     pub(super) fn start_attempt(
         &mut self,
         request: RequestId,
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Ends a request for which nothing more may be sent: its credential has expired, or its client has
-    /// disconnected, while the message of that is behind in the mailbox, found no capacity there, or has not
-    /// come yet.
+    /// Ends a request for which nothing more may be sent, because its credential has expired or its client
+    /// has disconnected. The message about a disconnect may still be queued in the mailbox, may have been
+    /// dropped because the mailbox was full, or may not have been sent yet.
     fn end_request_if_obsolete(&mut self, id: RequestId) {
         if self.requests.waiting(id).is_some() && self.credential_has_expired(id) {
             self.expire_request(id);
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Sends an attempt to its server's connection actor; whether that took it. One that has its mailbox full
-    /// has far more than it can carry.
+    /// Sends an attempt to its server's connection actor. Returns whether the actor accepted it. A full
+    /// mailbox means that the connection actor already has far more attempts than it can handle.
     fn send_attempt(&mut self, plan: &AttemptPlan) -> bool {
         let request_id = plan.id.request_id();
         let Some(pending) = self.requests.get(request_id) else { return false };
@@ -116,14 +116,14 @@
         }
     }
 
-    /// How long an attempt may wait before it is sent, in microseconds.
+    /// Returns how long an attempt may wait before it is sent, in microseconds.
     fn max_send_delay(&self, pending: &PendingRequest, now: Micros) -> Micros {
         let grace_periods = [self.settings.drain_grace, self.settings.purge_grace];
         let shortest = grace_periods.into_iter().filter(|grace| *grace > 0).min();
         let delay = shortest.map_or(MAX_SEND_DELAY, |grace| (grace / 2).min(MAX_SEND_DELAY));
         match (&self.settings.classes[pending.request.class].idempotency, pending.first_sent()) {
-            // Servers recognize a retry within this window; the policy read the clock before the attempt was
-            // queued.
+            // Servers recognize a retry only within this window after the first attempt. The policy read the
+            // clock before the attempt was queued, so the rest of the window limits the delay.
             (Idempotency::IdempotencyKey { window, .. }, Some(first_sent)) => {
                 delay.min((first_sent + window).saturating_sub(now))
             }
@@ -133,17 +133,18 @@
 
     // ---- end ----
 
-    /// An attempt has been written completely.
+    /// Records that an attempt has been written completely.
     pub(super) fn record_written(&mut self, id: AttemptId) {
         self.counters.attempts_written += 1;
         self.attempts.mark_written(id, self.clock.now());
     }
 
-    /// A connection actor reports the end of an attempt.
+    /// Handles a connection actor's report that an attempt has ended.
     pub(super) fn handle_attempt_end(&mut self, id: AttemptId, result: AttemptResult) {
         let request = id.request_id();
         let outcome = self.outcome(request, &result);
-        // Also of one that was cancelled: its client has disconnected, and what it proves is counted.
+        // Attempts of cancelled requests are recorded too, because they show whether a request whose client
+        // has disconnected may have run.
         self.record_attempt_report(request, outcome.never_ran());
         if !self.attempts.contains(id) {
             return;
@@ -161,7 +162,7 @@
                 ResponseStatus::NotModified(etag) if self.client_has_copy(request, etag.as_ref()) => {
                     Outcome::Ok
                 }
-                // A response that names another copy than the client has, or none, is corrupt.
+                // A response that names a copy other than the client's, or no copy, is corrupt.
                 ResponseStatus::NotModified(_) => Outcome::Failed,
                 ResponseStatus::Miss => Outcome::Miss,
                 ResponseStatus::Rejected => Outcome::Rejected,
@@ -178,7 +179,7 @@
         self.requests.get(request).is_some_and(|pending| pending.client_has_copy(etag))
     }
 
-    /// Cancels an attempt that the policy has given up.
+    /// Cancels an attempt on behalf of the policy.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId) {
         if let Some(server) = self.attempts.server(id) {
             self.send_cancel(server, id);
@@ -187,12 +188,12 @@
     }
 
     fn send_cancel(&self, server: ServerId, id: AttemptId) {
-        // Full: the server goes on with it in vain, and its response finds nobody.
+        // If the mailbox is full, the server continues the attempt needlessly, and its response is ignored.
         self.endpoints.try_send(server, EndpointCommand::Cancel(id));
     }
 
-    /// Completes an attempt; the first end counts and any later one finds it gone. Guards against a
-    /// connection actor that reports after a timeout or a cancellation, or not at all.
+    /// Completes an attempt. Only the first end counts: later ones find the attempt removed and are ignored.
+    /// Guards against a connection actor that reports after a timeout or a cancellation, or not at all.
     pub(super) fn complete_attempt(
         &mut self,
         id: AttemptId,
@@ -221,7 +222,8 @@
         self.requests.remove_if_complete(request);
     }
 
-    /// The end of an attempt as the policy sees it, but for whether the request has finished with it.
+    /// Returns the end of an attempt in the form that the policy receives. The caller sets
+    /// `request_finished`, which is `false` here.
     fn attempt_end(
         &self,
         id: AttemptId,
@@ -260,8 +262,9 @@
     }
 }
 
-/// A fill's bound on the age of copies, in microseconds, as it is forwarded in milliseconds. 0 has a meaning
-/// of its own, and rounding up would let an older copy pass.
+/// Converts a fill's maximum age of copies from microseconds to the milliseconds that are forwarded. Rounds
+/// down, because rounding up would allow an older copy. A non-zero age never becomes 0, because 0 means the
+/// class's freshness lifetime.
 fn max_age_ms(max_age: Micros) -> u64 {
     match max_age {
         0 => 0,
@@ -269,7 +272,8 @@
     }
 }
 
-/// The response to the client where a server's response is one.
+/// Converts a server's response to a response for the client. Returns `None` if its status is not one that is
+/// passed on to clients.
 fn client_response(response: UpstreamResponse) -> Option<ClientResponse> {
     match response.status {
         ResponseStatus::Ok(representation) => Some(ClientResponse::Served(representation)),
--- a/src/dispatch/actor/members.rs
+++ b/src/dispatch/actor/members.rs
@@ -6,19 +6,20 @@
 use std::sync::Arc;
 
 impl<C: EndpointConnector> Actor<C> {
-    /// Drains a listed server, or ends its drain, whatever its source says; whether it is listed.
+    /// Drains a listed server or ends its drain, with precedence over the server's source. Returns whether
+    /// the server is listed.
     pub(super) fn override_drain(&mut self, name: &Arc<str>, command: DrainCommand) -> bool {
         let Some(listing) = self.endpoints.override_drain(name, command) else { return false };
         self.update_members(MemberUpdate::Incremental, vec![listing]);
         true
     }
 
-    /// Applies an update of the endpoint list. What was sent to a process before its successor started will
-    /// not be answered any more.
+    /// Applies an update of the endpoint list. Attempts sent to a process that has been replaced end with a
+    /// reset, because that process will not respond any more.
     pub(super) fn update_members(&mut self, kind: MemberUpdate, listings: Vec<Endpoint>) {
         let update = self.endpoints.apply_update(kind, listings, &self.settings);
         self.events.push_back(Event::Members { kind, members: update.members });
-        for attempt in self.attempts.lost_by(&update.restarted) {
+        for attempt in self.attempts.lost_to_restarts(&update.restarted) {
             self.complete_attempt(attempt, Outcome::Reset, None);
         }
         self.endpoints.remove_gone(|server| self.attempts.any_at(server));
--- a/src/dispatch/actor/mod.rs
+++ b/src/dispatch/actor/mod.rs
@@ -1,8 +1,8 @@
-//! The actor: receives messages, fires timers, puts events to the policy and performs its actions.
+//! The actor: receives messages, fires timers, passes events to the policy and performs its actions.
 //!
-//! It owns the router and one table for each concern, and leaves their state to them. What crosses tables is
-//! in its submodules: `requests` from submission to response, `attempts` from start to end, `members` for
-//! updates of the endpoint list.
+//! The actor owns the router and one table per concern; each table manages its own state. Operations that
+//! span several tables are in the submodules: `requests` (from submission to response), `attempts` (from
+//! start to end) and `members` (updates of the endpoint list).
 
 mod attempts;
 mod members;
@@ -30,11 +30,11 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-/// Messages that wait for the actor; a sender that finds the mailbox full is notified at once.
+/// Capacity of the actor's mailbox, in messages. A non-blocking send to a full mailbox fails immediately.
 const MAILBOX_CAPACITY: usize = 4096;
 
-/// A purge this much older, in microseconds, than twice the time that servers need to complete it has been
-/// completed everywhere.
+/// Margin, in microseconds, on top of twice the time that servers need to complete a purge. A purge older
+/// than the sum has been completed by all servers.
 const COMPLETED_PURGE_MARGIN: Micros = 20_000_000;
 
 /// The actor's state.
@@ -50,19 +50,19 @@
     cancellations: CancellationLog,
     purges: PurgeRecords,
     counters: Counters,
-    /// Events that the policy has not seen yet.
+    /// Events not yet handled by the policy.
     events: VecDeque<Event>,
 }
 
 /// The actor's task and the handle to it.
 pub struct RunningDispatcher {
-    /// Submits requests.
+    /// Handle for submitting requests.
     pub dispatcher: Dispatcher,
-    /// Ends only with a panic or when every handle is gone.
+    /// Task of the actor. It ends only if it panics or once every handle has been dropped.
     pub task: tokio::task::JoinHandle<()>,
 }
 
-/// Starts the actor on the present `LocalSet`, with the messages that it is to handle before any other.
+/// Starts the actor on the current `LocalSet`. It handles the messages in `initial` before any others.
 pub fn start<C: EndpointConnector + 'static>(
     settings: Settings,
     seed: u64,
@@ -126,11 +126,11 @@
                 self.update_members(kind, members);
             }
             DispatcherMessage::Drain { name, command, listed } => {
-                let _ = listed.send(self.override_drain(&name, command)); // whoever has gone needs none
+                let _ = listed.send(self.override_drain(&name, command)); // the receiver may be gone
             }
             DispatcherMessage::Settings(settings) => self.update_settings(*settings),
             DispatcherMessage::Metrics(reply) => {
-                let _ = reply.send(self.metrics()); // whoever has gone needs none
+                let _ = reply.send(self.metrics()); // the receiver may be gone
             }
             DispatcherMessage::NotBefore(unix) => self.purges.set_not_before(unix),
             DispatcherMessage::Purged { object, group, at, retention } => {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Puts the events to the policy and performs its actions, until no events follow from these.
+    /// Passes the queued events to the policy and performs its actions, until no further events result.
     fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -187,7 +187,8 @@
             Action::SetTimer { at, token } => self.timers.schedule(at, Timer::Policy(token)),
             Action::HealthCheck(server) => self.start_health_check(server),
             Action::Log(line) => tracing::info!(detail = %line, "policy event"),
-            // The list comes by itself, and there is no wire between routers.
+            // The endpoint list arrives without being requested, and there is no channel for messages between
+            // routers.
             Action::Subscribe | Action::FetchMembers | Action::SendMessage { .. } => {}
         }
     }
@@ -199,11 +200,11 @@
         let number = self.health_checks.start(server, now);
         self.timers.schedule(now + HEALTH_CHECK_TIMEOUT, Timer::HealthCheckTimeout(number));
         self.endpoints.reconnect_if_ended(server);
-        // Full: the timer ends it.
+        // If the mailbox is full, the timer ends the health check.
         self.endpoints.try_send(server, EndpointCommand::HealthCheck(number));
     }
 
-    /// Completes a health check; the first result counts.
+    /// Completes a health check. Only the first result counts; later ones are ignored.
     fn complete_health_check(&mut self, number: u64, result: Result<HealthReport, AttemptError>) {
         let Some(check) = self.health_checks.complete(number) else { return };
         let elapsed = self.clock.now().saturating_sub(check.started);
@@ -215,8 +216,8 @@
 
     // ---- settings, purges, metrics ----
 
-    /// Puts other settings in force. The zones and kinds by which the endpoint list is read stay as they
-    /// were, for members were placed by them.
+    /// Applies new settings. The zones and kinds by which endpoint lists are interpreted stay unchanged,
+    /// because the present members were assigned by them.
     fn update_settings(&mut self, later: Settings) {
         let in_use = |class: usize| self.requests.uses_class(class);
         let settings = Settings {
@@ -245,7 +246,8 @@
         if age <= complete_within.saturating_mul(2).saturating_add(COMPLETED_PURGE_MARGIN) {
             self.events.push_back(Event::Purged { object, group, age });
         }
-        // Older: servers have long completed it; a director that catches up hears of thousands.
+        // Older purges are not passed to the policy: all servers have completed them, and a director that is
+        // catching up receives thousands of them.
     }
 
     fn metrics(&self) -> DispatcherMetrics {
@@ -268,7 +270,8 @@
     }
 }
 
-/// A load report in the settings' order; empty unless all of it is there.
+/// Returns the values of a load report in the order of the settings. Returns an empty list unless the report
+/// has a value for every name in the settings.
 fn ordered_load_report(settings: &Settings, report: &[(String, f64)]) -> Vec<f64> {
     let value = |name: &String| report.iter().find(|entry| entry.0 == *name).map(|entry| entry.1);
     settings.load_report.iter().map(value).collect::<Option<Vec<f64>>>().unwrap_or_default()
--- a/src/dispatch/actor/requests.rs
+++ b/src/dispatch/actor/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from submission to their one response, or to their cancellation.
+//! Requests, from submission to their only response or their cancellation.
 
 use super::Actor;
 use crate::dispatch::cancellation_log::{ExecutionProof, ProvenCancellation};
@@ -10,31 +10,31 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A connection actor that was told to cancel an attempt reports how far it had come within this time, in
-/// microseconds, or the attempt counts as having run.
+/// Time, in microseconds, within which a connection actor must report how far an attempt had come when it was
+/// cancelled by command. Without a report in this time, the attempt counts as having run.
 const CANCELLATION_REPORT_TIMEOUT: Micros = 1_000_000;
 
 impl<C: EndpointConnector> Actor<C> {
     // ---- submission ----
 
-    /// Takes a request on, or answers it at once.
+    /// Accepts a request, or ends it immediately if it cannot be accepted.
     pub(super) fn accept_request(&mut self, submitted: SubmittedRequest) {
         let now = self.clock.now();
         let class = submitted.request.class;
         if self.requests.is_full() {
-            // Rejected at once, which is harmless as nothing ran.
+            // The request is rejected immediately. This is harmless, because nothing has run.
             let retry_after = Some(OVERLOAD_RETRY_AFTER);
             let rejected = ClientResponse::Rejected { retry_after, reason: FailureReason::Overloaded };
             return self.respond(class, submitted.responder, rejected);
         }
         if submitted.responder.is_closed() || submitted.cancellation.is_cancelled() {
-            // Its client disconnected while it waited in the mailbox: nothing is sent for nobody.
+            // The client disconnected while the request waited in the mailbox, so nothing is sent to servers.
             let class = self.counters.class_name(class).clone();
             let proof = ExecutionProof::NeverRan;
             return self.record_cancellation(Some(ProvenCancellation { class, proof }));
         }
-        // Guards the first of two with one id: servers would take the second for it, or give either the
-        // other's response.
+        // Protects the first of two requests with the same id: servers would mistake the second for the
+        // first, or give either one the other's response.
         if self.requests.contains_forwarded_id(&submitted.request.id) {
             let failed = ClientResponse::Failed(FailureReason::DuplicateRequest);
             return self.respond(class, submitted.responder, failed);
@@ -63,8 +63,8 @@
 
     // ---- expiry of credentials ----
 
-    /// Ends a request whose credential has expired. The Unix clock decides; it may have been set back since
-    /// the timer was set.
+    /// Ends a request if its credential has expired; otherwise sets the timer again. The Unix clock decides,
+    /// because it may have been set back since the timer was set.
     pub(super) fn check_credential(&mut self, id: RequestId) {
         if self.credential_has_expired(id) {
             self.expire_request(id);
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Sets the timer for the expiry of a request's credential, where it has one and is not yet answered.
+    /// Sets a timer for the expiry of a request's credential, if it has one that expires and the request is
+    /// not yet answered.
     fn schedule_credential_expiry(&mut self, id: RequestId) {
         let expiry = self.requests.waiting(id).and_then(|pending| pending.request.credential_expires_at);
         if let Some(expires_at) = expiry {
@@ -82,14 +83,14 @@
         }
     }
 
-    /// Whether the credential of a pending request has expired.
+    /// Returns whether the request is pending and its credential has expired.
     pub(super) fn credential_has_expired(&self, id: RequestId) -> bool {
         let unix = self.clock.unix();
         self.requests.get(id).is_some_and(|pending| pending.credential_has_expired(unix))
     }
 
-    /// Ends a request whose credential has expired before its response began. What may have run of a class
-    /// that must not run twice is not called harmless to repeat.
+    /// Ends a request whose credential expired before its response began. If an attempt may have run in a
+    /// class that must not run twice, the request fails: a rejection would mean that it is safe to repeat.
     pub(super) fn expire_request(&mut self, id: RequestId) {
         let Some(pending) = self.requests.waiting(id) else { return };
         let class = self.settings.classes.get(pending.request.class);
@@ -100,13 +101,13 @@
         } else {
             ClientResponse::Failed(reason)
         };
-        self.end_before_policy(id, Some(response));
+        self.end_and_notify_policy(id, Some(response));
     }
 
     // ---- cancellation by the client ----
 
-    /// The client has disconnected: nothing new is sent for it, and what was sent is counted by what it
-    /// proves.
+    /// Cancels a request whose client has disconnected. Nothing more is sent for it. The attempts that were
+    /// sent determine whether it is counted as never run or as possibly run.
     pub(super) fn cancel_request(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(id).filter(|pending| pending.is_waiting()) else { return };
         pending.responder = None;
@@ -120,16 +121,16 @@
                 self.timers.schedule(at, Timer::CancellationTimeout(id));
             }
         }
-        self.end_before_policy(id, None);
+        self.end_and_notify_policy(id, None);
     }
 
-    /// Whether an attempt of a request that may have been cancelled certainly never ran.
+    /// Records whether an attempt certainly never ran, in case its request was cancelled by the client.
     pub(super) fn record_attempt_report(&mut self, id: RequestId, never_ran: bool) {
         let proven = self.cancellations.attempt_reported(id, ExecutionProof::from_never_ran(never_ran));
         self.record_cancellation(proven);
     }
 
-    /// Counts a cancelled request once it is settled what it proves.
+    /// Counts a cancelled request once it is settled whether it may have run.
     pub(super) fn record_cancellation(&mut self, proven: Option<ProvenCancellation>) {
         if let Some(proven) = proven {
             self.counters.record_cancellation(proven);
@@ -138,15 +139,15 @@
 
     // ---- responses ----
 
-    /// The policy rejects a request; the client is to come back after this time (microseconds), where it is
-    /// known.
+    /// Rejects a request on behalf of the policy. `retry_after` is the time in microseconds after which the
+    /// client should retry; 0 if it is not known.
     pub(super) fn reject_request(&mut self, id: RequestId, retry_after: Micros) {
         let retry_after = (retry_after > 0).then(|| Duration::from_micros(retry_after));
         let reason = self.failure_reason(id);
         self.complete_request(id, ClientResponse::Rejected { retry_after, reason });
     }
 
-    /// The policy has nothing left to try for a request.
+    /// Fails a request for which the policy has nothing left to try.
     pub(super) fn fail_request(&mut self, id: RequestId) {
         let reason = self.failure_reason(id);
         self.complete_request(id, ClientResponse::Failed(reason));
@@ -157,7 +158,8 @@
         self.requests.get(id).map_or(FailureReason::Overloaded, |pending| pending.failure_reason(now))
     }
 
-    /// Gives a request its one final response as the policy wants it; one that has been answered gets none.
+    /// Completes a request with the final response decided by the policy. A request that has been answered
+    /// gets no second response.
     fn complete_request(&mut self, id: RequestId, response: ClientResponse) {
         if let Some(pending) = self.requests.get_mut(id) {
             let class = pending.request.class;
@@ -169,9 +171,9 @@
         self.requests.remove_if_complete(id);
     }
 
-    /// Ends a request that the policy has not ended, with a response or by its client's cancellation, and
-    /// notifies the policy.
-    fn end_before_policy(&mut self, id: RequestId, response: Option<ClientResponse>) {
+    /// Ends a request that the policy has not ended, either with a response or because its client cancelled
+    /// it, and notifies the policy.
+    fn end_and_notify_policy(&mut self, id: RequestId, response: Option<ClientResponse>) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         let class = pending.request.class;
         pending.cancellation.cancel();
@@ -190,6 +192,6 @@
         response: ClientResponse,
     ) {
         self.counters.record_response(class, &response);
-        let _ = responder.send(response); // a client that has disconnected needs none
+        let _ = responder.send(response); // the client may have disconnected
     }
 }
--- a/src/dispatch/attempt.rs
+++ b/src/dispatch/attempt.rs
@@ -1,56 +1,58 @@
-//! Attempts: how one is named, and how one that gave no response ended.
+//! Identifiers of attempts, and the errors of attempts that ended without a response.
 
 use crate::dispatch::UpstreamResponse;
 use crate::policy::types::RequestId;
 
-/// Names one attempt: the request's number at the dispatcher and the attempt's within the request.
+/// Identifies an attempt by the request's number at the dispatcher and the attempt's number within the
+/// request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request's number.
+    /// The request's number at the dispatcher.
     pub request: u64,
-    /// The attempt's number, from 0.
+    /// The attempt's number within the request, starting at 0.
     pub attempt: u32,
 }
 
 impl AttemptId {
-    /// The request that the attempt is made for.
+    /// Returns the number of the request that the attempt belongs to.
     pub fn request_id(self) -> RequestId {
         RequestId(self.request)
     }
 }
 
-/// How far an attempt had come when it ended without a response.
+/// The error of an attempt that ended without a response, according to how far the attempt had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptError {
     /// No connection could be established.
-    #[error("not connected")]
+    #[error("could not connect to the server")]
     NotConnected,
-    /// No connection was tried, for this process has no descriptor left for one: no fault of the server.
-    #[error("no descriptor left")]
+    /// No connection was tried, because this process has no file descriptor left for one. The server is not
+    /// at fault.
+    #[error("no file descriptor available for a connection")]
     NoDescriptor,
-    /// Nothing of it was written.
-    #[error("nothing written")]
+    /// No part of the attempt was written.
+    #[error("attempt ended before any part of it was written")]
     NotWritten,
-    /// A part of it was written; a server runs only complete requests.
-    #[error("partly written")]
+    /// Only part of the attempt was written. A server runs only complete requests.
+    #[error("attempt ended after only part of it was written")]
     PartiallyWritten,
-    /// It was written completely and nothing came back.
-    #[error("written, not answered")]
+    /// The attempt was completely written, but no part of a response was received.
+    #[error("attempt completely written, but no response received")]
     Unanswered,
-    /// Its response had begun.
-    #[error("broke off in the answer")]
+    /// The response had begun, but was not received completely.
+    #[error("response interrupted before it was complete")]
     ResponseInterrupted,
-    /// Its request had finished or was cancelled before anything of it was written.
-    #[error("called off, nothing written")]
+    /// The request finished or was cancelled before any part of the attempt was written.
+    #[error("attempt cancelled before any part of it was written")]
     Cancelled,
 }
 
 impl AttemptError {
-    /// Whether the attempt certainly had no effect.
+    /// Returns whether the attempt certainly had no effect.
     pub fn never_ran(self) -> bool {
         !matches!(self, AttemptError::Unanswered | AttemptError::ResponseInterrupted)
     }
 }
 
-/// How an attempt ended at its server.
+/// The server's response to an attempt, or the error with which the attempt ended.
 pub type AttemptResult = Result<UpstreamResponse, AttemptError>;
--- a/src/dispatch/cancellation.rs
+++ b/src/dispatch/cancellation.rs
@@ -1,15 +1,18 @@
-//! Cancellation: the token that a request's attempts share, and the client that it can look at.
+//! Cancellation of requests: the token shared by a request's attempts, and the client that it can check for a
+//! disconnect.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A client as its frontend reaches it.
+/// A client whose connection can be checked by the frontend that serves it.
 pub trait Client: std::fmt::Debug + Send + Sync {
-    /// Whether it has disconnected, even if the runtime has notified nobody of it yet. It must not block.
+    /// Returns whether the client has disconnected, even if the runtime has not yet notified any task of it.
+    /// Must not block.
     fn has_disconnected(&self) -> bool;
 }
 
-/// A client that a host's server leaves among a request's extensions, for the middleware.
+/// A client that the server of a host application stores in a request's extensions, for use by the
+/// middleware.
 #[derive(Clone, Debug)]
 pub struct ClientHandle(Arc<dyn Client>);
 
@@ -26,10 +29,10 @@
     }
 }
 
-/// Whether a request has ended: answered, or cancelled by its client. Whoever carries its attempts checks
-/// this right before the first byte, for the command that cancels an attempt can find a mailbox full, or
-/// cross the attempt on its way from a connection that has ended to another; and while the runtime is
-/// stalled, a client's disconnect goes unnoticed.
+/// A token that shows whether a request has ended, because it was answered or because its client cancelled
+/// it. Code that sends attempts checks it right before the first byte, because the command that cancels an
+/// attempt may find a full mailbox, or miss the attempt while that moves from a closed connection to another.
+/// In addition, a client's disconnect goes unnoticed while the runtime is stalled.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationToken(Arc<CancellationState>);
 
@@ -40,7 +43,7 @@
 }
 
 impl CancellationToken {
-    /// A token for a request whose client can be looked at.
+    /// Creates a token for a request whose client can be checked for a disconnect.
     pub fn for_client(client: impl Client + 'static) -> Self {
         CancellationToken(Arc::new(CancellationState {
             cancelled: AtomicBool::new(false),
@@ -48,13 +51,14 @@
         }))
     }
 
-    /// Whether nothing more is to be sent for the request, as far as has been notified.
+    /// Returns whether nothing more is to be sent for the request, according to the notifications received so
+    /// far.
     pub fn is_cancelled(&self) -> bool {
         self.0.cancelled.load(Ordering::Relaxed)
     }
 
-    /// The same after a look at the client itself, where its frontend reaches it: right before the first
-    /// byte.
+    /// Checks the client itself for a disconnect, if its frontend gives access to it, and then returns the
+    /// same as [`is_cancelled`](Self::is_cancelled). Called right before the first byte is sent.
     pub fn check_client(&self) -> bool {
         if !self.is_cancelled() && self.0.client.as_ref().is_some_and(|client| client.has_disconnected()) {
             self.cancel();
@@ -62,7 +66,7 @@
         self.is_cancelled()
     }
 
-    /// Nothing more is to be sent for the request from now on.
+    /// Ensures that nothing more is sent for the request from now on.
     pub fn cancel(&self) {
         self.0.cancelled.store(true, Ordering::Relaxed);
     }
--- a/src/dispatch/cancellation_log.rs
+++ b/src/dispatch/cancellation_log.rs
@@ -1,27 +1,28 @@
-//! What became of requests that their clients cancelled: a state machine without clock or I/O.
+//! Determines whether requests cancelled by their clients may have run: a state machine without clock or I/O.
 //!
-//! A client may disconnect at any point. Nothing new is sent for it from then on, but what was sent may have
-//! run, and that is known only by those who carry the attempts: whether one was taken out of a queue, or was
-//! on the wire. The log waits for their reports, and assumes that an attempt ran where none comes.
+//! A client may disconnect at any point. Nothing new is sent for it from then on, but attempts already sent
+//! may have run. Only the connection actors that carry the attempts know whether one was removed from a queue
+//! or was already on the wire. The log waits for their reports, and assumes that an attempt ran if no report
+//! arrives.
 
 use crate::policy::types::RequestId;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Requests that wait for reports at a time; beyond that one counts as having run.
+/// Maximum number of requests that wait for reports at a time. Any further request counts as having run.
 pub const MAX_WAITING_REQUESTS: usize = 4096;
 
-/// What is proven of a cancelled request or of one of its attempts.
+/// What is proven about the execution of a cancelled request or of one of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionProof {
     /// Nothing of it ran anywhere.
     NeverRan,
-    /// It may have run; a class that must not run twice is not to be retried.
+    /// It may have run. A request of a class that must not run twice must then not be retried.
     MayHaveRun,
 }
 
 impl ExecutionProof {
-    /// The proof that something certainly never ran, or the want of it.
+    /// Returns `NeverRan` if something certainly never ran, and `MayHaveRun` if that is not proven.
     pub fn from_never_ran(never_ran: bool) -> Self {
         if never_ran {
             ExecutionProof::NeverRan
@@ -31,12 +32,12 @@
     }
 }
 
-/// A cancelled request of which it is settled whether it may have run.
+/// A cancelled request for which it is settled whether it may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProvenCancellation {
-    /// The request's class.
+    /// Name of the request's class.
     pub class: Arc<str>,
-    /// What is proven of it.
+    /// What is proven about its execution.
     pub proof: ExecutionProof,
 }
 
@@ -47,14 +48,15 @@
 #[derive(Debug)]
 struct WaitingRequest {
     class: Arc<str>,
-    /// Attempts that were not reported yet.
+    /// Number of attempts that have not been reported yet.
     unreported: usize,
 }
 
 impl CancellationLog {
-    /// A client cancelled a request that has so many attempts in flight, after others that prove this.
-    /// Returns what is proven already; none: the log waits for [`attempt_reported`](Self::attempt_reported)
-    /// or [`report_timed_out`](Self::report_timed_out).
+    /// Records that a client cancelled a request that has `in_flight` attempts in flight. `ended_attempts` is
+    /// what the attempts that have ended prove. Returns what is proven of the request if that is settled
+    /// already. Returns `None` if the log waits for [`attempt_reported`](Self::attempt_reported) or
+    /// [`report_timed_out`](Self::report_timed_out).
     pub fn request_cancelled(
         &mut self,
         request: RequestId,
@@ -76,8 +78,8 @@
         None
     }
 
-    /// What the end or the cancellation of one of the attempts proves. Returns what is proven of the request
-    /// once that is settled.
+    /// Records what the end or the cancellation of an attempt proves. Returns what is proven of the request
+    /// once that is settled. Returns `None` before, and for requests that do not wait for reports.
     pub fn attempt_reported(
         &mut self,
         request: RequestId,
@@ -91,7 +93,8 @@
         self.resolve(request, attempt)
     }
 
-    /// Not all reports came in time: without a report nothing is proven.
+    /// Settles a request whose reports did not all arrive in time. Without a report nothing is proven, so the
+    /// request counts as having run. Returns `None` if the request does not wait for reports.
     pub fn report_timed_out(&mut self, request: RequestId) -> Option<ProvenCancellation> {
         self.resolve(request, ExecutionProof::MayHaveRun)
     }
@@ -100,7 +103,7 @@
         self.0.remove(&request).map(|waiting| ProvenCancellation { class: waiting.class, proof })
     }
 
-    /// Requests that wait for reports.
+    /// Returns the number of requests that wait for reports.
     pub fn waiting(&self) -> usize {
         self.0.len()
     }
--- a/src/dispatch/clock.rs
+++ b/src/dispatch/clock.rs
@@ -1,10 +1,10 @@
-//! The clocks: a monotonic one for durations, the system's Unix clock for times that others set.
+//! The clocks: a monotonic clock for durations, and the system's Unix clock for times set by others.
 
 use crate::policy::types::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Reads the time, in microseconds.
+/// A clock that reads the time in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// The instant at which the monotonic clock read `start_micros`.
@@ -13,31 +13,31 @@
     unix_source: UnixSource,
 }
 
-/// Where the Unix time is read.
+/// The source of the Unix time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UnixSource {
     System,
-    /// The monotonic clock, which a test has set.
+    /// The monotonic clock, which was set by a test.
     Monotonic,
 }
 
 impl Clock {
-    /// The system's clocks.
+    /// Creates a clock that reads the system's clocks.
     pub fn system() -> Self {
         Clock { start: Instant::now(), start_micros: system_unix(), unix_source: UnixSource::System }
     }
 
-    /// A clock that reads this Unix time now and goes on by tokio's clock, which tests can pause.
+    /// Creates a clock that reads `unix` now and advances with tokio's clock, which tests can pause.
     pub fn starting_at(unix: Micros) -> Self {
         Clock { start: Instant::now(), start_micros: unix, unix_source: UnixSource::Monotonic }
     }
 
-    /// The monotonic clock; it starts near Unix time and never goes back.
+    /// Returns the time by the monotonic clock, which starts near Unix time and never goes back.
     pub fn now(&self) -> Micros {
         self.start_micros + self.start.elapsed().as_micros() as Micros
     }
 
-    /// The Unix time, which an operator may set back.
+    /// Returns the Unix time, which an operator may set back.
     pub fn unix(&self) -> Micros {
         match self.unix_source {
             UnixSource::System => system_unix(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The monotonic clock's reading for a Unix time; 0 stays 0.
+    /// Converts a Unix time to the monotonic clock. 0 stays 0.
     pub fn unix_to_monotonic(&self, unix: Micros) -> Micros {
         if unix == 0 {
             return 0;
@@ -54,7 +54,7 @@
         unix.saturating_add_signed(offset)
     }
 
-    /// The instant at which the monotonic clock reads this.
+    /// Returns the instant at which the monotonic clock reads `at`.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at.saturating_sub(self.start_micros))
     }
--- a/src/dispatch/counters.rs
+++ b/src/dispatch/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of requests by class, and of attempts.
+//! Counters of requests per class, and of attempts.
 
 use super::cancellation_log::{ExecutionProof, ProvenCancellation};
 use crate::dispatch::{ClassCounts, ClientResponse};
@@ -6,41 +6,41 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The counters, and the names of the classes that they are kept by.
+/// The counters, and the names of the classes by which requests are counted.
 #[derive(Debug)]
 pub(super) struct Counters {
-    /// By the classes' indices in the settings, retired ones among them.
+    /// Names of the classes by their index in the settings, including retired classes.
     class_names: Vec<Arc<str>>,
     by_class: BTreeMap<Arc<str>, ClassCounts>,
-    /// Attempts written completely.
+    /// Number of attempts completely written to servers.
     pub(super) attempts_written: u64,
 }
 
 impl Counters {
-    /// Counters at zero, for the classes of these settings.
+    /// Creates counters at zero for the classes of these settings.
     pub(super) fn new(settings: &Settings) -> Self {
         Counters { class_names: class_names(settings), by_class: BTreeMap::new(), attempts_written: 0 }
     }
 
-    /// Goes on with the classes of other settings. The counts of a class end with the last index that it has,
-    /// so that these stay few too.
+    /// Updates the classes to those of new settings. The counts of a class are removed once no index refers
+    /// to it, so that their number stays small too.
     pub(super) fn update_classes(&mut self, settings: &Settings) {
         self.class_names = class_names(settings);
         let names = &self.class_names;
         self.by_class.retain(|name, _| names.contains(name));
     }
 
-    /// The name of the class at this index.
+    /// Returns the name of the class at index `class`.
     pub(super) fn class_name(&self, class: usize) -> &Arc<str> {
         &self.class_names[class]
     }
 
-    /// Indices of classes, retired ones among them.
+    /// Returns the number of class indices, including those of retired classes.
     pub(super) fn class_count(&self) -> usize {
         self.class_names.len()
     }
 
-    /// A request of the class at this index was answered.
+    /// Counts a response to a request of the class at index `class`.
     pub(super) fn record_response(&mut self, class: usize, response: &ClientResponse) {
         let counts = self.by_class.entry(self.class_names[class].clone()).or_default();
         match response {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A request was cancelled by its client, and what it proves is known.
+    /// Counts a request that was cancelled by its client, once it is settled whether it may have run.
     pub(super) fn record_cancellation(&mut self, cancellation: ProvenCancellation) {
         let counts = self.by_class.entry(cancellation.class).or_default();
         match cancellation.proof {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The counts by class; a class that is not retired is there even at zero.
+    /// Returns the counts by class. A class that is not retired is included even if its counts are zero.
     pub(super) fn by_class(&self, settings: &Settings) -> BTreeMap<Arc<str>, ClassCounts> {
         let mut counts = self.by_class.clone();
         for (class, name) in settings.classes.iter().zip(&self.class_names) {
--- a/src/dispatch/endpoint.rs
+++ b/src/dispatch/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher and an endpoint's connection actor say to each other: commands, requests, responses.
+//! Messages between the dispatcher and the connection actors of endpoints: commands, requests and responses.
 
 use crate::dispatch::membership::Endpoint;
 use crate::dispatch::request::Representation;
@@ -9,82 +9,83 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// A server's status for an attempt.
+/// The status of a server's response to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponseStatus {
-    /// The representation.
+    /// The server served this representation.
     Ok(Representation),
-    /// The client's copy, named by this tag, is current.
+    /// The client's copy, identified by this ETag, is current.
     NotModified(Option<Arc<str>>),
-    /// Not cached; the attempt never ran.
+    /// The object is not cached; the attempt never ran.
     Miss,
-    /// No capacity; the attempt never ran.
+    /// The server has no capacity; the attempt never ran.
     Rejected,
-    /// An error; the attempt may have run.
+    /// The server reported an error; the attempt may have run.
     Error,
-    /// The request had ended already; the attempt never ran.
+    /// The request had already ended; the attempt never ran.
     Expired,
 }
 
 /// A server's response to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamResponse {
-    /// The status.
+    /// How the server handled the attempt.
     pub status: ResponseStatus,
     /// Where the representation came from, or why a fill failed.
     pub cache_status: CacheStatus,
-    /// Time spent on waiting for the fill source, in microseconds.
+    /// Time spent waiting for the fill source, in microseconds.
     pub source_wait: Micros,
-    /// Load report by name, where one came along.
+    /// Load report, by name. Empty if the response has none.
     pub load_report: Vec<(String, f64)>,
 }
 
 /// A server's response to a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthReport {
-    /// Whether it reports itself healthy.
+    /// Whether the server reports itself as healthy.
     pub healthy: bool,
-    /// Load report by name.
+    /// Load report, by name.
     pub load_report: Vec<(String, f64)>,
 }
 
-/// An attempt as it is sent to a server.
+/// An attempt, as it is sent to a server.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// Names the attempt in reports.
+    /// Identifies the attempt in reports.
     pub attempt_id: AttemptId,
-    /// The request's id.
+    /// Id under which the request is forwarded.
     pub id: Arc<str>,
-    /// The class's name.
+    /// Name of the request's class.
     pub class: Arc<str>,
     /// The object's name.
     pub object: Arc<str>,
-    /// The part of the object.
+    /// The part of the object. `None` if the client named none.
     pub part: Option<u32>,
-    /// When the director stops waiting.
+    /// When the director stops waiting for the response.
     pub deadline: Instant,
-    /// Not to be sent after this: drains and purges of the meantime might be missed.
+    /// The attempt must not be sent after this time, because it could miss a drain or purge that occurred in
+    /// the meantime.
     pub send_deadline: Instant,
-    /// Not to be sent once this is cancelled; checked right before the first byte
+    /// The attempt must not be sent once this token is cancelled. It is checked right before the first byte
     /// ([`CancellationToken::check_client`]).
     pub cancellation: CancellationToken,
-    /// The server from which a miss is filled; none: no fill.
+    /// The server from which a miss is filled. `None` if a miss is not filled.
     pub fill_source: Option<Arc<str>>,
     /// Rank at which the copy is cached.
     pub cache_rank: u8,
-    /// The oldest acceptable copy, in milliseconds; 0: the class's freshness lifetime.
+    /// Maximum age of the copy, in milliseconds; 0 means the class's freshness lifetime.
     pub max_age_ms: u64,
-    /// Join a fill that is in progress.
+    /// Whether to join a fill that is in progress.
     pub collapse: bool,
-    /// The source gives only what it has cached.
+    /// Whether the fill source may return only what it has cached.
     pub only_if_cached: bool,
-    /// Refresh an ageing copy in the background.
+    /// Whether to refresh an ageing copy in the background.
     pub revalidate: bool,
-    /// The tag of the client's copy.
+    /// ETag of the client's copy.
     pub if_none_match: Option<Arc<str>>,
-    /// The key by which the server recognizes a retry.
+    /// Key by which the server recognizes a retry.
     pub idempotency_key: Option<Arc<str>>,
-    /// What is to be written.
+    /// The body of a write.
     pub body: Bytes,
 }
 
@@ -93,15 +94,16 @@
 pub enum EndpointCommand {
     /// Send an attempt.
     Send(UpstreamRequest),
-    /// Cancel an attempt; its end is not waited for.
+    /// Cancel an attempt. The dispatcher does not wait for its end.
     Cancel(AttemptId),
-    /// Check the server's health and report under this number.
+    /// Check the server's health and report the result under this number.
     HealthCheck(u64),
 }
 
-/// Starts the actors that hold the connections to servers.
+/// Starts the connection actors, which hold the connections to servers.
 pub trait EndpointConnector {
-    /// Starts the actor for one server and returns its mailbox; the actor ends once that is dropped.
+    /// Starts the connection actor of one server and returns its mailbox. The actor ends once the mailbox is
+    /// dropped.
     fn connect(
         &mut self,
         server: ServerId,
--- a/src/dispatch/endpoint_registry.rs
+++ b/src/dispatch/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! The endpoint registry: the servers of the endpoint list, their numbers and their connection actors.
+//! The endpoint registry: the servers of the endpoint list, with their numbers and connection actors.
 
 use super::naming::server_number;
 use crate::dispatch::membership::{DrainOverrides, Endpoint};
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// A server of the list, or one gone that still has attempts in flight.
+/// A server of the endpoint list, or one that is gone but still has attempts in flight.
 struct RegisteredEndpoint {
     listing: Endpoint,
-    /// Start of its process by the monotonic clock.
+    /// Start of its process, by the monotonic clock.
     started_at: Micros,
     mailbox: mpsc::Sender<EndpointCommand>,
 }
@@ -22,26 +22,26 @@
         self.listing.state == MemberState::Gone
     }
 
-    /// Whether the listing is of the process that it is connected to.
+    /// Returns whether the listing describes the process that this endpoint is connected to.
     fn is_same_process(&self, listing: &Endpoint) -> bool {
         self.listing.address == listing.address && self.listing.started_at == listing.started_at
     }
 }
 
-/// An endpoint whose process was replaced by another.
+/// An endpoint whose process was replaced by a new one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RestartedEndpoint {
     pub(super) server: ServerId,
-    /// Start of the new process by the monotonic clock.
+    /// Start of the new process, by the monotonic clock.
     pub(super) started_at: Micros,
 }
 
-/// What an update of the endpoint list comes to.
+/// The result of applying an update of the endpoint list.
 #[derive(Debug, Default)]
 pub(super) struct RegistryUpdate {
-    /// The entries as the policy sees them.
+    /// The entries in the form that the policy receives.
     pub(super) members: Vec<Member>,
-    /// Endpoints whose process was replaced.
+    /// Endpoints whose process was replaced by a new one.
     pub(super) restarted: Vec<RestartedEndpoint>,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl<C: EndpointConnector> EndpointRegistry<C> {
-    /// An empty registry, whose connection actors report to this mailbox.
+    /// Creates an empty registry, whose connection actors report to `reports`.
     pub(super) fn new(connector: C, reports: DispatcherSender, clock: Clock) -> Self {
         EndpointRegistry {
             connector,
@@ -68,43 +68,47 @@
         }
     }
 
-    /// A server's name.
+    /// Returns the name of a registered server.
     pub(super) fn name(&self, server: ServerId) -> Option<&Arc<str>> {
         self.endpoints.get(&server).map(|endpoint| &endpoint.listing.name)
     }
 
-    /// Servers of the list.
+    /// Returns the number of servers in the endpoint list.
     pub(super) fn listed(&self) -> usize {
         self.endpoints.values().filter(|endpoint| !endpoint.is_gone()).count()
     }
 
-    /// Servers of the list, and those gone that still have attempts in flight.
+    /// Returns the number of servers in the endpoint list and of those gone that still have attempts in
+    /// flight.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len().max(self.numbers.len())
     }
 
-    /// Messages that wait in the mailbox to which the connection actors report.
+    /// Returns the number of messages queued in the mailbox to which the connection actors report.
     pub(super) fn queued_reports(&self) -> usize {
         self.reports.queued()
     }
 
-    /// Sends a command to a server's connection actor; whether it was taken.
+    /// Sends a command to a server's connection actor. Returns whether the actor accepted it.
     pub(super) fn try_send(&self, server: ServerId, command: EndpointCommand) -> bool {
         self.endpoints.get(&server).is_some_and(|endpoint| endpoint.mailbox.try_send(command).is_ok())
     }
 
-    /// Starts a server's connection actor anew if it has ended, which only a panic does while the server is
-    /// listed.
+    /// Restarts a server's connection actor if it has ended. While the server is listed, only a panic ends
+    /// the actor.
     pub(super) fn reconnect_if_ended(&mut self, server: ServerId) {
         let Some(endpoint) = self.endpoints.get_mut(&server) else { return };
         if endpoint.mailbox.is_closed() && !endpoint.is_gone() {
-            tracing::warn!(server = %endpoint.listing.name, "connection actor had ended, starting it anew");
+            tracing::warn!(
+                server = %endpoint.listing.name,
+                "connection task ended unexpectedly; restarting it"
+            );
             endpoint.mailbox = connect(&mut self.connector, server, &endpoint.listing, &self.reports);
         }
     }
 
-    /// Records that a server is to drain, or no longer. Returns its listing, which is to be applied again;
-    /// none: the server is not listed.
+    /// Records that a server is to be drained or no longer drained. Returns its listing, which the caller
+    /// must apply again. Returns `None` if the server is not listed.
     pub(super) fn override_drain(&mut self, name: &Arc<str>, command: DrainCommand) -> Option<Endpoint> {
         let endpoint = self.numbers.get(name).and_then(|server| self.endpoints.get(server))?;
         if endpoint.is_gone() {
@@ -115,7 +119,8 @@
             DrainCommand::Drain => self.drains.begin(&listing),
             DrainCommand::Undrain => {
                 if self.drains.end(name) {
-                    // What its source last said is not cached: it runs until that says otherwise.
+                    // The state last reported by the server's source is not stored, so the server counts as
+                    // running until the source reports another state.
                     listing.state = MemberState::Running;
                 }
             }
@@ -123,7 +128,7 @@
         Some(listing)
     }
 
-    /// Applies an update of the endpoint list; a full one leaves all servers gone that it does not name.
+    /// Applies an update of the endpoint list. A full update marks all servers that it does not name as gone.
     pub(super) fn apply_update(
         &mut self,
         kind: MemberUpdate,
@@ -163,8 +168,8 @@
         update.members.push(Member { server, zone, kind, cell, state, size, started_at });
     }
 
-    /// The start of a listed process by the monotonic clock. It is converted once: a second conversion could
-    /// differ by a little and pass for another start.
+    /// Returns the start of a listed process by the monotonic clock. The time is converted only once: the
+    /// result of a second conversion could differ slightly and be taken for another start.
     fn monotonic_start(&self, server: ServerId, listing: &Endpoint) -> Micros {
         match self.endpoints.get(&server) {
             Some(known) if known.listing.started_at == listing.started_at => known.started_at,
@@ -172,8 +177,9 @@
         }
     }
 
-    /// Registers a listing, and connects to it where it is new or of another process. Connections to an old
-    /// process are worth nothing, and on a machine that vanished they would stay open and silent.
+    /// Registers a listing, and connects to the server if it is new or its process has been replaced.
+    /// Connections to the old process are useless, and on a machine that vanished they would stay open
+    /// without any traffic.
     fn register(&mut self, server: ServerId, listing: Endpoint, started_at: Micros) -> Registration {
         let is_gone = listing.state == MemberState::Gone;
         let registration = match self.endpoints.get_mut(&server) {
@@ -196,8 +202,9 @@
         registration
     }
 
-    /// The number by which the policy knows a server. It goes by the name alone, so that all directors agree;
-    /// where two names share one, the later goes by the next that is free.
+    /// Returns the number by which the policy knows a server, and assigns it if the server is new. The number
+    /// is derived from the name alone, so that all directors agree. If two names give the same number, the
+    /// later server gets the next free number.
     fn assign_number(&mut self, name: &Arc<str>) -> ServerId {
         if let Some(server) = self.numbers.get(name) {
             return *server;
@@ -210,7 +217,7 @@
         ServerId(number)
     }
 
-    /// Removes the servers that are gone and have no attempt in flight, with all that is known of them.
+    /// Removes the servers that are gone and have no attempts in flight, with all data about them.
     pub(super) fn remove_gone(&mut self, has_attempts: impl Fn(ServerId) -> bool) {
         self.endpoints.retain(|server, endpoint| !endpoint.is_gone() || has_attempts(*server));
         let endpoints = &self.endpoints;
@@ -220,20 +227,20 @@
     }
 }
 
-/// What registering a listing has changed.
+/// The effect of registering a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Registration {
-    /// A server that was not registered.
+    /// The server was not registered before.
     Added,
-    /// A new process in place of one that was registered.
+    /// A new process replaced the one that was registered.
     Restarted,
-    /// No other process.
+    /// The process is not known to have been replaced.
     Unchanged,
 }
 
-/// Starts a connection actor. Guards the dispatcher against a connector of a host application that panics:
-/// its server then has a mailbox that nobody reads, attempts there end unsent, and each tries to start the
-/// actor anew.
+/// Starts a connection actor. Guards the dispatcher against a panic in the connector of a host application:
+/// the server then has a mailbox without a receiver, attempts there end unsent, and each attempt tries to
+/// restart the actor.
 fn connect<C: EndpointConnector>(
     connector: &mut C,
     server: ServerId,
--- a/src/dispatch/handle.rs
+++ b/src/dispatch/handle.rs
@@ -1,4 +1,4 @@
-//! The handle that frontends and middleware hold, and the future of a request's response.
+//! The handle that frontends and middleware use, and the future of a request's response.
 
 use super::naming::mix;
 use crate::dispatch::request::{ClientRequest, ClientResponse, FailureReason};
@@ -15,13 +15,13 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// When a client that found the dispatcher at capacity should come back.
+/// Time after which a client should retry if the dispatcher was at capacity.
 pub(super) const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// 2^64 over the golden ratio: consecutive request numbers give ids that look unrelated.
+/// 2^64 divided by the golden ratio. It makes the ids of consecutive request numbers look unrelated.
 const ID_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The handle that frontends and middleware hold.
+/// A handle to the dispatcher, for frontends and middleware.
 #[derive(Clone, Debug)]
 pub struct Dispatcher {
     mailbox: mpsc::Sender<DispatcherMessage>,
@@ -39,19 +39,19 @@
         Dispatcher { mailbox, next_number: Arc::new(AtomicU64::new(1)), seed, settings }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// The metrics; none where the actor has ended.
+    /// Returns the metrics, or `None` if the actor has ended.
     pub async fn metrics(&self) -> Option<DispatcherMetrics> {
         let (reply, metrics) = oneshot::channel();
         self.mailbox.send(DispatcherMessage::Metrics(reply)).await.ok()?;
         metrics.await.ok()
     }
 
-    /// A new id, of 16 hex digits, for a request that came without one.
+    /// Returns a new id of 16 hex digits, for a request that has none.
     pub fn generate_request_id(&self) -> Arc<str> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         format!("{:016x}", mix(self.seed.wrapping_add(number.wrapping_mul(ID_INCREMENT)))).into()
@@ -62,8 +62,8 @@
         self.submit_with(request, CancellationToken::default())
     }
 
-    /// Submits a request whose client can be looked at: it counts as cancelled as soon as the client has
-    /// disconnected, even before the [`PendingResponse`] is dropped.
+    /// Submits a request whose client can be checked for a disconnect. The request counts as cancelled as
+    /// soon as the client has disconnected, even before the [`PendingResponse`] is dropped.
     pub fn submit_for_client(
         &self,
         request: ClientRequest,
@@ -76,7 +76,8 @@
         let id = RequestId(self.next_number.fetch_add(1, Ordering::Relaxed));
         let (responder, response) = oneshot::channel();
         let submitted = SubmittedRequest { id, request, responder, cancellation: cancellation.clone() };
-        // Full: the request is rejected at once, which is harmless as nothing ran.
+        // If the mailbox is full, the request is rejected immediately. This is harmless, because nothing has
+        // run.
         let sent = self.mailbox.try_send(DispatcherMessage::Request(Box::new(submitted)));
         let not_accepted = match &sent {
             Err(mpsc::error::TrySendError::Closed(_)) => FailureReason::ShuttingDown,
@@ -86,13 +87,13 @@
         PendingResponse { id, response, cancellation, not_accepted, mailbox: self.mailbox.clone() }
     }
 
-    /// Whether the actor has ended.
+    /// Returns whether the actor has ended.
     pub fn has_ended(&self) -> bool {
         self.mailbox.is_closed()
     }
 
-    /// Drains a server, or ends its drain, whatever its source says; whether it is listed. None where the
-    /// actor has ended.
+    /// Drains a server or ends its drain, with precedence over the server's source. Returns whether the
+    /// server is listed, or `None` if the actor has ended.
     pub async fn drain(&self, name: &str, command: DrainCommand) -> Option<bool> {
         let (reply, listed) = oneshot::channel();
         let message = DispatcherMessage::Drain { name: name.into(), command, listed: reply };
@@ -100,20 +101,20 @@
         listed.await.ok()
     }
 
-    /// The mailbox for reports of connection actors and discovery.
+    /// Returns the mailbox to which connection actors and discovery report.
     pub fn sender(&self) -> DispatcherSender {
         DispatcherSender::new(self.mailbox.clone())
     }
 }
 
-/// A request whose response is awaited; dropping it cancels the request.
+/// A request whose response is awaited. Dropping it cancels the request.
 #[derive(Debug)]
 pub struct PendingResponse {
     id: RequestId,
-    /// None once the response was taken, or where the request was not accepted.
+    /// `None` once the response has been received, or if the request was not accepted.
     response: Option<oneshot::Receiver<ClientResponse>>,
     cancellation: CancellationToken,
-    /// Why the request was not accepted, where it was not.
+    /// Why the request was not accepted, if it was not.
     not_accepted: FailureReason,
     mailbox: mpsc::Sender<DispatcherMessage>,
 }
@@ -129,7 +130,7 @@
         };
         let response = std::task::ready!(Pin::new(response).poll(cx));
         self.response = None;
-        // An actor that has ended can't tell what ran.
+        // If the actor has ended, it is unknown whether the request ran.
         Poll::Ready(response.unwrap_or(ClientResponse::Failed(FailureReason::ShuttingDown)))
     }
 }
@@ -138,7 +139,8 @@
     fn drop(&mut self) {
         if self.response.is_some() {
             self.cancellation.cancel();
-            // Full: the actor learns of it when it would send again, has a response, or the deadline passes.
+            // If the mailbox is full, the actor notices the disconnect when it would send another attempt,
+            // when it has a response, or when the deadline passes.
             let _ = self.mailbox.try_send(DispatcherMessage::ClientCancelled(self.id));
         }
     }
--- a/src/dispatch/health_checks.rs
+++ b/src/dispatch/health_checks.rs
@@ -1,10 +1,10 @@
-//! Health checks in flight, and what their results come to.
+//! Health checks in flight, and how their results are judged.
 
 use crate::dispatch::{AttemptError, HealthReport};
 use crate::policy::types::{Micros, Outcome, ServerId};
 use std::collections::HashMap;
 
-/// A health check without a response by then, in microseconds, has failed.
+/// Time, in microseconds, after which a health check without a response has failed.
 pub(super) const HEALTH_CHECK_TIMEOUT: Micros = 250_000;
 
 /// A health check whose result is not known yet.
@@ -30,18 +30,17 @@
         number
     }
 
-    /// Completes a health check; none: it had been completed before.
+    /// Removes a health check that has ended. Returns `None` if it had ended before.
     pub(super) fn complete(&mut self, number: u64) -> Option<HealthCheck> {
         self.in_flight.remove(&number)
     }
 
-    /// Health checks in flight.
     pub(super) fn len(&self) -> usize {
         self.in_flight.len()
     }
 }
 
-/// What a health check's result after this time (microseconds) proves of the server.
+/// Returns the outcome of a health check that gave `result` after `elapsed` microseconds.
 pub(super) fn outcome(result: &Result<HealthReport, AttemptError>, elapsed: Micros) -> Outcome {
     match result {
         Ok(HealthReport { healthy: true, .. }) => Outcome::Ok,
--- a/src/dispatch/membership.rs
+++ b/src/dispatch/membership.rs
@@ -1,8 +1,9 @@
-//! Endpoints as sources list them, and the drain overrides above the sources: without clock or I/O.
+//! Endpoints as listed by their sources, and drain overrides with precedence over the sources. Types without
+//! clock or I/O.
 //!
-//! Sources report what they see; an operator or a host application may drain a server. That override stands
-//! above every source for as long as the same process runs there, so that a source that lags, or a full list
-//! that comes a moment later, does not put the server back into service.
+//! Sources report the state that they observe, but an operator or a host application may drain a server. Such
+//! an override takes precedence over every source for as long as the same process runs there. A source that
+//! lags, or a full list that arrives a moment later, then does not put the server back into service.
 
 use crate::policy::types::{MemberState, Micros};
 use std::collections::HashMap;
@@ -11,71 +12,73 @@
 /// A server of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, the same at every director.
+    /// Name, which is the same at every director.
     pub name: Arc<str>,
-    /// The address that it listens on.
+    /// Address that the server listens on.
     pub address: Arc<str>,
-    /// Its zone's name.
+    /// Name of the server's zone.
     pub zone: String,
-    /// Its kind's name.
+    /// Name of the server's kind.
     pub kind: String,
-    /// Its cell.
+    /// Number of the cell that the server is in.
     pub cell: u32,
-    /// Its state.
+    /// State reported by the source, or set by a drain override.
     pub state: MemberState,
-    /// Its size; 0: not known.
+    /// Size of the server; 0 if it is not known.
     pub size: f64,
-    /// Unix time of its process's start in microseconds; 0: not known.
+    /// Unix time at which the server's process started, in microseconds; 0 if it is not known.
     pub started_at: Micros,
 }
 
-/// What an operator or a host application wants of a server, whatever its source says of it.
+/// A command of an operator or a host application to drain a server, or to end the drain, with precedence
+/// over the server's source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainCommand {
-    /// Drain it.
+    /// Start a drain.
     Drain,
-    /// End the drain.
+    /// End a drain.
     Undrain,
 }
 
-/// Drains that an operator or a host application has ordered, by server, with the start of the process that
-/// is to drain. The endpoint list bounds them, for one of a name that no source lists is removed.
+/// The drain overrides set by an operator or a host application: by server, with the start of the process
+/// that is to be drained. Their number is bounded by the endpoint list, because an override for a name that
+/// no source lists is removed.
 #[derive(Debug, Default)]
 pub struct DrainOverrides(HashMap<Arc<str>, Micros>);
 
 impl DrainOverrides {
-    /// Drains a server, as its source last listed it.
+    /// Sets a drain override for the process that the server's source listed last.
     pub fn begin(&mut self, listing: &Endpoint) {
         self.0.insert(listing.name.clone(), listing.started_at);
     }
 
-    /// Ends a drain; whether there was one.
+    /// Removes a drain override. Returns whether there was one.
     pub fn end(&mut self, name: &str) -> bool {
         self.0.remove(name).is_some()
     }
 
-    /// Applies the override to a listing of a source, and ends it where its process has gone.
+    /// Applies the drain override to a listing from a source. Removes the override if the process is gone.
     pub fn apply(&mut self, listing: &mut Endpoint) {
         let Some(started_at) = self.0.get(&listing.name) else { return };
         if listing.state == MemberState::Gone || listing.started_at > *started_at {
-            // The process that was to drain has gone, and another may run under its name.
+            // The process that was to be drained is gone, and another may run under its name.
             self.0.remove(&listing.name);
         } else if listing.state == MemberState::Running {
             listing.state = MemberState::Draining;
         }
     }
 
-    /// Removes the overrides of servers that are not listed any more.
+    /// Removes the overrides of servers that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(&Arc<str>) -> bool) {
         self.0.retain(|name, _| is_listed(name));
     }
 
-    /// Overrides in force.
+    /// Returns the number of overrides in force.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no override is in force.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/src/dispatch/message.rs
+++ b/src/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! The messages that the dispatcher's actor receives, and the mailbox that they are sent to.
+//! The messages that the dispatcher's actor receives, and the mailbox to which they are sent.
 
 use crate::dispatch::membership::DrainCommand;
 use crate::dispatch::membership::Endpoint;
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A client's request as it is handed to the actor.
+/// A client's request, as submitted to the actor.
 #[derive(Debug)]
 pub struct SubmittedRequest {
     /// The request's number at the dispatcher.
     pub id: RequestId,
-    /// The request.
+    /// What the client requested.
     pub request: ClientRequest,
-    /// Takes the one final response.
+    /// Receives the only, final response.
     pub responder: oneshot::Sender<ClientResponse>,
     /// Cancelled once the request is answered or its client has disconnected.
     pub cancellation: CancellationToken,
@@ -26,82 +26,83 @@
 /// A message to the actor.
 #[derive(Debug)]
 pub enum DispatcherMessage {
-    /// A client's request.
+    /// A client submitted this request.
     Request(Box<SubmittedRequest>),
     /// The client of this request has disconnected.
     ClientCancelled(RequestId),
-    /// An attempt has ended.
+    /// An attempt has ended with this result.
     AttemptEnded(AttemptId, AttemptResult),
-    /// The health check of this number has ended.
+    /// The health check with this number has ended.
     HealthChecked(u64, Result<HealthReport, AttemptError>),
     /// An update of the endpoint list.
     Members {
-        /// Whether this is the complete list.
+        /// Whether this is the complete list rather than a change to it.
         full: bool,
-        /// The entries.
+        /// The endpoints that are listed or changed.
         members: Vec<Endpoint>,
     },
-    /// An attempt was written completely.
+    /// An attempt has been completely written.
     AttemptWritten(AttemptId),
-    /// How far an attempt had come when it was cancelled by command.
+    /// An attempt was cancelled by command. The error shows how far the attempt had come.
     AttemptCancelled(AttemptId, AttemptError),
     /// Drain a server, or end its drain.
     Drain {
         /// The server's name.
         name: Arc<str>,
-        /// What is wanted.
+        /// Whether to drain the server or to end its drain.
         command: DrainCommand,
-        /// Takes whether the server is listed.
+        /// Receives whether the server is listed.
         listed: oneshot::Sender<bool>,
     },
-    /// Other settings, for requests to come.
+    /// New settings, for requests to come.
     Settings(Box<Settings>),
-    /// Asks for the metrics.
+    /// Requests the metrics.
     Metrics(oneshot::Sender<DispatcherMetrics>),
-    /// Until further notice no copy from before this Unix time (microseconds) is served, of whatever object.
+    /// Until the next such message, no copy of any object from before this Unix time (microseconds) is
+    /// served. `None` removes the limit.
     NotBefore(Option<Micros>),
-    /// Copies older than this are not to be served.
+    /// Copies from before this purge must not be served.
     Purged {
-        /// One object, or all of the group.
+        /// The purged object. `None` if all objects of the group are purged.
         object: Option<Arc<str>>,
-        /// The group.
+        /// The purged group, if no object is named.
         group: u32,
-        /// Unix time of the purge in microseconds.
+        /// Unix time of the purge, in microseconds.
         at: Micros,
-        /// The purge is in force for so long after that, in microseconds, where directors may hear of it
-        /// late; 0: for as long as the settings say that servers need to complete it.
+        /// How long after `at` the purge stays in force, in microseconds, if directors may learn of it late.
+        /// 0 means the time that servers need to complete it, according to the settings.
         retention: Micros,
     },
 }
 
-/// The mailbox to which connection actors and discovery report. A full mailbox makes them wait: the actor
-/// itself waits for nobody, so it empties.
+/// The mailbox to which connection actors and discovery report. They wait while it is full. It always
+/// empties, because the actor itself never waits for them.
 #[derive(Clone, Debug)]
 pub struct DispatcherSender(mpsc::Sender<DispatcherMessage>);
 
 impl DispatcherSender {
-    /// Wraps a mailbox, for connection actors that are tested without the dispatcher.
+    /// Wraps a mailbox. Used directly to test connection actors without the dispatcher.
     pub fn new(mailbox: mpsc::Sender<DispatcherMessage>) -> Self {
         DispatcherSender(mailbox)
     }
 
-    /// Sends a message if there is capacity for it; whether there was.
+    /// Sends a message if the mailbox has capacity for it. Returns whether it was sent.
     pub fn try_send(&self, message: DispatcherMessage) -> bool {
         self.0.try_send(message).is_ok()
     }
 
-    /// Waits for capacity for one message, so that nothing can come between a last check and its sending;
-    /// none: the actor has ended.
+    /// Waits for capacity for one message, so that there is no delay between a last check and sending the
+    /// message. Returns `None` if the actor has ended.
     pub async fn reserve(&self) -> Option<mpsc::Permit<'_, DispatcherMessage>> {
         self.0.reserve().await.ok()
     }
 
-    /// Sends a message; an actor that has ended needs none.
+    /// Sends a message, waiting for capacity. The message is discarded if the actor has ended.
     pub async fn send(&self, message: DispatcherMessage) {
         let _ = self.0.send(message).await;
     }
 
-    /// Messages that wait in the mailbox.
+    /// Returns the number of messages queued in the mailbox.
     pub(super) fn queued(&self) -> usize {
         self.0.max_capacity() - self.0.capacity()
     }
--- a/src/dispatch/metrics.rs
+++ b/src/dispatch/metrics.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Requests of one class since the start, by how they ended.
+/// Numbers of requests of one class since the start, by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Requests served, those whose client has a current copy included.
+    /// Requests served, including those whose client had a current copy.
     pub served: u64,
     /// Requests rejected.
     pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Requests cancelled by their clients of which nothing ran.
+    /// Requests cancelled by their clients that certainly never ran.
     pub cancelled_not_run: u64,
     /// Requests cancelled by their clients that may have run.
     pub cancelled_may_have_run: u64,
@@ -27,36 +27,37 @@
     pub attempts: u64,
     /// Servers in the endpoint list.
     pub endpoints_known: usize,
-    /// Those of them to which nothing is sent now.
+    /// Servers in the endpoint list to which nothing is sent at present.
     pub endpoints_excluded: usize,
-    /// What the dispatcher holds at this moment.
+    /// Present sizes of the dispatcher's tables.
     pub tables: TableSizes,
 }
 
-/// How many entries the dispatcher's tables have. Each is bounded by what is in progress, not by what has
-/// been.
+/// Number of entries in each of the dispatcher's tables. Each is bounded by the work in progress, not by past
+/// work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Requests that are unanswered or whose attempts have not all ended.
+    /// Requests that have not been answered or that have attempts in flight.
     pub pending_requests: usize,
-    /// Attempts in flight.
+    /// Attempts that have not ended, as far as is known.
     pub attempts_in_flight: usize,
-    /// Timers that have not fired, those of ended requests among them.
+    /// Timers that have not fired, including those of requests that have ended.
     pub timers: usize,
     /// Health checks in flight.
     pub health_checks: usize,
-    /// Requests cancelled by their clients whose attempts have not all been reported; each for 1 s at most.
+    /// Requests cancelled by their clients with attempts that have not been reported; each stays for at most
+    /// 1 s.
     pub cancelled_requests: usize,
-    /// Servers listed, and those gone that still have attempts in flight.
+    /// Servers in the endpoint list, and those gone that still have attempts in flight.
     pub servers: usize,
-    /// Messages that wait in the mailbox, of 4,096 at most.
+    /// Messages queued in the mailbox; at most 4,096.
     pub mailbox: usize,
-    /// Classes, retired ones among them.
+    /// Classes in the settings, including retired ones.
     pub classes: usize,
 }
 
 impl TableSizes {
-    /// Whether no table has more entries than in `limits`.
+    /// Returns whether no table has more entries than in `limits`.
     pub fn within(&self, limits: &TableSizes) -> bool {
         self.sizes().iter().zip(limits.sizes()).all(|(size, limit)| *size <= limit)
     }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,18 +1,19 @@
-//! The dispatcher: the actor that owns the routing policy, and the typed messages exchanged with it.
+//! The dispatcher: an actor that owns the routing policy, and the typed messages exchanged with it.
 //!
-//! It knows no wire format. A frontend turns a client's request into a [`ClientRequest`] and gets exactly one
-//! [`ClientResponse`]; an [`EndpointConnector`] starts a connection actor for each server, which is given
-//! [`EndpointCommand`]s and reports how they ended. The dispatcher's actor never waits for any of them.
+//! The dispatcher is independent of wire formats. A frontend converts a client's request into a
+//! [`ClientRequest`] and receives exactly one [`ClientResponse`]. An [`EndpointConnector`] starts one
+//! connection actor per server; the connection actor receives [`EndpointCommand`]s and reports how they
+//! ended. The dispatcher's actor never waits for any of them.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `actor` | the actor: receives messages, fires timers, puts events to the policy, performs its actions |
+//! | `actor` | the actor: handles messages and timers, passes events to the policy, performs its actions |
 //! | `attempt`, `cancellation`, `endpoint`, `message`, `request` | the types of the messages |
-//! | `handle` | what frontends and middleware hold |
+//! | `handle` | the handle that frontends and middleware use |
 //! | `pending_requests`, `attempts_in_flight`, `endpoint_registry` | the actor's main tables |
-//! | `timers`, `health_checks`, `purge_records`, `counters`, `published_settings` | the others |
-//! | [`cancellation_log`] | what is proven of requests that their clients cancelled |
-//! | [`membership`] | endpoints and the drain overrides that stand above their sources |
+//! | `timers`, `health_checks`, `purge_records`, `counters`, `published_settings` | other tables |
+//! | [`cancellation_log`] | whether requests cancelled by their clients may have run |
+//! | [`membership`] | endpoints, and drain overrides that take precedence over their sources |
 
 mod actor;
 mod attempt;
--- a/src/dispatch/pending_requests.rs
+++ b/src/dispatch/pending_requests.rs
@@ -1,4 +1,4 @@
-//! Pending requests: those that are unanswered, or whose attempts have not all ended.
+//! Pending requests: those that have not been answered, or that have attempts in flight.
 
 use super::cancellation_log::ExecutionProof;
 use crate::dispatch::request::{ClientRequest, ClientResponse, FailureReason};
@@ -9,52 +9,53 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Requests that are pending at a time. Frontends have fewer clients than that; middleware may have any
-/// number.
+/// Maximum number of requests pending at a time. Frontends have fewer clients than this; middleware may have
+/// any number.
 const MAX_PENDING_REQUESTS: usize = 4096;
 
-/// The longest that a request is pending, whatever its client says.
+/// Longest time that a request may be pending, regardless of the timeout set by its client.
 const MAX_REQUEST_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 
-/// The response leaves this much before the client gives up, in microseconds, for it has a way to go, as the
-/// request had: a share of the timeout, within bounds. Guards short timeouts against being used up by it; on
-/// loopback clients were seen to leave 1.9 to 3 ms after theirs.
+/// Bounds of the response reserve, in microseconds: the time between the response and the client's timeout,
+/// which covers the transit of the request and of the response. The reserve is a share of the timeout, so
+/// that it does not use up short timeouts. On loopback, clients were observed to disconnect 1.9 to 3 ms after
+/// their timeout.
 const MIN_RESPONSE_RESERVE: Micros = 4_000;
 const MAX_RESPONSE_RESERVE: Micros = 30_000;
-/// The reserve is the timeout divided by this.
+/// Divisor of the timeout that gives the response reserve, before it is clamped to its bounds.
 const RESPONSE_RESERVE_DIVISOR: Micros = 20;
 
-/// When a request that arrives now must be answered.
+/// Returns the time by which a request that arrives at `now` must be answered.
 pub(super) fn response_deadline(now: Micros, timeout: Duration) -> Micros {
     let timeout = timeout.min(MAX_REQUEST_TIMEOUT).as_micros() as Micros;
     let reserve = (timeout / RESPONSE_RESERVE_DIVISOR).clamp(MIN_RESPONSE_RESERVE, MAX_RESPONSE_RESERVE);
     now + timeout.saturating_sub(reserve)
 }
 
-/// A request that is unanswered or whose attempts have not all ended.
+/// A request that has not been answered, or that has attempts in flight.
 pub(super) struct PendingRequest {
     pub(super) request: ClientRequest,
     pub(super) object: ObjectId,
-    /// None once the request is answered or cancelled.
+    /// `None` once the request is answered or cancelled.
     pub(super) responder: Option<oneshot::Sender<ClientResponse>>,
-    /// Cancelled when the request is answered or its client has disconnected.
+    /// Cancelled once the request is answered or its client has disconnected.
     pub(super) cancellation: CancellationToken,
-    /// When the request must be answered, by the monotonic clock.
+    /// Time by which the request must be answered, by the monotonic clock.
     pub(super) deadline: Micros,
-    /// What its attempts are logged under, where the level is on.
+    /// Span for log events about its attempts, if the log level enables it.
     pub(super) span: tracing::Span,
     attempts_started: u32,
     attempts_in_flight: u32,
-    /// Attempts that may have run, as far as is known.
+    /// Number of attempts that may have run, as far as is known.
     attempts_maybe_run: u32,
-    /// When the first of these was sent.
+    /// When the first of the attempts that may have run was sent.
     first_sent: Micros,
-    /// An attempt failed for another reason than want of capacity.
+    /// Whether an attempt failed for a reason other than lack of capacity.
     has_failed_attempt: bool,
 }
 
 impl PendingRequest {
-    /// A request without attempts.
+    /// Creates a pending request without attempts.
     pub(super) fn new(submitted: SubmittedRequest, deadline: Micros, span: tracing::Span) -> Self {
         PendingRequest {
             object: ObjectId(object_number(&submitted.request.object)),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The request as the policy sees it.
+    /// Returns the request in the form that the policy receives.
     pub(super) fn policy_request(&self, id: RequestId) -> Request {
         Request {
             id,
@@ -85,32 +86,32 @@
         }
     }
 
-    /// Whether it is neither answered nor cancelled.
+    /// Returns whether the request is neither answered nor cancelled.
     pub(super) fn is_waiting(&self) -> bool {
         self.responder.is_some()
     }
 
-    /// Whether it waits, but for a client that has disconnected, as far as has been notified.
+    /// Returns whether the request has no response yet and its client is known to have disconnected.
     pub(super) fn client_has_cancelled(&self) -> bool {
         self.responder.as_ref().is_some_and(|r| self.cancellation.is_cancelled() || r.is_closed())
     }
 
-    /// Whether the client's credential has expired at this Unix time.
+    /// Returns whether the client's credential has expired at the Unix time `unix`.
     pub(super) fn credential_has_expired(&self, unix: Micros) -> bool {
         self.request.credential_expires_at.is_some_and(|expires_at| unix >= expires_at)
     }
 
-    /// Whether the client has the copy of this tag.
+    /// Returns whether `etag` names the copy that the client has.
     pub(super) fn client_has_copy(&self, etag: Option<&Arc<str>>) -> bool {
         etag.is_some() && self.request.if_none_match.as_ref() == etag
     }
 
-    /// Whether the client can repeat it without harm.
+    /// Returns whether the client can repeat the request without harm.
     pub(super) fn is_safe_to_retry(&self, idempotency: Idempotency) -> bool {
         idempotency == Idempotency::Idempotent || self.attempts_maybe_run == 0
     }
 
-    /// Why it has no response from a server so far.
+    /// Returns why no server has served the request so far.
     pub(super) fn failure_reason(&self, now: Micros) -> FailureReason {
         if now >= self.deadline {
             FailureReason::DeadlineExceeded
@@ -129,7 +130,7 @@
         number
     }
 
-    /// An attempt is on its way to its server, and may run from now on.
+    /// Records that an attempt is on its way to its server. It may run from now on.
     pub(super) fn record_sent(&mut self, now: Micros) {
         if self.attempts_maybe_run == 0 {
             self.first_sent = now;
@@ -137,12 +138,12 @@
         self.attempts_maybe_run += 1;
     }
 
-    /// When the first attempt that may have run was sent; none: nothing ran.
+    /// Returns when the first attempt that may have run was sent. Returns `None` if nothing ran.
     pub(super) fn first_sent(&self) -> Option<Micros> {
         (self.attempts_maybe_run > 0).then_some(self.first_sent)
     }
 
-    /// An attempt has ended, which had been sent or not.
+    /// Records the end of an attempt, whether or not it had been sent.
     pub(super) fn record_attempt_end(&mut self, outcome: Outcome, was_sent: bool) {
         self.attempts_in_flight -= 1;
         self.has_failed_attempt |=
@@ -152,12 +153,12 @@
         }
     }
 
-    /// Attempts that have not ended.
+    /// Returns the number of attempts that have not ended.
     pub(super) fn attempts_in_flight(&self) -> usize {
         self.attempts_in_flight as usize
     }
 
-    /// What the attempts that have ended prove.
+    /// Returns what the attempts that have ended prove about the execution of the request.
     pub(super) fn proof_of_ended_attempts(&self) -> ExecutionProof {
         ExecutionProof::from_never_ran(self.attempts_maybe_run <= self.attempts_in_flight)
     }
@@ -167,7 +168,7 @@
     }
 }
 
-/// The pending requests, by number, and the ids under which they are forwarded.
+/// The pending requests by number, and the ids under which they are forwarded to servers.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     requests: HashMap<RequestId, PendingRequest>,
@@ -175,38 +176,35 @@
 }
 
 impl PendingRequests {
-    /// Whether there is no capacity for another request.
+    /// Returns whether no further request can be accepted.
     pub(super) fn is_full(&self) -> bool {
         self.requests.len() >= MAX_PENDING_REQUESTS
     }
 
-    /// Whether a request is pending under this id.
+    /// Returns whether a pending request is forwarded under this id.
     pub(super) fn contains_forwarded_id(&self, id: &Arc<str>) -> bool {
         self.forwarded_ids.contains(id)
     }
 
-    /// Adds a request.
     pub(super) fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.forwarded_ids.insert(request.request.id.clone());
         self.requests.insert(id, request);
     }
 
-    /// A pending request.
     pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A pending request, to change it.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// A pending request that is neither answered nor cancelled.
+    /// Returns a pending request if it is neither answered nor cancelled.
     pub(super) fn waiting(&self, id: RequestId) -> Option<&PendingRequest> {
         self.get(id).filter(|pending| pending.is_waiting())
     }
 
-    /// Removes a request that is answered or cancelled and whose attempts have all ended.
+    /// Removes a request if it is answered or cancelled and has no attempts in flight.
     pub(super) fn remove_if_complete(&mut self, id: RequestId) {
         if self.get(id).is_some_and(PendingRequest::is_complete) {
             if let Some(complete) = self.requests.remove(&id) {
@@ -215,12 +213,12 @@
         }
     }
 
-    /// Whether a request of the class at this index is pending.
+    /// Returns whether a request of the class at index `class` is pending.
     pub(super) fn uses_class(&self, class: usize) -> bool {
         self.requests.values().any(|pending| pending.request.class == class)
     }
 
-    /// Pending requests.
+    /// Returns the size of the larger of the two tables.
     pub(super) fn len(&self) -> usize {
         self.requests.len().max(self.forwarded_ids.len())
     }
--- a/src/dispatch/published_settings.rs
+++ b/src/dispatch/published_settings.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The settings in force. A handle's receiver has them as soon as they are replaced.
+/// The settings in force. Handles receive new settings as soon as these are replaced.
 #[derive(Debug)]
 pub(super) struct PublishedSettings {
     current: Arc<Settings>,
@@ -13,14 +13,14 @@
 }
 
 impl PublishedSettings {
-    /// The first settings, and the receiver for handles.
+    /// Publishes the first settings. Returns them and the receiver for the handles.
     pub(super) fn new(settings: Settings) -> (Self, watch::Receiver<Arc<Settings>>) {
         let current = Arc::new(settings);
         let (publisher, receiver) = watch::channel(current.clone());
         (PublishedSettings { current, publisher }, receiver)
     }
 
-    /// Replaces the settings.
+    /// Replaces the settings and publishes the new ones to the handles.
     pub(super) fn replace(&mut self, settings: Settings) {
         self.current = Arc::new(settings);
         self.publisher.send_replace(self.current.clone());
--- a/src/dispatch/purge_records.rs
+++ b/src/dispatch/purge_records.rs
@@ -1,9 +1,9 @@
-//! Purges that stay in force for longer than the policy remembers them.
+//! Purges that stay in force longer than the policy keeps them.
 //!
-//! The policy bounds the age of copies for as long as servers take to complete a purge. Where directors
-//! notify each other of purges, one that was cut off hears late, and until then it may have had an old copy
-//! fetched to a server that had dropped it: so the age stays bounded for as long as any director may hear
-//! late.
+//! The policy limits the age of copies for as long as servers need to complete a purge. Where directors
+//! notify each other of purges, a director that was cut off learns of a purge late. Until then it may have
+//! had an old copy fetched to a server that had already dropped it. Therefore the age of copies stays limited
+//! for as long as any director may learn of the purge late.
 
 use crate::policy::types::{Fill, Micros, ObjectId};
 use std::collections::HashMap;
@@ -12,24 +12,25 @@
 #[cfg(test)]
 mod tests;
 
-/// Records beyond twice those in force at the last sweep that are kept until the next.
+/// Margin in the number of records at which finished purges are removed: twice the number left by the last
+/// removal, plus this margin.
 const SWEEP_MARGIN: usize = 64;
 
-/// What a purge is of.
+/// The objects that a purge applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PurgeTarget {
-    /// One object.
+    /// The object of this number.
     Object(ObjectId),
     /// All objects of a group.
     Group(u32),
 }
 
-/// A purge, by the Unix clock in microseconds.
+/// A purge. Times are by the Unix clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PurgeRecord {
-    /// Copies from before this are not served.
+    /// Copies from before this time are not served.
     pub(super) purged_at: Micros,
-    /// The purge is in force until then.
+    /// The purge is in force until this time.
     pub(super) in_force_until: Micros,
 }
 
@@ -44,24 +45,25 @@
     }
 }
 
-/// The purges in force, and the time before which no copy at all is served.
+/// The purges in force, and the time before which no copy of any object is served.
 #[derive(Debug, Default)]
 pub(super) struct PurgeRecords {
     objects: HashMap<ObjectId, PurgeRecord>,
     groups: HashMap<u32, PurgeRecord>,
-    /// No copy of any object from before this Unix time is served.
+    /// Copies of any object from before this Unix time are not served. `None` if there is no such limit.
     not_before: Option<Micros>,
-    /// Number of records beyond which the finished ones are removed.
+    /// Number of records above which finished purges are removed.
     sweep_at: usize,
 }
 
 impl PurgeRecords {
-    /// Until further notice no copy of any object from before this Unix time is served.
+    /// Sets the Unix time before which no copy of any object is served, until the next call. `None` removes
+    /// the limit.
     pub(super) fn set_not_before(&mut self, unix: Option<Micros>) {
         self.not_before = unix;
     }
 
-    /// Records a purge; an older one of the same target that comes later changes nothing.
+    /// Records a purge. An older purge of the same target that arrives later changes nothing.
     pub(super) fn record(&mut self, target: PurgeTarget, purge: PurgeRecord, now: Micros) {
         match target {
             PurgeTarget::Object(object) => self.objects.entry(object).or_default().merge(purge),
@@ -78,7 +80,8 @@
         self.sweep_at = 2 * (self.objects.len() + self.groups.len()) + SWEEP_MARGIN;
     }
 
-    /// The latest purge in force for an object; where its group is not known it may be any.
+    /// Returns the time of the latest purge in force for an object. If its group is not known, the purges of
+    /// all groups count.
     pub(super) fn latest(&self, object: ObjectId, group: Option<u32>, now: Micros) -> Option<Micros> {
         let of_group = match group {
             Some(group) => in_force(&self.groups, &group, now),
@@ -87,8 +90,8 @@
         in_force(&self.objects, &object, now).max(of_group)
     }
 
-    /// Bounds the age of the copies that a fill may give by the purges in force. The class's freshness
-    /// lifetime, in microseconds, bounds it already where the fill has no bound of its own.
+    /// Limits the age of the copies that a fill may return, according to the purges in force. The class's
+    /// freshness lifetime, in microseconds, already limits a fill that has no limit set.
     pub(super) fn limit_age(
         &self,
         fill: &mut Fill,
@@ -101,7 +104,7 @@
         let purge_age = now.saturating_sub(purged_at).max(1);
         let limit = if fill.max_age > 0 { fill.max_age } else { freshness_lifetime };
         fill.max_age = if limit > 0 { purge_age.min(limit) } else { purge_age };
-        // A fill in progress may give a copy that was fetched before.
+        // A fill in progress may return a copy that was fetched before the purge.
         fill.collapse &= purge_age > limit && limit > 0;
     }
 }
--- a/src/dispatch/purge_records/tests.rs
+++ b/src/dispatch/purge_records/tests.rs
@@ -1,4 +1,4 @@
-//! Which purges are in force, and that finished ones are removed.
+//! Tests which purges are in force, and that finished ones are removed.
 
 use super::*;
 
--- a/src/dispatch/request.rs
+++ b/src/dispatch/request.rs
@@ -1,97 +1,99 @@
-//! A client's request and its response, whichever frontend it came through: types without clock or I/O.
+//! Requests of clients and their responses, independent of the frontend. Types without clock or I/O.
 
 use crate::policy::types::Micros;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The largest body of a write, in bytes.
+/// Maximum size of the body of a write, in bytes.
 pub const MAX_WRITE_BYTES: usize = 48_000;
 
-/// The longest name that is forwarded to servers, in bytes.
+/// Maximum length of a name that is forwarded to servers, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// A client's request, as any frontend hands it on.
+/// A client's request, in the same form from every frontend.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
     /// The id under which it is forwarded to servers.
     pub id: Arc<str>,
-    /// Index among the settings' classes.
+    /// Index of the class in the settings.
     pub class: usize,
     /// The object's name.
     pub object: Arc<str>,
-    /// The part of it, where one was named.
+    /// The part of the object. `None` if the client named none.
     pub part: Option<u32>,
-    /// The object's group, which purges may name; none: not known, so that it may be any.
+    /// The object's group, which purges may name. `None` if it is not known; the object may then be in any
+    /// group.
     pub group: Option<u32>,
-    /// Size in KB; 0: not known.
+    /// Size in KB; 0 if it is not known.
     pub size_kb: f64,
-    /// Marked as a client's retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// How long the client waits from now on.
+    /// How long the client waits, counted from the submission of the request.
     pub timeout: Duration,
-    /// The tag of the client's copy.
+    /// ETag of the client's copy.
     pub if_none_match: Option<Arc<str>>,
-    /// The client's key by which servers recognize a retry, where they discard retries: the same each time.
+    /// Key from the client by which servers recognize a retry, if they discard retries. It is the same for
+    /// each retry.
     pub idempotency_key: Option<Arc<str>>,
-    /// What is to be written.
+    /// The body of a write.
     pub body: Bytes,
-    /// The Unix time in microseconds from which no response may begin; none: the client's credential, if it
-    /// has one, does not expire.
+    /// Unix time, in microseconds, from which no response may begin. `None` if the client has no credential,
+    /// or one that does not expire.
     pub credential_expires_at: Option<Micros>,
 }
 
-/// What a server served.
+/// A representation of an object, as served by a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Representation {
-    /// The entity tag, without quotes.
+    /// The ETag without quotes.
     pub etag: Option<Arc<str>>,
-    /// The bytes, unchanged.
+    /// The body, unchanged.
     pub body: Bytes,
 }
 
-/// Why there is no response from a server.
+/// Why a request has no response from a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReason {
-    /// There was no capacity for it.
+    /// There was no capacity for the request.
     Overloaded,
-    /// The time to answer has passed.
+    /// The deadline for answering the request has passed.
     DeadlineExceeded,
-    /// Servers failed it, or none could be reached.
+    /// Attempts failed at the servers, or no server could be reached.
     UpstreamFailed,
     /// The client's credential expired while the request waited.
     CredentialExpired,
-    /// A request with the same id is pending already.
+    /// A request with the same id is already pending.
     DuplicateRequest,
-    /// The dispatcher has ended, or is about to.
+    /// The dispatcher has ended or is shutting down.
     ShuttingDown,
 }
 
-/// The one final response to a [`ClientRequest`].
+/// The only, final response to a [`ClientRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// The representation asked for.
+    /// The requested representation.
     Served(Representation),
-    /// The client's own copy, named by this tag, is the one that would be served.
+    /// The copy that the client has, identified by this ETag, is the one that would be served.
     NotModified(Option<Arc<str>>),
-    /// Rejected: nothing ran that may not run again.
+    /// The request was rejected. Nothing has run that must not run twice, so the client may retry.
     Rejected {
-        /// When to come back, where that is known.
+        /// Time after which the client should retry, if it is known.
         retry_after: Option<Duration>,
-        /// Why.
+        /// Why the request was rejected.
         reason: FailureReason,
     },
-    /// Failed: attempts may have run.
+    /// The request failed. Attempts may have run.
     Failed(FailureReason),
 }
 
-/// Whether a name can be forwarded to servers unchanged, as a word among fields.
+/// Returns whether a name can be forwarded to servers unchanged, as one word among other fields.
 pub fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_graphic() && b != b',' && b != b'=';
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
 
-/// An entity tag without its quotes and weakness.
+/// Returns an ETag without its quotes and without the prefix of a weak ETag.
 pub fn bare_tag(tag: &str) -> &str {
     let tag = tag.strip_prefix("W/").unwrap_or(tag);
     tag.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(tag)
--- a/src/dispatch/timers.rs
+++ b/src/dispatch/timers.rs
@@ -1,26 +1,26 @@
-//! The timer queue: what falls due when.
+//! The timer queue: which timer is due when.
 
 use crate::dispatch::AttemptId;
 use crate::policy::types::{Micros, RequestId, TimerToken};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The policy asked for it.
+    /// The policy requested the timer.
     Policy(TimerToken),
-    /// An attempt has had its time.
+    /// An attempt times out.
     AttemptTimeout(AttemptId),
     /// A client's credential expires.
     CredentialExpiry(RequestId),
-    /// A health check has had its time.
+    /// A health check times out.
     HealthCheckTimeout(u64),
-    /// The attempts of a cancelled request have had the time in which they are reported.
+    /// The time for reports on the attempts of a cancelled request is over.
     CancellationTimeout(RequestId),
 }
 
-/// A timer in the queue; of two that fall due at once, the one that was set first fires first.
+/// A timer in the queue. Of two timers due at the same time, the one that was set first fires first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
     at: Micros,
@@ -36,18 +36,19 @@
 }
 
 impl TimerQueue {
-    /// Sets a timer. None is ever taken back: whoever it is for may have ended when it fires.
+    /// Sets a timer. Timers are never cancelled: the request or attempt that a timer was set for may have
+    /// ended when it fires.
     pub(super) fn schedule(&mut self, at: Micros, timer: Timer) {
         self.last_sequence += 1;
         self.heap.push(Reverse(ScheduledTimer { at, sequence: self.last_sequence, timer }));
     }
 
-    /// When the next timer falls due.
+    /// Returns the time at which the next timer is due.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse(scheduled)| scheduled.at)
     }
 
-    /// Takes the next timer that is due by now.
+    /// Removes and returns the next timer if it is due at `now`.
     pub(super) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         if self.next_due()? > now {
             return None;
@@ -55,7 +56,7 @@
         self.heap.pop().map(|Reverse(scheduled)| scheduled.timer)
     }
 
-    /// Timers that have not fired.
+    /// Returns the number of timers that have not fired.
     pub(super) fn len(&self) -> usize {
         self.heap.len()
     }
