--- a/src/upstream/connection/attempts.rs
+++ b/src/upstream/connection/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts whose requests a connection has put into its out buffer.
+//! The attempts whose requests a connection has appended to its out buffer.
 
 use crate::dispatch::AttemptId;
 use std::collections::{HashMap, VecDeque};
@@ -6,18 +6,17 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Cancelled requests whose responses may still be on the way. A retry of one of these on this connection
-/// comes soon, so few are enough.
+/// Maximum number of cancelled requests whose ids are kept because their responses may still arrive. A
+/// retry on the same connection follows soon after the cancellation, so a short list is enough.
 const MAX_CANCELLED: usize = 64;
 
-/// An attempt whose request was put into the out buffer.
+/// An attempt whose request was appended to the out buffer.
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
-    /// Id of its request.
     pub(super) request_id: Arc<str>,
-    /// Where its request lies in all that the connection writes.
+    /// Position of the request in the stream of bytes that the connection writes.
     pub(super) bytes: Range<u64>,
-    /// When it was put into the out buffer.
+    /// Time at which the request was appended to the out buffer.
     pub(super) sent_at: Instant,
 }
 
@@ -26,7 +25,8 @@
 pub(super) struct InFlightAttempts {
     attempts: HashMap<AttemptId, InFlightAttempt>,
     by_request: HashMap<Arc<str>, AttemptId>,
-    /// Ids of requests that were cancelled after they had been written; the oldest is dropped first.
+    /// Ids of requests that were cancelled after writing had begun, oldest first; the oldest is dropped
+    /// first.
     cancelled: VecDeque<Arc<str>>,
 }
 
@@ -39,12 +39,12 @@
         self.attempts.get(&attempt)
     }
 
-    /// Whether a response under this request id could not be told from that of an earlier attempt.
+    /// Returns whether a response with this request id could belong to an earlier attempt.
     pub(super) fn is_ambiguous(&self, request_id: &Arc<str>) -> bool {
         self.cancelled.contains(request_id) || self.by_request.contains_key(request_id)
     }
 
-    /// When the oldest attempt was put into the out buffer.
+    /// Returns the time at which the oldest attempt was appended to the out buffer.
     pub(super) fn oldest(&self) -> Option<Instant> {
         self.attempts.values().map(|attempt| attempt.sent_at).min()
     }
@@ -60,14 +60,14 @@
         Some(in_flight)
     }
 
-    /// Removes the attempt that a response is for.
+    /// Removes the attempt that a response belongs to, and returns its id.
     pub(super) fn remove_request(&mut self, request_id: &str) -> Option<AttemptId> {
         let attempt = self.by_request.remove(request_id)?;
         self.attempts.remove(&attempt);
         Some(attempt)
     }
 
-    /// Remembers that a response to this request may still come.
+    /// Records the id of a cancelled request whose response may still arrive.
     pub(super) fn remember_cancelled(&mut self, request_id: Arc<str>) {
         if self.cancelled.len() >= MAX_CANCELLED {
             self.cancelled.pop_front();
@@ -75,7 +75,7 @@
         self.cancelled.push_back(request_id);
     }
 
-    /// Removes all attempts.
+    /// Removes and returns all attempts.
     pub(super) fn take_all(&mut self) -> HashMap<AttemptId, InFlightAttempt> {
         self.by_request.clear();
         std::mem::take(&mut self.attempts)
--- a/src/upstream/connection/liveness.rs
+++ b/src/upstream/connection/liveness.rs
@@ -1,36 +1,38 @@
-//! Detects a connection that is dead though it is open: its machine vanished, or a response was cut short.
+//! Detects a connection that is open but no longer works: the server's machine has vanished, or a response
+//! was truncated.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A response that has begun continues within this, since servers write it at once. Otherwise it was cut
-/// short, and what would follow it on the connection never comes.
+/// Maximum time without further bytes of a response that has begun: servers write a response in one go. After
+/// that it is taken as truncated, and nothing that follows it on the connection would arrive.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// A connection without a byte for this long, while an attempt is in flight on it, gets a liveness check.
-/// Most responses come sooner, large ones as well; each check costs the server as much as a health check.
+/// Time without a received byte, while an attempt is in flight, after which a liveness check is sent. Most
+/// responses, large ones included, arrive sooner; each check costs the server as much as a health check.
 const LIVENESS_CHECK_AFTER: Duration = Duration::from_millis(900);
-/// It gets nothing new if nothing has come by this much later.
+/// Time without a received byte, after the liveness check is sent, until the connection gets no new requests.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(150);
-/// It is dead if nothing has come this long after the check.
-const DEAD_AFTER: Duration = Duration::from_millis(900);
-/// A cancelled attempt that had no response for this long, without a byte on its connection, shows that the
-/// connection may be dead: a machine that vanished leaves it open and silent, also after its successor came.
-const CANCELLED_SILENCE: Duration = Duration::from_millis(1000);
+/// Time without a received byte, after the liveness check is sent, until the connection is closed.
+const CLOSE_AFTER: Duration = Duration::from_millis(900);
+/// Age of a cancelled attempt at which, if its connection has received no byte since it was sent, the
+/// connection counts as unresponsive. When a machine vanishes, its connections stay open without delivering
+/// anything, even after another machine has replaced it.
+const UNRESPONSIVE_ON_CANCEL_AFTER: Duration = Duration::from_millis(1000);
 
-/// How far a silence has come.
+/// The measures taken since the last byte was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Silence {
-    /// Nothing has been done about it.
+enum InactivityStage {
+    /// No liveness check has been sent.
     Unchecked,
-    /// A liveness check is under way.
+    /// A liveness check has been sent.
     Checked,
-    /// The actor knows that the connection may be dead.
+    /// The connection was reported to the actor as unresponsive.
     Unresponsive,
 }
 
-/// What to do when a silence has lasted too long.
+/// The measure to take when a connection has received nothing for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SilenceAction {
+pub(super) enum InactivityAction {
     /// Send a liveness check.
     Check,
     /// Report the connection as unresponsive.
@@ -39,24 +41,24 @@
     Close,
 }
 
-/// When the server was heard last.
+/// Tracks when the connection last received bytes, and which measures have been taken since.
 #[derive(Debug)]
 pub(super) struct Liveness {
     last_read: Instant,
-    silence: Silence,
+    stage: InactivityStage,
 }
 
 impl Liveness {
     pub(super) fn new(now: Instant) -> Self {
-        Liveness { last_read: now, silence: Silence::Unchecked }
+        Liveness { last_read: now, stage: InactivityStage::Unchecked }
     }
 
-    /// Notes that something has come.
+    /// Records that bytes were received.
     pub(super) fn record_read(&mut self, now: Instant) {
         *self = Liveness::new(now);
     }
 
-    /// When the present silence needs an action; `None` if nothing is awaited.
+    /// Returns when the next measure is due; `None` if no response is awaited.
     pub(super) fn deadline(
         &self,
         has_partial_response: bool,
@@ -65,28 +67,29 @@
         if has_partial_response {
             return Some(self.last_read + RESPONSE_STALL_TIMEOUT);
         }
-        let silent_since = oldest_attempt?.max(self.last_read);
-        let allowed = match self.silence {
-            Silence::Unchecked => LIVENESS_CHECK_AFTER,
-            Silence::Checked => LIVENESS_CHECK_AFTER + UNRESPONSIVE_AFTER,
-            Silence::Unresponsive => LIVENESS_CHECK_AFTER + DEAD_AFTER,
+        let inactive_since = oldest_attempt?.max(self.last_read);
+        let allowed = match self.stage {
+            InactivityStage::Unchecked => LIVENESS_CHECK_AFTER,
+            InactivityStage::Checked => LIVENESS_CHECK_AFTER + UNRESPONSIVE_AFTER,
+            InactivityStage::Unresponsive => LIVENESS_CHECK_AFTER + CLOSE_AFTER,
         };
-        Some(silent_since + allowed)
+        Some(inactive_since + allowed)
     }
 
-    /// The next action of a silence that has reached its deadline.
-    pub(super) fn next_action(&mut self) -> SilenceAction {
-        let (next, action) = match self.silence {
-            Silence::Unchecked => (Silence::Checked, SilenceAction::Check),
-            Silence::Checked => (Silence::Unresponsive, SilenceAction::ReportUnresponsive),
-            Silence::Unresponsive => (Silence::Unresponsive, SilenceAction::Close),
+    /// Advances to the next stage once its deadline has passed, and returns the measure to take.
+    pub(super) fn next_action(&mut self) -> InactivityAction {
+        let (next, action) = match self.stage {
+            InactivityStage::Unchecked => (InactivityStage::Checked, InactivityAction::Check),
+            InactivityStage::Checked => (InactivityStage::Unresponsive, InactivityAction::ReportUnresponsive),
+            InactivityStage::Unresponsive => (InactivityStage::Unresponsive, InactivityAction::Close),
         };
-        self.silence = next;
+        self.stage = next;
         action
     }
 
-    /// Whether an attempt that was sent at this time, and is cancelled now, makes the connection doubtful.
-    pub(super) fn is_doubtful(&self, sent_at: Instant) -> bool {
-        sent_at.elapsed() >= CANCELLED_SILENCE && self.last_read <= sent_at
+    /// Returns whether the connection counts as unresponsive when an attempt sent at `sent_at` is cancelled
+    /// now.
+    pub(super) fn is_unresponsive_since(&self, sent_at: Instant) -> bool {
+        sent_at.elapsed() >= UNRESPONSIVE_ON_CANCEL_AFTER && self.last_read <= sent_at
     }
 }
--- a/src/upstream/connection/mod.rs
+++ b/src/upstream/connection/mod.rs
@@ -1,4 +1,4 @@
-//! One multiplexed connection to an endpoint: connects, writes requests, reads responses and ends.
+//! One multiplexed connection to an endpoint: connects, writes requests, reads responses and closes.
 
 mod attempts;
 mod liveness;
@@ -14,7 +14,7 @@
 use crate::dispatch::{AttemptError, EndpointCommand};
 use attempts::InFlightAttempts;
 use bytes::BytesMut;
-use liveness::{Liveness, SilenceAction};
+use liveness::{InactivityAction, Liveness};
 use out_buffer::OutBuffer;
 pub(super) use reporter::{ConnectionEvent, ConnectionId, Reporter};
 use requests::UnwrittenRequest;
@@ -29,33 +29,34 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Bytes that the system may hold unsent of a connection before it takes more: what it has taken can't be
-/// taken back, and behind a server that does not read it waits for as long as that lasts.
+/// Limit on unsent bytes in the socket's send buffer at which the operating system stops accepting more.
+/// Bytes that it has accepted can't be withdrawn, and they wait there for as long as the server does not
+/// read.
 const MAX_UNSENT_BYTES: u32 = 1;
-/// Share of the server's idle timeout after which an idle connection is closed: before the server closes it,
-/// so that no request crosses the server's close.
+/// Fraction of the server's idle timeout after which an idle connection is closed. It is closed before the
+/// server closes it, so that no request is sent while the server is closing.
 const IDLE_SHARE: f64 = 0.8;
-/// Bytes that the read buffer holds at first.
+/// Initial capacity of the read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// A connection, with all that waits on it.
+/// A connection with its queued commands and attempts in flight.
 pub(super) struct Connection {
     address: Arc<str>,
     settings: ConnectionSettings,
     permit: DescriptorPermit,
     reporter: Reporter,
-    /// Commands that are not in the out buffer yet.
+    /// Commands that are not yet in the out buffer.
     queue: VecDeque<EndpointCommand>,
     attempts: InFlightAttempts,
-    /// Numbers of the health checks under way, by their tag.
+    /// Numbers of the health checks in flight, by tag.
     health_checks: HashMap<Arc<str>, u64>,
-    /// The request that is not written completely yet.
+    /// The request in the out buffer that is not yet completely written.
     unwritten: Option<UnwrittenRequest>,
     out: OutBuffer,
     liveness: Liveness,
 }
 
-/// What has been read and not been handled.
+/// Bytes that were read but not handled yet.
 struct Input {
     decoder: LineDecoder,
     buffer: BytesMut,
@@ -70,20 +71,20 @@
         self.decoder.has_partial_message(&self.buffer)
     }
 
-    /// Id of the request whose response has begun and is not complete.
+    /// Returns the id of the request whose response has begun and is not complete.
     fn interrupted_request(&self) -> Option<Arc<str>> {
         self.decoder.partial_id().map(Into::into)
     }
 }
 
-/// A connection that is up.
+/// The state of an established connection.
 struct Session<'a> {
     read: ReadHalf<'a>,
     write: WriteHalf<'a>,
     input: Input,
     commands: &'a mut mpsc::Receiver<EndpointCommand>,
     commands_closed: bool,
-    /// When a command or bytes came last.
+    /// Time at which a command or bytes were last received.
     last_used: Instant,
 }
 
@@ -95,23 +96,23 @@
     }
 }
 
-/// What a connection waits for.
-#[allow(clippy::large_enum_variant, reason = "one lives at a time, from the wait to its handling")]
+/// An event that a connection waits for.
+#[allow(clippy::large_enum_variant, reason = "only one value exists at a time")]
 enum Wake {
-    /// A command, or the end of the actor.
+    /// A command, or `None` if the actor has ended.
     Command(Option<EndpointCommand>),
-    /// The socket takes bytes.
+    /// The socket accepts bytes.
     Writable,
-    /// Bytes have come, or else the connection has ended.
+    /// Bytes have arrived or, without data, the connection has ended.
     Read { has_data: bool },
-    /// Nothing has come for too long.
-    Silence,
-    /// It has been idle for long enough, or another connection needs its descriptor.
+    /// No bytes have arrived for too long.
+    Inactive,
+    /// The connection has reached its idle timeout, or another connection needs its descriptor.
     CloseIdle,
 }
 
 impl Connection {
-    /// A connection that is not up yet.
+    /// Creates a connection that is not yet established.
     pub(super) fn new(
         address: Arc<str>,
         settings: ConnectionSettings,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Runs until the connection ends.
+    /// Connects, then runs until the connection closes.
     pub(super) async fn run(mut self, mut commands: mpsc::Receiver<EndpointCommand>) {
         match self.connect(&mut commands).await {
             Ok(stream) => {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Brings the connection up, and takes commands meanwhile, for attempts may be cancelled again.
+    /// Establishes the connection. Commands are handled meanwhile, because queued attempts may be cancelled.
     async fn connect(
         &mut self,
         commands: &mut mpsc::Receiver<EndpointCommand>,
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Writes, reads and takes commands until the connection ends. Returns the id of the request whose
-    /// response was interrupted.
+    /// Writes, reads and handles commands until the connection ends. Returns the id of the request whose
+    /// response was interrupted, if any.
     async fn serve(
         &mut self,
         mut stream: TcpStream,
@@ -173,8 +174,8 @@
         let mut session = Session::new(&mut stream, commands);
         self.liveness.record_read(session.last_used);
         loop {
-            // Guards against writing to a connection that its server has closed meanwhile: what was not
-            // written can go elsewhere, whatever its class.
+            // Checks that the server has not closed the connection meanwhile: a request of any class can go
+            // to another endpoint as long as none of it was written.
             let is_about_to_write = self.attempts.is_empty() && !self.queue.is_empty();
             if is_about_to_write && has_ended(session.read.as_ref()) {
                 return None;
@@ -194,20 +195,20 @@
         let Session { read, write, input, commands, commands_closed, last_used } = session;
         let is_idle = self.is_idle();
         let idle_timeout = self.settings.idle_timeout.mul_f64(IDLE_SHARE);
-        let silence_ends = self.liveness.deadline(input.has_partial_response(), self.attempts.oldest());
+        let inactive_at = self.liveness.deadline(input.has_partial_response(), self.attempts.oldest());
         tokio::select! {
-            // In this order: what has come counts before any timer that it would have stopped.
+            // Commands and bytes that have arrived are handled before any timer that they would reset.
             biased;
             command = commands.recv(), if !*commands_closed => Wake::Command(command),
             _ = write.writable(), if !self.out.is_empty() => Wake::Writable,
             read = read.read_buf(&mut input.buffer) => Wake::Read { has_data: matches!(read, Ok(1..)) },
-            () = sleep_until(silence_ends.unwrap_or(*last_used)), if silence_ends.is_some() => Wake::Silence,
+            () = sleep_until(inactive_at.unwrap_or(*last_used)), if inactive_at.is_some() => Wake::Inactive,
             () = sleep_until(*last_used + idle_timeout), if is_idle => Wake::CloseIdle,
             () = self.permit.requested(), if is_idle => Wake::CloseIdle,
         }
     }
 
-    /// Acts on what was waited for; breaks if the connection has to end.
+    /// Handles an event; returns `Break` if the connection has to close.
     async fn handle_wake(&mut self, wake: Wake, session: &mut Session<'_>) -> ControlFlow<()> {
         match wake {
             Wake::Command(Some(command)) => {
@@ -225,16 +226,16 @@
                 self.handle_input(&mut session.input, session.last_used).await
             }
             Wake::Read { has_data: false } | Wake::CloseIdle => ControlFlow::Break(()),
-            Wake::Silence => self.handle_silence(session.input.has_partial_response()).await,
+            Wake::Inactive => self.handle_inactivity(session.input.has_partial_response()).await,
         }
     }
 
-    /// Whether nothing is under way on the connection.
+    /// Returns whether there are no attempts or health checks in flight and no bytes to write.
     fn is_idle(&self) -> bool {
         self.attempts.is_empty() && self.health_checks.is_empty() && self.out.is_empty()
     }
 
-    /// Writes what the socket takes; breaks if the connection has to end.
+    /// Writes as much as the socket accepts; returns `Break` if the connection has to close.
     async fn write(&mut self, write: &WriteHalf<'_>) -> ControlFlow<()> {
         self.drop_expired().await;
         match write.try_write(self.out.bytes()) {
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Handles all messages that are complete; breaks if the connection has to end.
+    /// Handles all complete messages; returns `Break` if the connection has to close.
     async fn handle_input(&mut self, input: &mut Input, now: Instant) -> ControlFlow<()> {
         self.liveness.record_read(now);
         loop {
@@ -270,8 +271,9 @@
                     self.reporter.health_checked(number, Ok(report)).await;
                 }
             }
-            // Without an attempt under the id it is a duplicate, the late response to a cancelled request, or
-            // one to what was never sent. It was read completely, so what follows it is as good as ever.
+            // A response without an attempt in flight is a duplicate, belongs to a cancelled request, or
+            // has an id that was never sent. It was read completely, so later messages can still be
+            // decoded.
             MessageContent::Response(response) => {
                 if let Some(attempt) = self.attempts.remove_request(&message.id) {
                     self.reporter.attempt_ended(attempt, Ok(response)).await;
@@ -280,42 +282,44 @@
         }
     }
 
-    /// Acts on a silence that has lasted too long; breaks if the connection has to end.
-    async fn handle_silence(&mut self, has_partial_response: bool) -> ControlFlow<()> {
+    /// Acts on a connection that has received nothing for too long; returns `Break` if the connection has
+    /// to close.
+    async fn handle_inactivity(&mut self, has_partial_response: bool) -> ControlFlow<()> {
         if has_partial_response {
-            tracing::warn!(server = %self.address, "server response was cut short");
+            tracing::warn!(server = %self.address, "server response stalled, closing connection");
             return ControlFlow::Break(());
         }
         match self.liveness.next_action() {
-            SilenceAction::Check => {
-                // Not a health check of the router: whatever comes shows that the connection lives.
+            InactivityAction::Check => {
+                // This is not one of the router's health checks: any received byte shows that the
+                // connection works.
                 self.out.append(|out| line_codec::write_health_check(line_codec::LIVENESS_TAG, out));
                 ControlFlow::Continue(())
             }
-            SilenceAction::ReportUnresponsive => {
+            InactivityAction::ReportUnresponsive => {
                 self.reporter.unresponsive().await;
                 ControlFlow::Continue(())
             }
-            SilenceAction::Close => {
-                tracing::warn!(server = %self.address, "server connection is silent");
+            InactivityAction::Close => {
+                tracing::warn!(server = %self.address, "no data after liveness check, closing connection");
                 ControlFlow::Break(())
             }
         }
     }
 }
 
-/// Connects within the time limit.
+/// Connects to the address and sets the socket options; `limit` applies to connecting.
 async fn connect(address: Arc<str>, limit: Duration) -> Result<TcpStream, AttemptError> {
     let connected = timeout(limit, TcpStream::connect(&*address)).await;
     let stream = connected.map_err(|_| AttemptError::NotConnected)?.map_err(|error| connect_error(&error))?;
     stream.set_nodelay(true).map_err(|_| AttemptError::NotConnected)?;
-    // Where the system does not know this option, it takes more than it has sent, and that can't be undone.
+    // On systems without this option, the send buffer accepts more bytes, which can't be withdrawn.
     let _ = socket2::SockRef::from(&stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     Ok(stream)
 }
 
-/// How an attempt ends whose connection did not come up. Guards the server against being ejected for what
-/// this process lacks.
+/// Converts a connect error to the result of the attempts. A lack of descriptors in this process
+/// has a separate error, so that the server is not ejected for it.
 fn connect_error(error: &std::io::Error) -> AttemptError {
     if is_short_of_descriptors(error) {
         AttemptError::NoDescriptor
--- a/src/upstream/connection/out_buffer.rs
+++ b/src/upstream/connection/out_buffer.rs
@@ -1,19 +1,20 @@
-//! The bytes that a connection has to write, and how far a part of them has been written.
+//! The buffer of bytes that a connection has to write, with the write progress of each request in it.
 
 use bytes::{Buf, BytesMut};
 use std::ops::Range;
 
-/// Bytes on their way to the socket. Positions count from the first byte of the connection.
+/// A buffer of bytes not yet written to the socket. Positions are offsets from the first byte that the
+/// connection writes.
 #[derive(Debug, Default)]
 pub(super) struct OutBuffer {
     bytes: BytesMut,
-    /// Position behind the last byte in the buffer.
+    /// Position after the last byte in the buffer.
     queued: u64,
-    /// Position of the first byte in the buffer: all before it has been written.
+    /// Position of the first byte in the buffer; all earlier bytes have been written.
     written: u64,
 }
 
-/// How far a part of the bytes has been written.
+/// The write progress of a range of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
     NotStarted,
@@ -26,17 +27,17 @@
         self.bytes.is_empty()
     }
 
-    /// The bytes to write next.
+    /// Returns the bytes that are not written yet.
     pub(super) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Whether anything was ever written.
+    /// Returns whether any byte was written on this connection.
     pub(super) fn has_written(&self) -> bool {
         self.written > 0
     }
 
-    /// Appends what `encode` writes and returns its positions.
+    /// Appends what `encode` writes and returns its range of positions.
     pub(super) fn append(&mut self, encode: impl FnOnce(&mut BytesMut)) -> Range<u64> {
         let (start, length) = (self.queued, self.bytes.len());
         encode(&mut self.bytes);
@@ -44,13 +45,13 @@
         start..self.queued
     }
 
-    /// Notes that this many bytes have been written.
+    /// Removes the first `bytes` bytes, which have been written to the socket.
     pub(super) fn advance(&mut self, bytes: usize) {
         self.bytes.advance(bytes);
         self.written += bytes as u64;
     }
 
-    /// How far this part has been written.
+    /// Returns how far the bytes in this range have been written.
     pub(super) fn progress(&self, part: &Range<u64>) -> WriteProgress {
         if self.written >= part.end {
             WriteProgress::Complete
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Removes a part of which nothing has been written. Only cancellations may follow it, whose positions
-    /// nobody keeps.
+    /// Removes a range of which no byte has been written. Only cancellations may follow it in the buffer: the
+    /// positions of later bytes change, and those of cancellations are not stored.
     pub(super) fn remove(&mut self, part: &Range<u64>) {
         let (start, end) = ((part.start - self.written) as usize, (part.end - self.written) as usize);
         let after = self.bytes.split_off(end);
--- a/src/upstream/connection/reporter.rs
+++ b/src/upstream/connection/reporter.rs
@@ -1,4 +1,4 @@
-//! What a connection reports to the dispatcher and to its endpoint's actor.
+//! Reports from a connection to the dispatcher and to its endpoint's actor.
 
 use crate::dispatch::{
     AttemptError, AttemptId, AttemptResult, DispatcherMessage, DispatcherSender, EndpointCommand,
@@ -6,23 +6,23 @@
 };
 use tokio::sync::mpsc;
 
-/// Names a connection to its endpoint's actor.
+/// The id of a connection, unique within its endpoint's actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::upstream) struct ConnectionId(pub(in crate::upstream) u64);
 
-/// What a connection reports to its endpoint's actor.
+/// A report from a connection to its endpoint's actor.
 pub(in crate::upstream) enum ConnectionEvent {
-    /// It has come up.
+    /// The connection is established.
     Up(ConnectionId),
-    /// It no longer carries the attempt.
+    /// The connection no longer carries the attempt.
     AttemptDone(ConnectionId, AttemptId),
-    /// It may be dead and should get nothing new.
+    /// The connection may be broken and should get no new requests.
     Unresponsive(ConnectionId),
-    /// It has ended; these commands were not written.
+    /// The connection has closed; these commands were not written.
     Closed(ConnectionId, Vec<EndpointCommand>),
 }
 
-/// Sends the reports of one connection. An actor that has ended needs none.
+/// Sends the reports of one connection. Reports to an actor that has ended are dropped.
 pub(in crate::upstream) struct Reporter {
     connection: ConnectionId,
     dispatcher: DispatcherSender,
@@ -30,7 +30,7 @@
 }
 
 impl Reporter {
-    /// Reports for this connection.
+    /// Creates the reporter of a connection.
     pub(in crate::upstream) fn new(
         connection: ConnectionId,
         dispatcher: DispatcherSender,
@@ -47,7 +47,8 @@
         let _ = self.actor.send(ConnectionEvent::Unresponsive(self.connection)).await;
     }
 
-    /// Returns the commands to the actor; gives them back if it has ended.
+    /// Reports that the connection has closed and passes the unsent commands to the actor. Returns them if
+    /// the actor has ended, otherwise an empty list.
     pub(super) async fn closed(&self, unsent: Vec<EndpointCommand>) -> Vec<EndpointCommand> {
         match self.actor.send(ConnectionEvent::Closed(self.connection, unsent)).await {
             Err(mpsc::error::SendError(ConnectionEvent::Closed(_, unsent))) => unsent,
@@ -55,23 +56,23 @@
         }
     }
 
-    /// The attempt's request has been written completely.
+    /// Reports that the attempt's request has been written completely.
     pub(super) async fn attempt_written(&self, attempt: AttemptId) {
         self.dispatcher.send(DispatcherMessage::AttemptWritten(attempt)).await;
     }
 
-    /// The attempt has ended.
+    /// Reports the result of an attempt to the dispatcher, and its end to the actor.
     pub(super) async fn attempt_ended(&self, attempt: AttemptId, result: AttemptResult) {
         self.dispatcher.send(DispatcherMessage::AttemptEnded(attempt, result)).await;
         self.attempt_done(attempt).await;
     }
 
-    /// The attempt was cancelled by command; the error says how far it had come.
+    /// Reports that an attempt was cancelled by command; `error` states how much of it had been written.
     pub(super) async fn attempt_cancelled(&self, attempt: AttemptId, error: AttemptError) {
         self.dispatcher.send(DispatcherMessage::AttemptCancelled(attempt, error)).await;
     }
 
-    /// The connection no longer carries the attempt.
+    /// Reports to the actor that the connection no longer carries the attempt.
     pub(super) async fn attempt_done(&self, attempt: AttemptId) {
         let _ = self.actor.send(ConnectionEvent::AttemptDone(self.connection, attempt)).await;
     }
--- a/src/upstream/connection/requests.rs
+++ b/src/upstream/connection/requests.rs
@@ -1,4 +1,4 @@
-//! The way of requests on a connection: from the queue to the out buffer, and back out of it on cancellation.
+//! Moves requests from a connection's queue to its out buffer, and removes them on cancellation.
 
 use super::attempts::InFlightAttempt;
 use super::out_buffer::WriteProgress;
@@ -7,7 +7,7 @@
 use crate::upstream::line_codec;
 use tokio::time::Instant;
 
-/// A request in the out buffer that is not written completely.
+/// A request in the out buffer that is not completely written.
 pub(super) struct UnwrittenRequest {
     attempt: AttemptId,
     cancellation: CancellationToken,
@@ -15,7 +15,7 @@
 }
 
 impl Connection {
-    /// Queues a command; cancellations take effect at once.
+    /// Queues a command; a cancellation takes effect immediately instead.
     pub(super) async fn handle_command(&mut self, command: EndpointCommand) {
         match command {
             EndpointCommand::Cancel(attempt) => self.cancel(attempt).await,
@@ -23,10 +23,10 @@
         }
     }
 
-    /// Cancels an attempt. One that was not sent leaves no trace on the wire.
+    /// Cancels an attempt. If no byte of its request was written, nothing is sent to the server.
     async fn cancel(&mut self, attempt: AttemptId) {
         let was_queued = self.remove_queued(attempt);
-        if self.withdraw(attempt) {
+        if self.remove_unwritten(attempt) {
             self.report_unsent(attempt).await;
         } else if let Some(in_flight) = self.attempts.remove(attempt) {
             self.cancel_in_flight(attempt, in_flight).await;
@@ -40,11 +40,11 @@
         self.reporter.attempt_done(attempt).await;
     }
 
-    /// Tells the server that the response is not needed. A request that has been written in part is written
-    /// completely before that.
+    /// Appends a cancellation for the server. A request that is partially written is written completely
+    /// before the cancellation.
     async fn cancel_in_flight(&mut self, attempt: AttemptId, in_flight: InFlightAttempt) {
         self.reporter.attempt_cancelled(attempt, AttemptError::Unanswered).await;
-        if self.liveness.is_doubtful(in_flight.sent_at) {
+        if self.liveness.is_unresponsive_since(in_flight.sent_at) {
             self.reporter.unresponsive().await;
         }
         self.out.append(|out| line_codec::write_cancel(&in_flight.request_id, out));
@@ -52,7 +52,7 @@
         self.reporter.attempt_done(attempt).await;
     }
 
-    /// Removes an attempt from the queue; returns whether it was there.
+    /// Removes an attempt from the queue; returns whether it was queued.
     fn remove_queued(&mut self, attempt: AttemptId) -> bool {
         let before = self.queue.len();
         self.queue.retain(|command| match command {
@@ -62,27 +62,28 @@
         self.queue.len() < before
     }
 
-    /// Removes an attempt of which nothing has been written from the out buffer; returns whether it was one.
-    fn withdraw(&mut self, attempt: AttemptId) -> bool {
+    /// Removes an attempt from the out buffer if no byte of it has been written; returns whether it was
+    /// removed.
+    fn remove_unwritten(&mut self, attempt: AttemptId) -> bool {
         if !self.is_unwritten(attempt) {
             return false;
         }
         self.unwritten = None;
-        // It is the one request in the buffer, which only cancellations of earlier ones may follow.
+        // The buffer holds at most one request. Only cancellations of earlier requests may follow it.
         if let Some(in_flight) = self.attempts.remove(attempt) {
             self.out.remove(&in_flight.bytes);
         }
         true
     }
 
-    /// Whether an attempt is in the out buffer and no byte of it has been written.
+    /// Returns whether an attempt is in the out buffer and no byte of it has been written.
     fn is_unwritten(&self, attempt: AttemptId) -> bool {
         let in_flight = self.attempts.get(attempt);
         in_flight.is_some_and(|it| self.out.progress(&it.bytes) == WriteProgress::NotStarted)
     }
 
-    /// Withdraws the request that waits to be written if it has been cancelled, however that became known, or
-    /// if it is too late to send it.
+    /// Removes the request from the out buffer, if no byte of it has been written, when it has been
+    /// cancelled, its client has disconnected or its send deadline has passed.
     pub(super) async fn drop_expired(&mut self) {
         let waiting = self.unwritten.as_ref().filter(|request| self.is_unwritten(request.attempt));
         let Some(request) = waiting else { return };
@@ -95,26 +96,26 @@
             return;
         };
         let attempt = request.attempt;
-        if self.withdraw(attempt) {
+        if self.remove_unwritten(attempt) {
             self.reporter.attempt_ended(attempt, Err(error)).await;
         }
     }
 
-    /// Reports the request that has now been written completely, be it answered or cancelled already.
+    /// Reports a request that is now completely written, even if it has already been answered or cancelled.
     pub(super) async fn report_written(&mut self) {
         if let Some(request) = self.unwritten.take_if(|_| self.out.is_empty()) {
             self.reporter.attempt_written(request.attempt).await;
         }
     }
 
-    /// Moves commands from the queue to the out buffer, one request at a time: those in the queue can still
-    /// be cancelled without a trace.
+    /// Moves commands from the queue to the out buffer, one request at a time: requests in the queue can
+    /// still be cancelled without sending anything to the server.
     pub(super) async fn fill_out_buffer(&mut self) {
         while self.out.is_empty() {
             match self.queue.pop_front() {
                 Some(EndpointCommand::Send(request)) => self.send(request).await,
                 Some(EndpointCommand::HealthCheck(number)) => self.send_health_check(number),
-                Some(EndpointCommand::Cancel(_)) => {} // takes effect at once, never queued
+                Some(EndpointCommand::Cancel(_)) => {} // handled on arrival, never queued
                 None => return,
             }
         }
--- a/src/upstream/connection/teardown.rs
+++ b/src/upstream/connection/teardown.rs
@@ -1,4 +1,4 @@
-//! The end of a connection: every attempt on it ends by how far it had come.
+//! Closes a connection: the result of every attempt on it depends on how much of its request was written.
 
 use super::out_buffer::WriteProgress;
 use super::Connection;
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 impl Connection {
-    /// Ends all that waits, since the connection did not come up: nothing was sent.
+    /// Ends all queued commands with `error` because the connection was not established; nothing was sent.
     pub(super) async fn fail_to_connect(
         mut self,
         error: AttemptError,
@@ -28,8 +28,8 @@
         self.reporter.closed(Vec::new()).await;
     }
 
-    /// Ends all attempts in flight, and returns the commands that were not written to the actor.
-    /// `interrupted`: id of the request whose response had begun.
+    /// Ends all attempts in flight, and passes commands that were not written back to the actor.
+    /// `interrupted` is the id of the request whose response had begun.
     pub(super) async fn end(
         mut self,
         interrupted: Option<Arc<str>>,
@@ -50,15 +50,16 @@
         }
         let mut unsent: Vec<EndpointCommand> = std::mem::take(&mut self.queue).into();
         if !self.out.has_written() {
-            // Guards against a server that accepts and closes: placed again, they would be so without end.
+            // A server that accepts connections and closes them immediately would cause endless retries if
+            // these commands went back to the actor.
             self.end_unsent(std::mem::take(&mut unsent), AttemptError::NotConnected).await;
         }
         let returned = self.reporter.closed(unsent).await;
-        // The actor has ended, so nobody will place these again.
+        // The actor has ended, so these commands are not assigned to another connection.
         self.end_unsent(returned, AttemptError::NotWritten).await;
     }
 
-    /// Takes what is still in the channel.
+    /// Closes the channel and handles the commands that are still in it.
     async fn take_remaining(&mut self, mut commands: mpsc::Receiver<EndpointCommand>) {
         commands.close();
         while let Some(command) = commands.recv().await {
--- a/src/upstream/connection_pool.rs
+++ b/src/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one endpoint, and the choice among them.
+//! The connections to one endpoint, and the selection of one for each request.
 
 use super::connection::{Connection, ConnectionEvent, ConnectionId, Reporter};
 use super::descriptor_permits::DescriptorPermits;
@@ -9,10 +9,11 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Connections to one endpoint at a time, so that all endpoints together fit the descriptor limit.
+/// Maximum number of connections to one endpoint, so that all endpoints together fit the descriptor limit.
 const MAX_CONNECTIONS: usize = 8;
-/// Attempts that a connection carries before another one is opened: a response that can't be decoded costs
-/// all of them. If no other can be opened they share one as far as the settings allow.
+/// Number of attempts on a connection from which another one is opened, because a response that can't be
+/// decoded fails every attempt on its connection. If no other can be opened, a connection carries up to
+/// `max_streams` attempts.
 const PREFERRED_ATTEMPTS: usize = 4;
 
 /// The connections to one endpoint.
@@ -26,20 +27,20 @@
     next_id: u64,
 }
 
-/// What the pool knows of a connection.
+/// The pool's record of a connection.
 struct PooledConnection {
     id: ConnectionId,
     commands: mpsc::Sender<EndpointCommand>,
-    /// The attempts that it carries, with the ids of their requests.
+    /// The attempts assigned to the connection, with the ids of their requests.
     attempts: HashMap<AttemptId, Arc<str>>,
     is_up: bool,
-    /// It may be dead and gets nothing new.
+    /// The connection may be broken and gets no new requests or health checks.
     is_unresponsive: bool,
 }
 
 impl PooledConnection {
-    /// Whether it can carry the request. Two attempts of one request never share a connection, for their
-    /// responses could not be told apart.
+    /// Returns whether the connection can carry the request. Two attempts of one request never share a
+    /// connection, because their responses would have the same id.
     fn accepts(&self, request: &UpstreamRequest, max_streams: usize) -> bool {
         !self.is_unresponsive
             && self.attempts.len() < max_streams
@@ -48,7 +49,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub(super) fn new(
         address: Arc<str>,
         settings: ConnectionSettings,
@@ -59,14 +60,14 @@
         ConnectionPool { address, settings, permits, dispatcher, events, connections: Vec::new(), next_id: 0 }
     }
 
-    /// Notes that a connection has come up.
+    /// Records that a connection is established.
     pub(super) fn mark_up(&mut self, id: ConnectionId) {
         if let Some(connection) = self.find(id) {
             connection.is_up = true;
         }
     }
 
-    /// Notes that a connection no longer carries an attempt.
+    /// Records that a connection no longer carries an attempt.
     pub(super) fn release(&mut self, id: ConnectionId, attempt: AttemptId) {
         if let Some(connection) = self.find(id) {
             connection.attempts.remove(&attempt);
@@ -74,7 +75,8 @@
         self.drop_unresponsive();
     }
 
-    /// Notes that a connection may be dead: it gets nothing new, and is dropped with its last attempt.
+    /// Records that a connection may be broken: it gets no new requests and is dropped after its last
+    /// attempt.
     pub(super) fn mark_unresponsive(&mut self, id: ConnectionId) {
         if let Some(connection) = self.find(id) {
             connection.is_unresponsive = true;
@@ -82,12 +84,12 @@
         self.drop_unresponsive();
     }
 
-    /// Notes that a connection has ended.
+    /// Removes a connection that has closed.
     pub(super) fn remove(&mut self, id: ConnectionId) {
         self.connections.retain(|connection| connection.id != id);
     }
 
-    /// Passes a request to a connection.
+    /// Sends a request on a connection chosen for it.
     pub(super) fn send(&mut self, request: UpstreamRequest) -> Result<(), AttemptError> {
         let (attempt, id) = (request.attempt_id, request.id.clone());
         let connection = self.choose(&request)?;
@@ -99,14 +101,16 @@
 
     /// Passes a cancellation to the connection that carries the attempt.
     pub(super) fn cancel(&mut self, attempt: AttemptId) {
-        let carrier = self.connections.iter().find(|connection| connection.attempts.contains_key(&attempt));
-        if let Some(connection) = carrier {
-            // Full or ended: what is not written yet stays so, for its cancellation token says it.
+        let assigned = self.connections.iter().find(|connection| connection.attempts.contains_key(&attempt));
+        if let Some(connection) = assigned {
+            // If the channel is full or closed, the cancellation token still prevents an unwritten request
+            // from being written.
             let _ = connection.commands.try_send(EndpointCommand::Cancel(attempt));
         }
     }
 
-    /// Passes a health check to any connection; returns whether one took it.
+    /// Sends a health check on any responsive connection, opening one if there is none; returns whether a
+    /// connection accepted it.
     pub(super) fn check_health(&mut self, number: u64) -> bool {
         let usable = self.connections.iter().position(|connection| !connection.is_unresponsive);
         let Some(index) = usable.or_else(|| self.open().ok()) else { return false };
@@ -114,10 +118,12 @@
         self.connections.get(index).is_some_and(|connection| connection.commands.try_send(command).is_ok())
     }
 
-    /// The connection for a request: the fullest of those below the preferred number of attempts, so that
-    /// others fall idle and close, and one that is up if there is such; then a new one; then the emptiest.
+    /// Chooses the connection for a request. Among connections below the preferred number of attempts it
+    /// prefers established ones and then the one with the most attempts, so that the others become idle and
+    /// close. If there is none it opens a new connection; if that fails it takes the one with the fewest
+    /// attempts.
     fn choose(&mut self, request: &UpstreamRequest) -> Result<&mut PooledConnection, AttemptError> {
-        // Those that have ended and whose report is on the way would return the attempt unsent.
+        // A connection that has closed, but whose report is still under way, would return the attempt unsent.
         self.connections.retain(|connection| !connection.commands.is_closed());
         let max_streams = self.settings.max_streams;
         let usable = || {
@@ -128,17 +134,18 @@
             .filter(|(_, connection)| connection.attempts.len() < PREFERRED_ATTEMPTS)
             .max_by_key(|(_, connection)| (connection.is_up, connection.attempts.len()))
             .map(|(index, _)| index);
-        let emptiest =
+        let least_loaded =
             usable().min_by_key(|(_, connection)| connection.attempts.len()).map(|(index, _)| index);
         let index = match preferred {
             Some(index) => index,
-            None => self.open().or_else(|error| emptiest.ok_or(error))?,
+            None => self.open().or_else(|error| least_loaded.ok_or(error))?,
         };
         self.connections.get_mut(index).ok_or(AttemptError::NotWritten)
     }
 
-    /// Opens a connection and returns its index. Without room for it, or without a descriptor, the attempt
-    /// ends unsent and the router chooses another endpoint.
+    /// Opens a connection and returns its index. Returns an error if the endpoint has the maximum number of
+    /// connections or no descriptor is free; the attempt then ends unsent and the router chooses another
+    /// endpoint.
     fn open(&mut self) -> Result<usize, AttemptError> {
         if self.connections.len() >= MAX_CONNECTIONS {
             return Err(AttemptError::NotWritten);
--- a/src/upstream/connector.rs
+++ b/src/upstream/connector.rs
@@ -1,4 +1,4 @@
-//! Starts an actor for each endpoint.
+//! The connector for the director's own connections: starts an actor for each endpoint.
 
 use super::descriptor_permits::DescriptorPermits;
 use super::endpoint::EndpointActor;
@@ -8,7 +8,7 @@
 use crate::policy::types::ServerId;
 use tokio::sync::mpsc;
 
-/// Reaches endpoints over connections of the director's own, by the line protocol.
+/// An [`EndpointConnector`] that uses the director's own connections and the line protocol.
 #[derive(Clone, Debug)]
 pub struct UpstreamConnector {
     settings: ConnectionSettings,
@@ -16,7 +16,7 @@
 }
 
 impl UpstreamConnector {
-    /// Holds at most this many descriptors for connections to all endpoints together.
+    /// Creates a connector that keeps at most `descriptors` connections open to all endpoints together.
     pub fn new(settings: ConnectionSettings, descriptors: usize) -> Self {
         UpstreamConnector { settings, permits: DescriptorPermits::new(descriptors) }
     }
--- a/src/upstream/descriptor_permits.rs
+++ b/src/upstream/descriptor_permits.rs
@@ -1,16 +1,16 @@
-//! The limit on connections that are open at a time, to all endpoints together.
+//! The limit on the number of connections that are open at a time to all endpoints together.
 
 use std::sync::Arc;
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
-/// The descriptors for connections. Clones share them.
+/// The file descriptors available for connections. Clones share one limit.
 #[derive(Clone, Debug)]
 pub(super) struct DescriptorPermits {
     free: Arc<Semaphore>,
     requested: Arc<Notify>,
 }
 
-/// The right to one connection; dropping it returns the descriptor.
+/// A permit to open one connection; dropping it returns the descriptor.
 #[derive(Debug)]
 pub(super) struct DescriptorPermit {
     _permit: OwnedSemaphorePermit,
@@ -18,13 +18,13 @@
 }
 
 impl DescriptorPermits {
-    /// This many descriptors.
+    /// Creates a limit of `descriptors` connections.
     pub(super) fn new(descriptors: usize) -> Self {
         DescriptorPermits { free: Arc::new(Semaphore::new(descriptors)), requested: Arc::default() }
     }
 
-    /// Takes a permit. If none is free, an idle connection is asked to close and the next caller gets its
-    /// permit.
+    /// Takes a permit. If none is free, returns `None` and asks an idle connection to close, so that a
+    /// later call can take its permit.
     pub(super) fn try_acquire(&self) -> Option<DescriptorPermit> {
         match self.free.clone().try_acquire_owned() {
             Ok(permit) => Some(DescriptorPermit { _permit: permit, requested: self.requested.clone() }),
@@ -37,7 +37,7 @@
 }
 
 impl DescriptorPermit {
-    /// Completes when another connection needs the descriptor of an idle one.
+    /// Waits until another connection needs the descriptor of an idle one.
     pub(super) async fn requested(&self) {
         self.requested.notified().await;
     }
--- a/src/upstream/endpoint.rs
+++ b/src/upstream/endpoint.rs
@@ -1,8 +1,8 @@
-//! The actor of one endpoint: places the dispatcher's commands on the endpoint's connections.
+//! The actor of one endpoint: assigns the dispatcher's commands to the endpoint's connections.
 //!
-//! Every connection is a task of its own that reports results straight to the dispatcher. Attempts that it
-//! did not begin to write come back to the actor when it ends, and are placed again for as long as they may
-//! still be sent.
+//! Every connection runs as a separate task that reports results directly to the dispatcher. When it
+//! closes, it returns the attempts that it has not begun to write. The actor assigns them to another
+//! connection unless they have been cancelled or their send deadline has passed.
 
 use super::connection::ConnectionEvent;
 use super::connection_pool::ConnectionPool;
@@ -15,24 +15,24 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Places commands on the connections to one endpoint.
+/// Assigns commands to the connections to one endpoint.
 pub(super) struct EndpointActor {
     dispatcher: DispatcherSender,
     pool: ConnectionPool,
     events: mpsc::Receiver<ConnectionEvent>,
 }
 
-/// Why a command is placed.
+/// The reason why a command is assigned to a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Placement {
-    /// It comes from the dispatcher.
+    /// The command comes from the dispatcher.
     First,
-    /// Its connection ended before it was written.
+    /// The previous connection closed before the command was written.
     Retry,
 }
 
 impl EndpointActor {
-    /// An actor without connections.
+    /// Creates an actor without connections; they are opened on demand.
     pub(super) fn new(
         address: Arc<str>,
         settings: ConnectionSettings,
@@ -44,8 +44,9 @@
         EndpointActor { dispatcher, pool, events }
     }
 
-    /// Runs until the dispatcher drops the endpoint: it has left the list, or another process took its place.
-    /// Its connections end by themselves with their last response, or when they have been idle.
+    /// Runs until the dispatcher drops the endpoint: the endpoint has left the server list, or another
+    /// process has replaced it. Its connections then close by themselves after their last response, or once
+    /// idle.
     pub(super) async fn run(mut self, mut commands: mpsc::Receiver<EndpointCommand>) {
         loop {
             tokio::select! {
@@ -87,7 +88,7 @@
         let attempt = request.attempt_id;
         let error = match self.pool.send(request) {
             Ok(()) => return,
-            // Tried on a connection once, so the failure is the endpoint's.
+            // A connection has already failed before writing it, so the failure counts against the endpoint.
             Err(AttemptError::NotWritten) if placement == Placement::Retry => AttemptError::NotConnected,
             Err(error) => error,
         };
--- a/src/upstream/host.rs
+++ b/src/upstream/host.rs
@@ -1,7 +1,7 @@
-//! A transport that the host application provides: one asynchronous function that carries an attempt.
+//! A transport that the host application provides: an asynchronous function that performs one attempt.
 //!
-//! Each attempt is a task of its own on the director's thread. A task that panics, is dropped or never ends
-//! is an attempt that may have run; it affects nothing else.
+//! Each attempt runs as a separate task on the director's thread. If the task panics, is dropped or never
+//! ends, the attempt counts as one that may have run; nothing else is affected.
 
 use super::COMMAND_QUEUE;
 use crate::dispatch::{
@@ -16,34 +16,34 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// What a host's function returns.
+/// The type of future that the methods of an [`Exchange`] return.
 pub type BoxFuture<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// How the host application reaches endpoints.
+/// A transport of the host application: sends attempts and health checks to endpoints.
 pub trait Exchange: Send + Sync + 'static {
-    /// Carries one attempt to an endpoint and returns its result. The future is dropped when the attempt is
-    /// cancelled; it runs on the director's thread and must not block it. Unless it can prove that the
-    /// attempt did not run it must return [`AttemptError::Unanswered`]: a write is sent again only after an
-    /// error that proves it.
+    /// Sends one attempt to an endpoint and returns its result. The future runs on the director's thread,
+    /// which it must not block, and is dropped when the attempt is cancelled. On failure it must return
+    /// [`AttemptError::Unanswered`] unless it can prove that the attempt did not run: a write is retried only
+    /// after an error that proves this.
     ///
-    /// A site may allow no cancellation. A future that waits before its first byte, for example for a
-    /// connection, must call
-    /// [`CancellationToken::check_client`](crate::dispatch::CancellationToken::check_client) of the attempt
-    /// as the last thing before that byte, and return [`AttemptError::Cancelled`] if it is cancelled.
+    /// Some deployments permit no cancellations at all. A future that waits before it sends its first byte,
+    /// for example for a connection, must therefore call
+    /// [`CancellationToken::check_client`](crate::dispatch::CancellationToken::check_client) of the request
+    /// immediately before that byte, and return [`AttemptError::Cancelled`] if the call returns `true`.
     fn exchange(&self, endpoint: &Endpoint, request: UpstreamRequest) -> BoxFuture<AttemptResult>;
 
-    /// Checks an endpoint's health. By default every endpoint is healthy.
+    /// Checks an endpoint's health. The default implementation reports every endpoint as healthy.
     fn check_health(&self, _endpoint: &Endpoint) -> BoxFuture<Result<HealthReport, AttemptError>> {
         Box::pin(std::future::ready(Ok(HealthReport { healthy: true, load_report: Vec::new() })))
     }
 }
 
-/// Reaches endpoints by an [`Exchange`].
+/// An [`EndpointConnector`] that sends attempts with an [`Exchange`].
 #[derive(Debug)]
 pub struct HostTransport<E>(Arc<E>);
 
 impl<E: Exchange> HostTransport<E> {
-    /// Reaches endpoints by this exchange.
+    /// Creates a connector for `exchange`.
     pub fn new(exchange: E) -> Self {
         HostTransport(Arc::new(exchange))
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// Starts a task for each attempt at one endpoint.
+/// An actor that starts a task for each attempt on one endpoint.
 struct ExchangeActor<E> {
     exchange: Arc<E>,
     endpoint: Endpoint,
@@ -84,7 +84,8 @@
             match command {
                 EndpointCommand::Send(request) => self.send(request),
                 EndpointCommand::Cancel(attempt) => {
-                    // The end of its task tells the dispatcher whether it had begun.
+                    // When its task is dropped, `AttemptGuard` reports to the dispatcher whether it had
+                    // begun.
                     if let Some(task) = self.attempts.remove(&attempt) {
                         task.abort();
                     }
@@ -123,7 +124,7 @@
     mut guard: AttemptGuard,
 ) {
     let (attempt, dispatcher) = (guard.attempt, guard.dispatcher.clone());
-    // Waited for first: nothing may come between the last check of the client and the exchange.
+    // Reserved before the client is checked, so that nothing is awaited between the check and the exchange.
     let Some(permit) = dispatcher.reserve().await else { return };
     if request.cancellation.check_client() {
         guard.is_reported = true;
@@ -131,26 +132,26 @@
         return;
     }
     guard.error = AttemptError::Unanswered;
-    // From here on the time is the endpoint's.
+    // The time from here on counts as the endpoint's response time.
     permit.send(DispatcherMessage::AttemptWritten(attempt));
     let result = exchange.exchange(&endpoint, request).await;
     guard.is_reported = true;
     dispatcher.send(DispatcherMessage::AttemptEnded(attempt, result)).await;
 }
 
-/// Reports how far an attempt had come if its task ends without a report.
+/// A guard that reports the error of an attempt if its task ends before reporting a result.
 struct AttemptGuard {
     is_reported: bool,
     attempt: AttemptId,
     dispatcher: DispatcherSender,
-    /// How the attempt ends if its task ends now.
+    /// The error to report if the task ends now.
     error: AttemptError,
 }
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
         if !self.is_reported {
-            // Full: the dispatcher's own timeout ends the attempt.
+            // If the dispatcher's channel is full, its own timeout ends the attempt.
             self.dispatcher.try_send(DispatcherMessage::AttemptEnded(self.attempt, Err(self.error)));
         }
     }
--- a/src/upstream/line_codec/decode.rs
+++ b/src/upstream/line_codec/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes responses and the results of health checks from the bytes that have come so far.
+//! Incremental decoder of responses and health check results.
 
 use super::{LineError, MessageContent, ServerMessage};
 use crate::config::settings::json::micros;
@@ -7,26 +7,26 @@
 use bytes::{Bytes, BytesMut};
 use std::sync::Arc;
 
-/// Longest line that is read, in bytes.
-const MAX_LINE_BYTES: usize = 4096;
-/// Largest body that is read, in bytes; objects have 240,000 at most. As many as there may be clients, at
-/// this size, fit the memory limit.
-const MAX_BODY_BYTES: usize = 256 * 1024;
-/// What stands for no fields.
+/// Maximum length of a line, in bytes.
+pub(super) const MAX_LINE_BYTES: usize = 4096;
+/// Maximum length of a body, in bytes; objects have at most 240,000. One body of this size for each of the
+/// maximum number of clients fits the memory limit.
+pub(super) const MAX_BODY_BYTES: usize = 256 * 1024;
+/// The placeholder for an empty list of fields.
 const NO_FIELDS: &str = "-";
-/// The line end of a body.
+/// The line end after a body.
 const CR_LF: &[u8] = b"\r\n";
 
-/// Decodes the messages of one connection.
+/// A decoder of the messages of one connection.
 #[derive(Debug, Default)]
 pub struct LineDecoder {
-    /// The message whose body is awaited.
+    /// Head of the message whose body is not complete yet.
     head: Option<MessageHead>,
-    /// Bytes at the start of the buffer that hold no line end.
+    /// Number of bytes at the start of the buffer that were searched and contain no line end.
     searched: usize,
 }
 
-/// The line of a message.
+/// The decoded first line of a message.
 #[derive(Debug)]
 struct MessageHead {
     id: Arc<str>,
@@ -58,7 +58,7 @@
             "STALE" => StatusToken::Expired,
             "READY" => StatusToken::Healthy,
             "AILING" => StatusToken::Unhealthy,
-            _ => return Err(LineError::UnknownStatus),
+            _ => return Err(LineError::UnknownStatus(word.to_owned())),
         })
     }
 
@@ -76,17 +76,17 @@
 }
 
 impl LineDecoder {
-    /// The id of the message whose body is awaited.
+    /// Returns the id of the message whose body is not complete yet.
     pub fn partial_id(&self) -> Option<&str> {
         self.head.as_ref().map(|head| &*head.id)
     }
 
-    /// Whether a message has begun that is not complete.
+    /// Returns whether a message has been received in part.
     pub fn has_partial_message(&self, buffer: &BytesMut) -> bool {
         self.head.is_some() || !buffer.is_empty()
     }
 
-    /// Removes the next complete message from the buffer.
+    /// Removes the next complete message from the buffer and returns it; returns `None` if there is none yet.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<ServerMessage>, LineError> {
         if self.head.is_none() {
             let Some(line) = self.take_line(buffer)? else { return Ok(None) };
@@ -101,13 +101,13 @@
         let mut body = buffer.split_to(bytes).freeze();
         if let Some(length) = body_length {
             if body.split_off(length) != CR_LF {
-                return Err(LineError::WrongBodyLength);
+                return Err(LineError::WrongBodyLength(length));
             }
         }
         Ok(self.head.take().map(|head| head.into_message(body)))
     }
 
-    /// Removes the next complete line from the buffer, without its line end.
+    /// Removes the next complete line from the buffer and returns it without its line end.
     fn take_line(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, LineError> {
         let unsearched = &buffer[self.searched..];
         let end = unsearched.iter().position(|byte| *byte == b'\n').map(|at| at + self.searched);
@@ -130,7 +130,7 @@
 }
 
 fn parse_head(line: &[u8]) -> Result<MessageHead, LineError> {
-    let line = std::str::from_utf8(line).map_err(|_| LineError::NotUtf8)?;
+    let line = std::str::from_utf8(line).map_err(LineError::NotUtf8)?;
     let words: Vec<&str> = line.split(' ').collect();
     let [id, status, rest @ ..] = &words[..] else { return Err(LineError::TooFewFields) };
     if id.is_empty() {
@@ -139,10 +139,10 @@
     let status = StatusToken::parse(status)?;
     let (fields, body_length) = match rest {
         [fields, length] => (*fields, Some(parse_body_length(length)?)),
-        // The result of a health check may come without a length.
+        // The body length, and the fields as well, are optional in the result of a health check.
         [fields] if status.is_health() => (*fields, None),
         [] if status.is_health() => (NO_FIELDS, None),
-        _ => return Err(LineError::WrongFieldCount),
+        _ => return Err(LineError::WrongFieldCount(words.len())),
     };
     Ok(MessageHead { id: (*id).into(), status, fields: parse_fields(fields)?, body_length })
 }
@@ -150,7 +150,7 @@
 fn parse_body_length(word: &str) -> Result<usize, LineError> {
     let is_number = !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_digit());
     let length = word.parse().ok().filter(|length| is_number && *length <= MAX_BODY_BYTES);
-    length.ok_or(LineError::InvalidLength)
+    length.ok_or_else(|| LineError::InvalidLength(word.to_owned()))
 }
 
 fn parse_fields(text: &str) -> Result<ResponseFields, LineError> {
@@ -159,11 +159,12 @@
         return Ok(fields);
     }
     for field in text.split(',') {
-        let (name, value) = field.split_once('=').ok_or(LineError::MissingFieldValue)?;
+        let (name, value) =
+            field.split_once('=').ok_or_else(|| LineError::MissingFieldValue(field.to_owned()))?;
         match name {
             "tag" => fields.etag = Some(value.into()),
             "lag" => {
-                let ms: f64 = value.parse().map_err(|_| LineError::InvalidSourceWait)?;
+                let ms: f64 = value.parse().map_err(|_| LineError::InvalidSourceWait(value.to_owned()))?;
                 fields.source_wait = micros(ms);
             }
             "res" => fields.cache_status = parse_cache_status(value),
@@ -176,8 +177,9 @@
 
 fn parse_gauges(text: &str) -> Result<Vec<(String, f64)>, LineError> {
     let parse_gauge = |gauge: &str| {
-        let (name, value) = gauge.split_once(':').ok_or(LineError::MissingGaugeValue)?;
-        let value = value.parse().map_err(|_| LineError::InvalidGauge)?;
+        let (name, value) =
+            gauge.split_once(':').ok_or_else(|| LineError::MissingGaugeValue(gauge.to_owned()))?;
+        let value = value.parse().map_err(|_| LineError::InvalidGauge(gauge.to_owned()))?;
         Ok((name.to_owned(), value))
     };
     text.split(';').map(parse_gauge).collect()
--- a/src/upstream/line_codec/encode.rs
+++ b/src/upstream/line_codec/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes requests, cancellations and health checks.
+//! Encoder of requests, cancellations and health checks.
 
 use crate::dispatch::UpstreamRequest;
 use bytes::{BufMut, BytesMut};
@@ -6,15 +6,15 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The tag of a health check that only shows whether a connection lives.
+/// The tag of a liveness check: a health check that a connection sends to find out whether it still works.
 pub const LIVENESS_TAG: &str = "alive";
 
-/// The tag of the router's health check of this number.
+/// Returns the tag of the router's health check with this number.
 pub fn health_check_tag(number: u64) -> Arc<str> {
     format!("p{number}").into()
 }
 
-/// Appends a request and its body.
+/// Appends the line of a request and its body to `out`.
 pub fn write_request(request: &UpstreamRequest, now: Instant, out: &mut BytesMut) {
     let (fields, length) = (encode_fields(request, now), request.body.len());
     out.put_slice(format!("want {} {fields} {length}\r\n", request.id).as_bytes());
@@ -22,12 +22,12 @@
     out.put_slice(b"\r\n");
 }
 
-/// Appends the cancellation of a request.
+/// Appends the cancellation of a request to `out`.
 pub fn write_cancel(request_id: &str, out: &mut BytesMut) {
     out.put_slice(format!("never_mind {request_id}\r\n").as_bytes());
 }
 
-/// Appends a health check, which is answered with a load report.
+/// Appends a health check to `out`; the server responds with its health and a load report.
 pub fn write_health_check(tag: &str, out: &mut BytesMut) {
     out.put_slice(format!("busy {tag}\r\n").as_bytes());
 }
--- a/src/upstream/line_codec/mod.rs
+++ b/src/upstream/line_codec/mod.rs
@@ -1,18 +1,19 @@
-//! Codec of the line protocol spoken with caches, parents and the origin; no other module knows its words.
+//! Codec of the line protocol used with caches, parents and the origin. All of its keywords are in this
+//! module.
 //!
-//! A message is a line that ends in CR LF. A request, and a response that gives its length, is followed by a
-//! body of that many bytes and CR LF.
+//! A message is a line that ends in CR LF. In a request and in a response with a length, a body of `LENGTH`
+//! bytes and CR LF follow the line.
 //!
-//! | line out | here |
+//! | line sent | function |
 //! | --- | --- |
 //! | `want ID FIELDS LENGTH` | [`write_request`] |
 //! | `never_mind ID` | [`write_cancel`] |
 //! | `busy TAG` | [`write_health_check`] |
 //!
-//! | field of `want` | here, in [`UpstreamRequest`] |
+//! | field of `want` | field of [`UpstreamRequest`] |
 //! | --- | --- |
 //! | `kind`, `obj`, `seg` | `class`, `object`, `part` |
-//! | `ms` | time until `deadline`, in milliseconds, 1 at least |
+//! | `ms` | time until `deadline`, in milliseconds, at least 1 |
 //! | `via` | `fill_source` |
 //! | `tier` | `cache_rank`; absent: 0 |
 //! | `fresh` | `max_age_ms`; absent: 0 |
@@ -20,7 +21,7 @@
 //! | `known` | `if_none_match` |
 //! | `token` | `idempotency_key` |
 //!
-//! | line in: `ID STATUS FIELDS LENGTH` | here |
+//! | status of a received line `ID STATUS FIELDS LENGTH` | type |
 //! | --- | --- |
 //! | `ACK` | [`ResponseStatus::Ok`] |
 //! | `NOMOD` | [`ResponseStatus::NotModified`] |
@@ -30,14 +31,14 @@
 //! | `STALE` | [`ResponseStatus::Expired`] |
 //! | `READY`, `AILING` | [`MessageContent::Health`], healthy or not; `FIELDS` and `LENGTH` are optional |
 //!
-//! | field of a response | here |
+//! | field of a response | meaning |
 //! | --- | --- |
 //! | `tag` | entity tag of the representation |
 //! | `lag` | [`UpstreamResponse::source_wait`], in milliseconds |
 //! | `res` | [`UpstreamResponse::cache_status`] |
 //! | `gauges`: `NAME:VALUE`, separated by `;` | the load report |
 //!
-//! | value of `res` | here, in [`CacheStatus`] |
+//! | value of `res` | variant of [`CacheStatus`] |
 //! | --- | --- |
 //! | `cached`, `fetched`, `fetched_root`, `merged` | `Hit`, `Filled`, `FilledFromOrigin`, `Collapsed` |
 //! | `past_fresh` | `Stale` |
@@ -62,12 +63,12 @@
 pub use encode::{health_check_tag, write_cancel, write_health_check, write_request, LIVENESS_TAG};
 use std::sync::Arc;
 
-/// A message from a server.
+/// A response, or the result of a health check, with the id that relates it to what was sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerMessage {
     /// The id of the request or the tag of the health check.
     pub id: Arc<str>,
-    /// Its content.
+    /// What the server responded.
     pub content: MessageContent,
 }
 
@@ -80,34 +81,34 @@
     Health(HealthReport),
 }
 
-/// A message that can't be decoded; it ends the connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[allow(missing_docs, reason = "the fields are the parts of the messages")]
+/// The reason why a message can't be decoded. The connection is then closed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[allow(missing_docs, reason = "the error texts describe the variants")]
 pub enum LineError {
-    #[error("a line is too long")]
+    #[error("line is longer than {} bytes", decode::MAX_LINE_BYTES)]
     TooLong,
-    #[error("a line does not end in CR LF")]
+    #[error("line ends in LF alone, expected CR LF")]
     MissingCrLf,
-    #[error("a line is not text")]
-    NotUtf8,
-    #[error("a line has too few words")]
+    #[error("line is not UTF-8: {0}")]
+    NotUtf8(std::str::Utf8Error),
+    #[error("line has one word, expected at least an id and a status")]
     TooFewFields,
-    #[error("an answer has not four words")]
-    WrongFieldCount,
-    #[error("an answer has no id")]
+    #[error("message has {0} words, expected 4 (2 to 4 for a health check result)")]
+    WrongFieldCount(usize),
+    #[error("line begins with a space, expected an id")]
     MissingId,
-    #[error("an answer's word is not known")]
-    UnknownStatus,
-    #[error("an answer's length is not one that can be")]
-    InvalidLength,
-    #[error("a body does not end where its length says")]
-    WrongBodyLength,
-    #[error("a field has no value")]
-    MissingFieldValue,
-    #[error("'lag' is not a number")]
-    InvalidSourceWait,
-    #[error("a gauge has no value")]
-    MissingGaugeValue,
-    #[error("a gauge is not a number")]
-    InvalidGauge,
+    #[error("unknown status {0:?}, expected ACK, NOMOD, NOENT, AGAIN, EIO, STALE, READY or AILING")]
+    UnknownStatus(String),
+    #[error("body length is {0:?}, expected a whole number from 0 to {max}", max = decode::MAX_BODY_BYTES)]
+    InvalidLength(String),
+    #[error("body of {0} bytes is not followed by CR LF")]
+    WrongBodyLength(usize),
+    #[error("field {0:?} has no value, expected NAME=VALUE")]
+    MissingFieldValue(String),
+    #[error("field 'lag' is {0:?}, expected a number of milliseconds")]
+    InvalidSourceWait(String),
+    #[error("gauge {0:?} has no value, expected NAME:VALUE")]
+    MissingGaugeValue(String),
+    #[error("gauge {0:?} has an invalid value, expected a number after the colon")]
+    InvalidGauge(String),
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,15 +1,16 @@
-//! How endpoints are reached: the director's own connections, or a transport of the host application.
+//! Transports to endpoints: the director's own connections, or a transport that the host application
+//! provides.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`connector`] | the entry: starts an actor for each endpoint |
-//! | `endpoint` | the actor that places attempts on the endpoint's connections |
+//! | [`connector`] | entry point: starts an actor for each endpoint |
+//! | `endpoint` | the actor that assigns attempts to the endpoint's connections |
 //! | `connection_pool` | the connections to one endpoint |
 //! | `connection` | one multiplexed connection |
-//! | `descriptor_permits` | the limit on connections to all endpoints together |
+//! | `descriptor_permits` | the limit on the total number of connections to all endpoints |
 //! | [`line_codec`] | the line protocol |
-//! | [`host`] | a transport of the host application |
-//! | `socket` | what the system tells of a socket |
+//! | [`host`] | a transport that the host application provides |
+//! | `socket` | queries of the state of a socket |
 
 mod connection;
 mod connection_pool;
@@ -23,6 +24,6 @@
 pub use connector::UpstreamConnector;
 pub use socket::{has_closed, has_ended, is_short_of_descriptors, peek_available};
 
-/// Commands that wait for an endpoint's actor or for a connection. An attempt that finds no room ends as not
-/// sent.
+/// Capacity, in commands, of the channel to an endpoint's actor and of the channel to a connection. An
+/// attempt that finds the channel full ends with `NotWritten`.
 const COMMAND_QUEUE: usize = 512;
--- a/src/upstream/socket.rs
+++ b/src/upstream/socket.rs
@@ -1,20 +1,21 @@
-//! What the system tells of a socket, whether or not the runtime has been notified of it.
+//! Queries of a socket's state in the operating system, without waiting for a notification of the runtime.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::ErrorKind::WouldBlock;
 use std::mem::MaybeUninit;
 use tokio::net::TcpStream;
 
-/// The errors of a process (`EMFILE`) and of a system (`ENFILE`) that may open no further descriptor; the
-/// same on all Unix systems.
+/// The error codes `EMFILE` and `ENFILE`: the process or the whole system has reached its limit of open
+/// descriptors. They are the same on all Unix systems.
 const OUT_OF_DESCRIPTORS: [i32; 2] = [24, 23];
 
-/// Number of bytes that can be read without waiting, 1 at most; 0 is the end of the stream.
+/// Returns 1 if bytes can be read without waiting, 0 at the end of the stream, and an error otherwise
+/// (`WouldBlock` if nothing has arrived).
 pub fn peek_available(stream: &TcpStream) -> std::io::Result<usize> {
     socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
 }
 
-/// Whether the other side has closed or reset a connection of which everything has been read.
+/// Returns whether the other side has closed or reset the connection and every received byte has been read.
 pub fn has_ended(stream: &TcpStream) -> bool {
     match peek_available(stream) {
         Ok(bytes) => bytes == 0,
@@ -22,7 +23,8 @@
     }
 }
 
-/// Whether the other side has closed or reset a connection, even if bytes before its end are not read yet.
+/// Returns whether the other side has closed or reset the connection, even if received bytes are still
+/// unread.
 pub fn has_closed(stream: &TcpStream) -> bool {
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     let without_waiting = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -30,8 +32,8 @@
     poll(&mut polled, Some(&without_waiting)).is_ok() && polled[0].revents().intersects(end)
 }
 
-/// Whether a connection could not be opened for want of a descriptor here, which says nothing of the other
-/// side.
+/// Returns whether an error was caused by a lack of descriptors in this process or on this system, rather
+/// than by the other side.
 pub fn is_short_of_descriptors(error: &std::io::Error) -> bool {
     error.raw_os_error().is_some_and(|code| OUT_OF_DESCRIPTORS.contains(&code))
 }
