--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,60 +6,63 @@
 use crate::policy::requests::PendingRequest;
 use crate::policy::types::{AttemptEnd, CacheStatus, Micros, Outcome, Settings};
 
-/// How observations move the admitted shares; both directions balance at one congested fill in four.
+/// Steps of the admitted shares. Increases and decreases balance when one fill in four is congested.
 const ADMISSION_STEPS: AimdSteps = AimdSteps { decrease_factor: 0.7, increase: 0.12, min_share: 0.05 };
-/// The zone's link is congested if a fill's bytes take over this multiple of their transfer time.
+/// The zone's link is congested if the bytes of a fill take longer than this multiple of the expected time
+/// for a hit of the same size.
 const CONGESTED_FILL_RATIO: f64 = 1.75;
-/// Time that a hit takes beside its transfer time, in microseconds.
+/// Time that a hit takes in addition to its transfer time, in microseconds.
 pub(super) const HIT_OVERHEAD: f64 = 10_000.0;
-/// Name of the value in load reports that holds the transfers on the zone's link, relative to what it carries
-/// at full rate.
+/// Name of the load report value for the utilization of the zone's link: its transfers, relative to the
+/// number that it carries at full rate.
 const LINK_UTILIZATION_NAME: &str = "x1";
-/// Desired utilization of the zone's link, where caches report it.
+/// Target utilization of the zone's link, where caches report it.
 const TARGET_LINK_UTILIZATION: f64 = 1.2;
-/// Exponent of the correction towards that utilization.
+/// Exponent of the correction towards [`TARGET_LINK_UTILIZATION`]; below 1 corrects only in part.
 const LINK_CORRECTION_EXPONENT: f64 = 0.7;
-/// A request is rejected when its predicted response time is over this share of the time to its objective.
+/// A request is rejected when its predicted response time exceeds this share of the time left to its latency
+/// objective.
 const MAX_PREDICTED_SHARE: f64 = 0.85;
 
-/// What the end of a fill tells of the resources that all fills share: whether each was congested; `None` if
-/// it tells nothing.
+/// Whether the resources that all fills share were congested, as observed at the end of one fill. `None`
+/// where the fill gives no evidence.
 struct FillObservation {
     zone_link: Option<bool>,
     origin: Option<bool>,
 }
 
-/// A fill that ended, as far as admission needs it.
+/// The data of an ended fill that admission control uses.
 pub(super) struct EndedFill<'a> {
     pub(super) end: &'a AttemptEnd,
     /// The request's transfer time, in microseconds.
     pub(super) transfer_time: f64,
-    /// It named a source and took most of the time to the latency objective.
+    /// Whether the attempt named a source and took most of the time to the latency objective.
     pub(super) is_slow: bool,
     pub(super) from_origin: bool,
 }
 
-/// Shares of requests that are admitted to resources which all fills share.
+/// The admitted shares of requests for the resources that all fills share.
 #[derive(Default)]
 pub(super) struct AdmissionControl {
-    /// The zone's link, as a share of the requests of the class of the largest objects.
+    /// Share admitted to the zone's link, for the class with the largest objects.
     zone_link: AdmittedShare,
     origin: AdmittedShare,
 }
 
 impl AdmissionControl {
-    /// Whether a fill may use the zone's link. Classes of small objects are admitted longest: `relative_size`
-    /// is the class's mean transfer time relative to that of the largest. Within a class all sizes are alike.
+    /// Decides at random whether a fill may use the zone's link. `relative_size` is the mean transfer time of
+    /// the request's class relative to the class with the largest objects: classes of small objects are shed
+    /// last. The size of the single request has no influence.
     pub(super) fn admits_to_zone_link(&self, relative_size: f64, random: &mut RandomSequence) -> bool {
         random.next_unit() <= self.zone_link.value().powf(relative_size)
     }
 
-    /// Whether a fill may be fetched from the origin.
+    /// Decides at random whether a fill may be fetched from the origin.
     pub(super) fn admits_to_origin(&self, random: &mut RandomSequence) -> bool {
         self.origin.is_full() || random.next_unit() <= self.origin.value()
     }
 
-    /// Takes what the end of a fill tells.
+    /// Adjusts the admitted shares to the end of a fill.
     pub(super) fn observe_fill(&mut self, fill: &EndedFill) {
         let Some(observation) = self.interpret(fill) else { return };
         if let Some(congested) = observation.zone_link {
@@ -70,8 +73,10 @@
         }
     }
 
-    /// The link is congested if a fill's bytes were slow, did not arrive or found no slot. The origin, from
-    /// which all parents fetch, is congested if the wait for it was too long or it rejected the fetch.
+    /// Derives from the end of a fill whether the zone's link and the origin are congested. The link is
+    /// congested if the bytes were slow or did not arrive, or if the cache had no slot for the fill. The
+    /// origin, from which all parents fetch, is congested if the wait for it was too long or if it rejected
+    /// the fetch.
     fn interpret(&self, fill: &EndedFill) -> Option<FillObservation> {
         let end = fill.end;
         let bytes_elapsed = end.elapsed.saturating_sub(end.source_wait) as f64;
@@ -84,7 +89,8 @@
             (Outcome::Rejected, CacheStatus::FillLimitReached) => (Some(true), None),
             (Outcome::Rejected, CacheStatus::OriginFailed) => (None, Some(true)),
             (Outcome::Rejected, CacheStatus::SourceRejected) if fill.from_origin => (None, Some(true)),
-            // It is unknown which of the two delayed it: it counts against an origin known to be congested.
+            // Either of the two may have caused the delay. It counts against the link, and against the origin
+            // only if the origin is already known to be congested.
             (Outcome::Cancelled | Outcome::TimedOut, _) if fill.is_slow => {
                 (Some(true), (!self.origin.is_full()).then_some(true))
             }
@@ -93,8 +99,8 @@
         Some(FillObservation { zone_link, origin })
     }
 
-    /// Takes a cache's report of the zone's link, which all fills share: it tells at once what the ends of
-    /// fills tell late.
+    /// Adjusts the link's admitted share to the utilization of the zone's link in a cache's load report. All
+    /// fills share the link, and the report shows its congestion earlier than the ends of fills do.
     pub(super) fn observe_load_report(&mut self, settings: &Settings, report: &[f64]) {
         let index = settings.load_report.iter().position(|name| name == LINK_UTILIZATION_NAME);
         if let Some(utilization) = index.and_then(|index| report.get(index)) {
@@ -105,8 +111,9 @@
     }
 }
 
-/// Whether a cache that is `congestion` times as slow as when idle would respond too late to be of much use.
-/// While it is not congested a rejection relieves nobody: only what can't be sent in time is shed.
+/// Returns whether a cache that is `congestion` times as slow as when idle would respond too late to be of
+/// much use. At a cache that is not congested a rejection would not help other requests, so only a request
+/// whose transfer can't complete in time is shed there.
 pub(super) fn would_miss_objective(
     pending: &PendingRequest,
     class: &ServiceTime,
--- a/src/policy/attempt_outcome.rs
+++ b/src/policy/attempt_outcome.rs
@@ -1,9 +1,9 @@
-//! What the end of an attempt tells: of its server and source, of the resources they share, and of what is to
-//! become of its request.
+//! Handling of the end of an attempt: what it shows about the server, the source and the resources that they
+//! share, and the next step for its request.
 
 use crate::policy::admission::{EndedFill, HIT_OVERHEAD};
 use crate::policy::fill_source::FillResult;
-use crate::policy::outlier_detection::{CONNECTION_FAILURE, FAILURE, REQUEST_ERROR};
+use crate::policy::outlier_detection::{CONNECTION_FAILURE_WEIGHT, FAILURE_WEIGHT, REQUEST_ERROR_WEIGHT};
 use crate::policy::requests::{Attempt, PendingRequest};
 use crate::policy::router::Router;
 use crate::policy::types::{
@@ -11,18 +11,21 @@
     Settings,
 };
 
-/// An error within this time came before any fill could have failed.
+/// An error within this time was returned before a fill could have failed.
 const MAX_REQUEST_ERROR_TIME: Micros = 20_000;
-/// So many such errors for one request, from different servers, show that the request is at fault.
+/// Number of errors within [`MAX_REQUEST_ERROR_TIME`], from different servers, that show that the request is
+/// at fault.
 const MAX_REQUEST_ERRORS: usize = 2;
-/// A fill that took over this share of the time to the latency objective shows a source near its capacity.
+/// A fill that takes longer than this share of the time to the latency objective is late: its source is near
+/// its capacity.
 const LATE_FILL_SHARE: f64 = 0.8;
-/// A cache loaded less than this does not reject requests for itself: its source did.
+/// A cache with a load below this does not reject requests for lack of its own capacity, so a rejection came
+/// from its source.
 const MIN_REJECTING_LOAD: f64 = 1.2;
-/// Weight of the latest hit in a cache's congestion.
+/// Weight of the latest hit in the congestion estimate of a cache.
 const HIT_OBSERVATION_WEIGHT: f64 = 0.1;
 
-/// What an ended attempt was, and what its end shows by itself.
+/// An ended attempt, and what its end shows without the state of other requests.
 struct EndedAttempt {
     server: ServerId,
     source: Option<ServerId>,
@@ -31,29 +34,29 @@
     object: ObjectId,
     /// The request's transfer time, in microseconds.
     transfer_time: f64,
-    /// The server responded to something else since the attempt was sent.
+    /// Whether the server responded to something else since the attempt was sent.
     server_responds: bool,
     request_at_fault: bool,
     is_slow: bool,
     next_step: NextStep,
 }
 
-/// What is to become of the request of an ended attempt.
+/// The next step for the request of an ended attempt.
 enum NextStep {
-    /// It is finished.
-    Clean,
-    /// Other attempts are in flight.
+    /// The request is finished: cancel its remaining attempts, and remove it once all have ended.
+    CleanUp,
+    /// Wait for other attempts in flight.
     Wait,
-    /// It may be retried.
+    /// Send another attempt if possible.
     Retry,
-    /// No server can serve it.
+    /// Reject or fail the request, because no server can serve it.
     Reject,
 }
 
 impl NextStep {
     fn of(pending: &PendingRequest) -> NextStep {
         if pending.finished {
-            return NextStep::Clean;
+            return NextStep::CleanUp;
         }
         if pending.has_attempt_in_flight() {
             return NextStep::Wait;
@@ -68,17 +71,18 @@
 }
 
 impl EndedAttempt {
-    /// The attempt went straight to the source.
+    /// Returns whether the attempt was sent directly to the source.
     fn is_direct(&self) -> bool {
         self.source == Some(self.server)
     }
 
-    /// The server did the work, but its response did not arrive.
+    /// Returns whether the server responds to other requests but the response to this attempt was lost. The
+    /// server then did the work.
     fn response_was_lost(&self, outcome: Outcome) -> bool {
         self.server_responds && matches!(outcome, Outcome::Reset | Outcome::TimedOut)
     }
 
-    /// Whether the source served a fill.
+    /// Returns whether the source served the fill.
     fn was_filled(&self, end: &AttemptEnd, settings: &Settings) -> bool {
         match end.cache_status {
             CacheStatus::Filled | CacheStatus::FilledFromOrigin => true,
@@ -87,7 +91,7 @@
         }
     }
 
-    /// The fill's result if it was served.
+    /// Returns the result of a fill that was served.
     fn served_fill_result(&self) -> FillResult {
         if self.is_slow {
             FillResult::Late
@@ -97,9 +101,9 @@
     }
 }
 
-/// Whether an error is more likely the request's fault than a server's. Guards against requests that no
-/// server can serve: were their errors put down to the sources, a few bad clients would close the windows of
-/// all.
+/// Returns whether an error was caused more likely by the request than by a server. If the errors of requests
+/// that no server can serve were attributed to the sources, a few bad clients would close the concurrency
+/// windows for all requests.
 fn is_request_error(end: &AttemptEnd, settings: &Settings) -> bool {
     end.outcome == Outcome::Failed
         && settings.cache_status_level == CacheStatusLevel::All
@@ -107,7 +111,7 @@
         && end.elapsed < MAX_REQUEST_ERROR_TIME
 }
 
-/// Notes in the attempt how it ended, for the choice of the next one.
+/// Records in the attempt how it ended, for the selection of the next attempt's server and source.
 fn close_attempt(attempt: &mut Attempt, end: &AttemptEnd, request_at_fault: bool, server_responds: bool) {
     attempt.in_flight = false;
     attempt.may_have_run = !end.outcome.never_ran();
@@ -115,8 +119,8 @@
     attempt.missed = end.outcome == Outcome::Miss;
     attempt.source_failed =
         !request_at_fault && matches!(end.outcome, Outcome::Rejected | Outcome::Failed | Outcome::TimedOut);
-    // A connection that broke on a server that goes on responding, or a fill that its source failed, is no
-    // reason to leave the cache: another would fill the same bytes again over the zone's link.
+    // The same cache may be used again if its connection broke but it still responds, or if the source failed
+    // the fill. Another cache would have to fill the same bytes again over the zone's link.
     attempt.server_failed = match end.outcome {
         Outcome::Reset => !server_responds,
         Outcome::Failed => {
@@ -127,7 +131,8 @@
 }
 
 impl Router {
-    /// Takes the end of an attempt.
+    /// Handles the end of an attempt: updates what is known about its server and source, and continues the
+    /// request.
     pub(super) fn attempt_ended(&mut self, now: Micros, end: AttemptEnd, actions: &mut Vec<Action>) {
         let Some(ended) = self.close(&end) else { return };
         let broke_together = self.release_capacity(now, &ended, end.outcome);
@@ -143,10 +148,10 @@
             }
             Outcome::ConnectError | Outcome::Reset if ended.server_responds || broke_together => {}
             Outcome::Failed if ended.request_at_fault => {
-                self.record_failure(now, ended.server, REQUEST_ERROR, actions)
+                self.record_failure(now, ended.server, REQUEST_ERROR_WEIGHT, actions)
             }
             Outcome::ConnectError | Outcome::Reset => {
-                self.record_failure(now, ended.server, CONNECTION_FAILURE, actions)
+                self.record_failure(now, ended.server, CONNECTION_FAILURE_WEIGHT, actions)
             }
             Outcome::Failed | Outcome::TimedOut | Outcome::Rejected => {
                 self.attempt_failed(now, &end, &ended, actions)
@@ -156,7 +161,7 @@
         self.continue_request(now, end.request, ended.next_step, actions);
     }
 
-    /// Closes the attempt; `None` if it is unknown or ended before.
+    /// Records the end in the attempt. Returns `None` if the attempt is unknown or has ended before.
     fn close(&mut self, end: &AttemptEnd) -> Option<EndedAttempt> {
         let pending = self.requests.get_mut(end.request)?;
         let attempt = pending.attempts.get_mut(end.attempt as usize).filter(|attempt| attempt.in_flight)?;
@@ -181,8 +186,8 @@
         })
     }
 
-    /// Counts the attempt out at its server and source, and returns whether its connection broke together
-    /// with others.
+    /// Removes the attempt from the counts of its server and source. Returns whether its connection broke
+    /// together with an earlier one.
     fn release_capacity(&mut self, now: Micros, ended: &EndedAttempt, outcome: Outcome) -> bool {
         if let Some(source) = ended.source.and_then(|id| self.endpoints.get_mut(id)) {
             source.fills_in_flight = source.fills_in_flight.saturating_sub(1);
@@ -229,7 +234,9 @@
         }
     }
 
-    /// A rejection is a sign of life: were a parent ejected for it, others would fetch its objects again.
+    /// Backs off from the server or source that rejected the attempt. A rejection shows that the process runs
+    /// and does not count towards ejection: if a parent were ejected, other parents would fetch its objects
+    /// again.
     fn attempt_rejected(&mut self, now: Micros, end: &AttemptEnd, ended: &EndedAttempt) {
         let source = ended.source.filter(|_| !ended.is_direct() && self.source_rejected(end, ended));
         if let Some(endpoint) = self.endpoints.get_mut(source.unwrap_or(ended.server)) {
@@ -240,7 +247,8 @@
         }
     }
 
-    /// Whether a request was rejected by the source of its fill, as far as it is known or likely.
+    /// Returns whether the source of the fill rejected the request, as reported by the cache status. Where
+    /// cache statuses don't report it, a low load of the cache makes it likely.
     fn source_rejected(&self, end: &AttemptEnd, ended: &EndedAttempt) -> bool {
         let is_known = matches!(end.cache_status, CacheStatus::SourceRejected | CacheStatus::OriginFailed);
         let is_likely = self.settings.cache_status_level != CacheStatusLevel::All
@@ -261,10 +269,11 @@
         if Some(failed) == ended.source {
             self.record_fill(failed, FillResult::Failed);
         }
-        self.record_failure(now, failed, FAILURE, actions);
+        self.record_failure(now, failed, FAILURE_WEIGHT, actions);
     }
 
-    /// The server to which the failure of an attempt is attributed, if any.
+    /// Returns the server to which the failure of an attempt is attributed, or `None` if no server is at
+    /// fault.
     fn failed_server(&self, end: &AttemptEnd, ended: &EndedAttempt) -> Option<ServerId> {
         match end.cache_status {
             CacheStatus::SourceRejected | CacheStatus::SourceUnreachable => ended.source,
@@ -279,7 +288,7 @@
 
     fn continue_request(&mut self, now: Micros, id: RequestId, step: NextStep, actions: &mut Vec<Action>) {
         match step {
-            NextStep::Clean => self.clean_up(id, None, actions),
+            NextStep::CleanUp => self.clean_up(id, None, actions),
             NextStep::Wait => {}
             NextStep::Retry => {
                 if !self.send_retry(now, id, actions) {
@@ -290,24 +299,26 @@
         }
     }
 
-    /// A response is late. A server or source that has been silent since the attempt is recorded; once it is
-    /// ejected, others are asked. Where both go on responding, and responses are lost in general, the same
-    /// cache receives another attempt if that can collapse into a fill, as the work was done. Otherwise a
-    /// further fill of the same bytes would only add load.
+    /// Handles a late response. If the server or the source has not responded to anything since the attempt
+    /// was sent, this is recorded; once it is ejected, the request is hedged at others. If both still respond
+    /// and responses are often lost, the same cache receives another attempt, provided that it can collapse
+    /// into the running fill: the work is already done. In all other cases a further fill of the same bytes
+    /// would only add load.
     pub(super) fn response_late(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id).filter(|pending| pending.awaits_response()) else {
             return;
         };
         let is_only_attempt = pending.attempts.len() == 1;
         let Some(last) = pending.attempts.last_mut().filter(|attempt| attempt.in_flight) else { return };
-        let is_silent = |id: &ServerId| {
+        let is_unresponsive = |id: &ServerId| {
             self.endpoints.get(*id).is_some_and(|endpoint| !endpoint.health.responded_since(last.sent_at))
         };
-        let silent = Some(last.server).filter(is_silent).or_else(|| last.source.filter(is_silent));
-        if let Some(silent) = silent {
-            last.source_failed = last.source == Some(silent);
+        let unresponsive =
+            Some(last.server).filter(is_unresponsive).or_else(|| last.source.filter(is_unresponsive));
+        if let Some(unresponsive) = unresponsive {
+            last.source_failed = last.source == Some(unresponsive);
             last.response_lost = false;
-            self.record_silence(now, silent, actions);
+            self.record_unresponsive(now, unresponsive, actions);
             return;
         }
         last.source_failed = false;
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Sending attempts: the route of a request, the fill it asks for, and the capacity it reserves.
+//! Sending attempts: the route, the fill that it asks for, and the capacity that it reserves.
 
 use crate::policy::requests::{Attempt, PendingRequest, Route};
 use crate::policy::retry::is_safe_attempt;
@@ -7,17 +7,20 @@
 use crate::policy::timers::Timer;
 use crate::policy::types::{Action, Fill, Micros, RequestId, ServerId};
 
-/// A response is late when this share of the time to its latency objective has passed.
+/// A response is late when this share of the time from the send to the latency objective has passed.
 const LATE_SHARE: f64 = 0.75;
-/// Caches asked for a cached copy of what may not be filled: parts and hot objects lie at several.
+/// Number of caches asked for a cached copy when no fill is allowed. More than one is asked because the parts
+/// of an object, and hot objects, are cached at several.
 const MAX_MISSES_WITHOUT_FILL: usize = 2;
-/// Ranks of copies in a cache: none is cached, or one of an object requested once or more often.
+/// Cache rank: the response is not cached.
 const RANK_UNCACHED: u8 = 0;
+/// Cache rank of an object that was requested once; evicted first.
 const RANK_REQUESTED_ONCE: u8 = 1;
+/// Cache rank of an object that was requested more than once.
 const RANK_REQUESTED_REPEATEDLY: u8 = 2;
 
 impl Router {
-    /// Sends an attempt for a request, and returns whether there was a route for it.
+    /// Sends an attempt for a request. Returns whether a route was found.
     pub(super) fn send_attempt(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(mut pending) = self.requests.remove(id) else { return false };
         let route = self.select_route(now, &pending);
@@ -33,7 +36,9 @@
         route.is_some()
     }
 
-    /// The route of the next attempt: by a cache of the zone, or straight to the source if none can be used.
+    /// Selects the route of the next attempt: through a cache of the zone, or directly to the source if no
+    /// cache can be used. Writes go directly to the origin where the platform allows direct requests. Returns
+    /// `None` if there is no route.
     fn select_route(&mut self, now: Micros, pending: &PendingRequest) -> Option<Route> {
         let is_write = self.settings.classes[pending.request.class].write;
         if is_write && self.settings.direct_requests {
@@ -60,7 +65,9 @@
         is_safe_attempt(&self.settings, &self.endpoints, pending, server, now)
     }
 
-    /// The route by a cache, with a source for its fill if admission control allows one.
+    /// Returns the route through a cache, with a source for its fill if admission control allows a fill.
+    /// Returns `None` if the cache would respond too late, or if no fill is allowed and enough caches have
+    /// been asked for a cached copy.
     fn route_by_cache(&mut self, now: Micros, pending: &PendingRequest, cache: ServerId) -> Option<Route> {
         if pending.is_first_attempt() && self.is_too_slow(now, pending, cache) {
             return None;
@@ -68,7 +75,7 @@
         let class = pending.request.class;
         let class_transfer_time = self.service_times.of_class(class).transfer_time;
         let relative_size = class_transfer_time / self.service_times.max_transfer_time();
-        // A write is cached nowhere: without a source it would be sent for nothing.
+        // A write is never cached, so sending it without a source would be useless. Admission does not apply.
         let is_write = self.settings.classes[class].write;
         let link_admits = is_write || self.admission.admits_to_zone_link(relative_size, &mut self.random);
         let may_fill = is_write || link_admits && self.admission.admits_to_origin(&mut self.random);
@@ -80,7 +87,8 @@
         may_hit.then_some(Route { server: cache, source, only_if_cached })
     }
 
-    /// The fill that an attempt asks for: its source, what is cached, and the oldest acceptable copy.
+    /// Returns the fill that an attempt asks for: source, cache rank and greatest acceptable age of a copy.
+    /// Returns `None` for a write without a source.
     fn fill_for(&self, now: Micros, pending: &PendingRequest, route: &Route) -> Option<Fill> {
         let request = &pending.request;
         let class = &self.settings.classes[request.class];
@@ -107,8 +115,9 @@
         })
     }
 
-    /// The greatest age of an acceptable copy by the class; 0 for any. Without a source, or after one failed,
-    /// a stale copy within its grace is better than no response (stale-if-error, RFC 5861).
+    /// Returns the greatest acceptable age of a copy according to the class; 0 for any age. Without a source,
+    /// or after a source failed, a stale copy within the class's grace time is better than no response
+    /// (stale-if-error, RFC 5861).
     fn max_copy_age(&self, pending: &PendingRequest, route: &Route) -> Micros {
         let class = &self.settings.classes[pending.request.class];
         let stale_if_error = class.freshness_lifetime > 0
@@ -120,8 +129,8 @@
         }
     }
 
-    /// Counts an attempt at its server and its source, and returns the slow-start tokens spent on a source
-    /// behind a cache.
+    /// Counts an attempt at its server and its source. Returns the slow-start tokens reserved at a source
+    /// behind a cache; 0 without such a source.
     fn reserve_capacity(&mut self, now: Micros, pending: &PendingRequest, route: &Route) -> f64 {
         let slow_start = SlowStart { settings: &self.settings, service_times: &self.service_times };
         let class_transfer_time = self.service_times.of_class(pending.request.class).transfer_time;
--- a/src/policy/cache_selection.rs
+++ b/src/policy/cache_selection.rs
@@ -1,4 +1,4 @@
-//! Choice of the cache that serves a request.
+//! Selection of the cache that serves a request.
 
 use crate::policy::admission::would_miss_objective;
 use crate::policy::estimators::hash::{mix, unit_interval};
@@ -9,17 +9,21 @@
 use crate::policy::slow_start::SlowStart;
 use crate::policy::types::{Micros, ServerId};
 
-/// Most caches over which an object's parts are spread.
+/// Largest number of caches over which an object's parts are spread.
 const MAX_CACHES_PER_OBJECT: usize = 3;
-/// A cache whose demand is over this multiple of its share of the capacity passes requests on.
+/// Some requests are passed on to other caches when the demand for a cache exceeds this multiple of its share
+/// of the capacity.
 const MAX_RELATIVE_DEMAND: f64 = 1.25;
-/// A cache whose hits take this multiple of the quickest cache's is slow, whatever this router has there.
+/// A cache is slow when its slowdown on hits is at least this multiple of the quickest cache's, regardless of
+/// how much this router has in flight there.
 const OUTLIER_SLOWDOWN: f64 = 2.0;
 
 impl Router {
-    /// Chooses the cache: the part's first among the object's three. For a hot object it is the less loaded
-    /// of two drawn from as many of the three as the object's share of requests asks for, so that a fleet
-    /// spreads it right though no router can be sure of the share.
+    /// Selects the cache of the next attempt: the first of the object's three caches in the order of the
+    /// part. For a hot object, two caches are drawn at random and the less loaded one is chosen. They are
+    /// drawn from as many of the three as the object's share of requests needs, rounded at random: the
+    /// routers of a fleet together then spread the object correctly although no single router knows the share
+    /// exactly. Returns `None` if no cache can be used.
     pub(super) fn select_cache(&mut self, now: Micros, pending: &PendingRequest) -> Option<ServerId> {
         let mut caches = self.usable_caches(now, pending);
         let first = *caches.first()?;
@@ -39,13 +43,15 @@
                 self.prefer_cache_within_demand(now, &mut caches);
             }
         }
-        // Guards against shedding while one cache has more than its share and others have capacity.
+        // The first attempt prefers a cache that can respond in time. Otherwise requests would be shed while
+        // one cache has more than its share and others have capacity.
         let in_time = |id: &ServerId| !pending.is_first_attempt() || !self.is_too_slow(now, pending, *id);
         caches.iter().copied().find(in_time).or(caches.first().copied())
     }
 
-    /// The object's caches in the order of the part, then the next in hash order, without those that can't be
-    /// used: ejected, overloaded, tried before, or warming up without tokens.
+    /// Returns the object's caches in the order of the part, followed by the next caches in hash order.
+    /// Leaves out caches that can't be used: ejected, overloaded, excluded by an earlier attempt, or in slow
+    /// start without tokens.
     fn usable_caches(&mut self, now: Micros, pending: &PendingRequest) -> Vec<ServerId> {
         let object = pending.request.object;
         let class_transfer_time = self.service_times.of_class(pending.request.class).transfer_time;
@@ -70,8 +76,9 @@
         caches
     }
 
-    /// Moves the less loaded of two caches, drawn from these, to the front. Where this router has nothing in
-    /// flight, as one of many, it is the one that got less of it lately.
+    /// Draws two of these caches and moves the less loaded one to the front. One of many routers often has
+    /// nothing in flight at either; with equal loads, the cache with the lower recent demand from this router
+    /// is chosen.
     fn prefer_less_loaded(&self, now: Micros, caches: &mut [ServerId], draw: u64) {
         let width = caches.len();
         let one = (draw >> 8) as usize % width;
@@ -82,15 +89,15 @@
         caches[..=if is_less { two } else { one }].rotate_right(1);
     }
 
-    /// Whether the object is one of the share that its first cache, which has too much demand, passes on: the
-    /// same objects at every router.
+    /// Returns whether requests for the object are passed on because the demand for its first cache is too
+    /// high. A hash selects the objects, so that all routers pass on the same ones.
     fn passes_on(&self, now: Micros, first: ServerId, pending: &PendingRequest) -> bool {
         let own_requests = pending.popularity.object_requests;
         let excess = excess_share(self.relative_demand(first, now, own_requests), MAX_RELATIVE_DEMAND);
         unit_interval(mix(pending.request.object.0, !u64::from(first.0))) < excess
     }
 
-    /// Moves the next cache that has not too much demand to the front, if there is one.
+    /// Moves the next cache whose demand is within the limit to the front, if there is one.
     fn prefer_cache_within_demand(&self, now: Micros, caches: &mut [ServerId]) {
         let is_within = |n: &usize| self.relative_demand(caches[*n], now, 0.0) <= MAX_RELATIVE_DEMAND;
         if let Some(next) = (1..caches.len()).find(is_within) {
@@ -98,21 +105,23 @@
         }
     }
 
-    /// Estimated demand for a cache relative to its share of the capacity, without `excluded` requests.
+    /// Returns the estimated demand for a cache relative to its share of the capacity; 0 for an unknown
+    /// cache. `excluded` is a number of requests to leave out.
     fn relative_demand(&self, id: ServerId, now: Micros, excluded: f64) -> f64 {
         let Some(endpoint) = self.endpoints.get(id) else { return 0.0 };
         let capacity_share = endpoint.size(&self.settings) / self.endpoints.caches.total_weight();
         endpoint.demand.relative(self.objects.total_requests(now), capacity_share, excluded, now)
     }
 
-    /// Whether a response of this cache would come too late to be of much use.
+    /// Returns whether a response from this cache would come too late to be of much use.
     pub(super) fn is_too_slow(&self, now: Micros, pending: &PendingRequest, cache: ServerId) -> bool {
         let class = self.service_times.of_class(pending.request.class);
         would_miss_objective(pending, class, self.congestion_of(cache), now)
     }
 
-    /// How many times as long as when idle a cache takes to send, by this router's transfers there and by its
-    /// recent hits. Guards against a cache that answers all requests and sends slowly.
+    /// Returns how many times longer than when idle a transfer from a cache takes. The estimate is this
+    /// router's load there, raised by the slowdown of recent hits if the cache is an outlier. The latter
+    /// detects a cache that answers all requests but sends slowly.
     fn congestion_of(&self, cache: ServerId) -> f64 {
         let load = self.endpoints.load(cache, &self.settings);
         let slowdown = self.congestion.relative_to_quickest(cache.0);
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: what is known of each server of the member list.
+//! The endpoint table: the state of each server of the member list.
 
 use crate::policy::fill_source::FillWindow;
 use crate::policy::outlier_detection::Health;
@@ -8,10 +8,10 @@
 use crate::policy::types::{Member, MemberState, Micros, ServerId, Settings};
 use std::collections::BTreeMap;
 
-/// Capacity of a server whose size is unknown, in concurrent transfers at full rate; a low estimate.
+/// Capacity assumed for a server of unknown size, in concurrent transfers at full rate. A low estimate.
 const DEFAULT_SIZE: f64 = 4.0;
 
-/// One server.
+/// A server of the member list, and this router's view of it.
 pub(super) struct Endpoint {
     pub(super) member: Member,
     /// This router's attempts in flight at the server.
@@ -37,7 +37,8 @@
         }
     }
 
-    /// A new process runs on the server: what is known of the old one no longer holds.
+    /// Resets health, failures of fills and slow start, because a new process runs on the server. What was
+    /// known about the old process no longer holds.
     fn restarted(&mut self, slow_start: TokenBucket) {
         self.health.reset();
         self.fill_window.reset_failures();
@@ -56,26 +57,27 @@
         self.member.kind == settings.origin_kind
     }
 
-    /// Capacity in concurrent transfers at full rate.
+    /// Returns the capacity in concurrent transfers at full rate; [`DEFAULT_SIZE`] if it is unknown.
     pub(super) fn size(&self, settings: &Settings) -> f64 {
         let registered = Some(self.member.size).filter(|size| settings.sizes_known && *size > 0.0);
         registered.unwrap_or(DEFAULT_SIZE)
     }
 
-    /// Whether a request may go there now. An ejected server receives one probation request at a time.
+    /// Returns whether a request may be sent to the server now. An ejected server receives one probation
+    /// request at a time.
     pub(super) fn is_available(&self, now: Micros) -> bool {
         self.is_running() && self.health.is_available(now)
     }
 
-    /// This router's transfers in flight over the server's capacity, as if the other routers of its zone sent
-    /// as much.
+    /// Returns the estimated load: transfers in flight divided by the server's capacity. Every other router
+    /// of its zone is assumed to have as many in flight as this one.
     pub(super) fn load(&self, settings: &Settings) -> f64 {
         let routers = settings.routers_by_zone.get(self.member.zone).copied().unwrap_or(1).max(1);
         f64::from(self.attempts_in_flight) * f64::from(routers) / self.size(settings)
     }
 }
 
-/// All known servers, and pools of those that run.
+/// All known servers, and pools of the running ones.
 #[derive(Default)]
 pub(super) struct EndpointTable {
     endpoints: BTreeMap<ServerId, Endpoint>,
@@ -84,7 +86,7 @@
     /// All running parents.
     pub(super) parents: ServerPool,
     pub(super) origin: Option<ServerId>,
-    /// Counts updates of the member list; remembered hash orders belong to one of them.
+    /// Number of updates of the member list so far. A stored hash order is valid for one version only.
     pub(super) list_version: u32,
 }
 
@@ -101,12 +103,12 @@
         self.get(id).is_some_and(|endpoint| endpoint.is_available(now))
     }
 
-    /// Load of a server; 0 if it is unknown.
+    /// Returns the load of a server; 0 if the server is unknown.
     pub(super) fn load(&self, id: ServerId, settings: &Settings) -> f64 {
         self.get(id).map_or(0.0, |endpoint| endpoint.load(settings))
     }
 
-    /// Servers that receive no requests now: those that drain, and those ejected.
+    /// Returns the number of servers that receive no regular requests because they drain or are ejected.
     pub(super) fn excluded(&self) -> usize {
         let is_excluded = |endpoint: &&Endpoint| {
             endpoint.member.state == MemberState::Draining
@@ -115,13 +117,13 @@
         self.endpoints.values().filter(is_excluded).count()
     }
 
-    /// Begins a full update: only members that it holds remain.
+    /// Begins a full update. Members that the update does not contain are removed at its end.
     pub(super) fn mark_all_gone(&mut self) {
         self.endpoints.values_mut().for_each(|endpoint| endpoint.member.state = MemberState::Gone);
     }
 
-    /// Inserts or updates a member, and returns whether a known server was restarted. Slow start of a new
-    /// process begins with the given bucket. A known server keeps its size.
+    /// Inserts or updates a member. Returns whether a known server has restarted. Slow start of a new process
+    /// begins with the given bucket. A known server keeps its registered size.
     pub(super) fn update(&mut self, member: Member, slow_start: TokenBucket, settings: &Settings) -> bool {
         let Some(known) = self.endpoints.get_mut(&member.server) else {
             let is_origin = member.kind == settings.origin_kind;
@@ -137,7 +139,8 @@
         restarted
     }
 
-    /// Completes an update: removes servers that are gone and have nothing in flight, and rebuilds the pools.
+    /// Completes an update: removes servers that are gone and have nothing in flight, then rebuilds the
+    /// pools.
     pub(super) fn rebuild_pools(&mut self, settings: &Settings) {
         self.endpoints.retain(|_, endpoint| {
             endpoint.member.state != MemberState::Gone
@@ -164,7 +167,7 @@
 impl std::ops::Index<ServerId> for EndpointTable {
     type Output = Endpoint;
 
-    /// A server of a pool, which is always in the table.
+    /// Returns a server of one of the pools, which are always in the table. Panics for an unknown id.
     fn index(&self, id: ServerId) -> &Endpoint {
         &self.endpoints[&id]
     }
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -1,29 +1,31 @@
-//! The source of a fill: choice between an object's two parents, residency estimates, concurrency windows.
+//! Selection of the source of a fill: an object's two parents, residency estimates, concurrency windows.
 
 use crate::policy::requests::PendingRequest;
 use crate::policy::router::Router;
 use crate::policy::slow_start::SlowStart;
 use crate::policy::types::{Micros, ServerId, Settings};
 
-/// A parent that filled and cached a copy is estimated to hold it for this long.
+/// A parent that cached a copy is estimated to hold it for this long.
 const RESIDENCY_TTL: Micros = 30_000_000;
-/// The second parent is chosen when the first's fills are over this multiple of its own.
+/// The second parent is chosen when the first has more than this multiple of the second's fills.
 const PARENT_IMBALANCE_RATIO: f64 = 1.5;
-/// Parents that may fill an object.
+/// Number of parents that may fill an object.
 const PARENTS_PER_OBJECT: usize = 2;
-/// Most fills of one router in flight from one source.
+/// Largest concurrency window: fills of one router in flight from one source.
 const MAX_FILL_WINDOW: f64 = 64.0;
-/// Fills of all routers together in flight from the origin, at first.
+/// Initial concurrency window of the origin: fills of all routers together in flight.
 const DEFAULT_ORIGIN_WINDOW: f64 = 48.0;
-/// A window stays above this, so that the source is tried again.
+/// Smallest concurrency window. It is above 0 so that the source is tried again.
 const MIN_FILL_WINDOW: f64 = 0.1;
-/// A window shrinks to this share of the fills in flight when a fill fails or is late ...
+/// A bad fill (late or failed) shrinks the window to this share of the fills in flight, if
+/// [`MAX_BAD_FILL_SHARE`] is exceeded.
 const WINDOW_DECREASE_FACTOR: f64 = 0.7;
-/// ... once more than this share of recent fills did: some are late because of their size.
+/// Largest share of bad fills among recent ones at which a window does not shrink: some fills are late only
+/// because of their size.
 const MAX_BAD_FILL_SHARE: f64 = 0.35;
-/// Weight of the latest fill in that share.
+/// Weight of the latest fill in the running share of bad fills.
 const FILL_OBSERVATION_WEIGHT: f64 = 0.1;
-/// What a fill in time adds to a window, relative to a window below 1.
+/// Amount that a fill in time adds to a window. For a window below 1 it is multiplied by the window.
 const WINDOW_INCREASE: f64 = 0.3;
 
 /// How a fill ended.
@@ -34,13 +36,13 @@
     Failed,
 }
 
-/// The number of this router's fills that a source may have in flight. Guards a source that is overloaded by
-/// others, which the router's own fills in flight do not show, and the origin.
+/// A concurrency window: limits this router's fills in flight from one source. It protects the origin, and
+/// sources that are overloaded by other routers, which this router's own fills in flight do not show.
 pub(super) struct FillWindow {
     limit: f64,
-    /// Fills that failed since the last that did not.
+    /// Number of fills that failed since the last one that did not.
     consecutive_failures: u32,
-    /// Recent share of late and failed fills.
+    /// Running share of late and failed fills.
     bad_share: f64,
 }
 
@@ -51,29 +53,30 @@
 }
 
 impl FillWindow {
-    /// The window of the origin: this router's share.
+    /// Creates the window of the origin: this router's equal share of [`DEFAULT_ORIGIN_WINDOW`].
     pub(super) fn for_origin(settings: &Settings) -> Self {
         let routers = f64::from(settings.routers.max(1));
         FillWindow { limit: DEFAULT_ORIGIN_WINDOW / routers, ..FillWindow::default() }
     }
 
-    /// Another process runs on the source.
+    /// Resets the count of failures, because another process now runs on the source.
     pub(super) fn reset_failures(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Fills that the source is busy with: those in flight, and those that failed lately.
+    /// Returns the fill load of the source: its fills in flight plus its consecutive failures.
     pub(super) fn fill_load(&self, in_flight: u32) -> f64 {
         f64::from(in_flight + self.consecutive_failures)
     }
 
-    /// Whether one more fill may start. The window's fraction is decided by `draw`, in [0, 1): among many
-    /// routers one fill each may be too much.
+    /// Returns whether one more fill may start. The random `draw`, in [0, 1), decides on the fractional part
+    /// of the window: with many routers, even one fill from each may be too much.
     fn admits(&self, in_flight: u32, draw: f64) -> bool {
         f64::from(in_flight) + draw < self.limit
     }
 
-    /// Narrows the window if too many fills are late or fail; a fill in time widens it.
+    /// Records how a fill ended. A fill in time widens the window; a late or failed one narrows it if too
+    /// many of the recent fills were bad.
     pub(super) fn record(&mut self, result: FillResult, in_flight: u32) {
         let is_bad = result != FillResult::InTime;
         let failed = result == FillResult::Failed;
@@ -88,7 +91,7 @@
     }
 }
 
-/// A parent that cached a copy.
+/// A parent that cached a copy, and when.
 #[derive(Clone, Copy, Default)]
 struct Resident {
     parent: ServerId,
@@ -102,7 +105,7 @@
 }
 
 impl ResidencyEstimate {
-    /// Records that a parent cached a copy, in place of its own earlier record or of the oldest.
+    /// Records that a parent cached a copy. Replaces the parent's earlier record, or else the oldest one.
     pub(super) fn record_fill(&mut self, parent: ServerId, now: Micros) {
         let [first, second] = &self.parents;
         let replaces_first =
@@ -110,7 +113,8 @@
         self.parents[usize::from(!replaces_first)] = Resident { parent, filled_at: now };
     }
 
-    /// Whether a parent, which started at `started_at`, is estimated to hold a copy now.
+    /// Returns whether a parent is estimated to hold a copy. A copy cached before `started_at`, the start of
+    /// the parent's present process, does not count.
     fn is_resident(&self, parent: ServerId, started_at: Micros, now: Micros) -> bool {
         self.parents.iter().any(|resident| {
             resident.filled_at > started_at
@@ -121,9 +125,10 @@
 }
 
 impl Router {
-    /// Chooses the source of a fill: one of the object's two parents, or the next in hash order in place of
-    /// one that can't be used; the origin is last. When the windows of both are full the origin is chosen,
-    /// not a third parent, which would have to fetch the same object again.
+    /// Selects the source of a fill: one of the object's two parents, or the origin as the last choice. A
+    /// parent that can't be used is replaced by the next in hash order. A parent whose window is full is not:
+    /// a third parent would have to fetch the same object again, so the origin is chosen if both windows are
+    /// full.
     pub(super) fn select_source(&mut self, now: Micros, pending: &PendingRequest) -> Option<ServerId> {
         let origin = self.endpoints.origin;
         if self.settings.classes[pending.request.class].write {
@@ -142,8 +147,9 @@
         sources.into_iter().find(|id| self.has_fill_capacity(now, *id))
     }
 
-    /// Chooses a parent without capacity for fills to serve what it has cached, which asks nothing of the
-    /// origin.
+    /// Selects the object's first parent to serve only what it has cached. This needs no fill capacity at the
+    /// parent and puts no load on the origin. Returns `None` for a write, after the first attempt, or if the
+    /// parent can't be used.
     pub(super) fn select_cached_source(&mut self, now: Micros, pending: &PendingRequest) -> Option<ServerId> {
         let first = *self.parents_in_hash_order(now, pending).first()?;
         let is_eligible = !self.settings.classes[pending.request.class].write
@@ -158,8 +164,8 @@
         order.candidates(object, &self.endpoints.parents, self.endpoints.list_version)
     }
 
-    /// Whether the second parent fills in place of the first: for an object that is hot, or estimated to be
-    /// cached at the second, when the first has clearly more fills in flight.
+    /// Returns whether the second parent should fill instead of the first: the object is hot or estimated to
+    /// be cached at the second, and the first has clearly more fills.
     fn prefers_second_parent(
         &mut self,
         now: Micros,
@@ -179,7 +185,7 @@
         may_use_second && fill_load(first) > PARENT_IMBALANCE_RATIO * fill_load(second)
     }
 
-    /// Whether a source is available and, if it warms up, may be given the request's transfer.
+    /// Returns whether a source is available and, if it is in slow start, may take the request's transfer.
     fn can_fill(&mut self, now: Micros, id: ServerId, pending: &PendingRequest) -> bool {
         let slow_start = SlowStart { settings: &self.settings, service_times: &self.service_times };
         self.endpoints.get_mut(id).is_some_and(|endpoint| {
@@ -187,7 +193,7 @@
         })
     }
 
-    /// Whether a source has capacity for one more fill of this router.
+    /// Returns whether a source has capacity for one more fill from this router.
     fn has_fill_capacity(&mut self, now: Micros, id: ServerId) -> bool {
         let draw = self.random.next_unit();
         self.endpoints.get(id).is_some_and(|endpoint| {
@@ -195,7 +201,7 @@
         })
     }
 
-    /// Records how a fill from a source ended.
+    /// Records how a fill from a source ended in the window of that source.
     pub(super) fn record_fill(&mut self, source: ServerId, result: FillResult) {
         if let Some(endpoint) = self.endpoints.get_mut(source) {
             endpoint.fill_window.record(result, endpoint.fills_in_flight);
--- a/src/policy/member_list.rs
+++ b/src/policy/member_list.rs
@@ -1,4 +1,4 @@
-//! Updates of the member list, and backoff between failed fetches of it.
+//! Updates of the member list, and the backoff after failed updates.
 
 use crate::policy::random::RandomSequence;
 use crate::policy::router::Router;
@@ -6,11 +6,12 @@
 use crate::policy::timers::Timer;
 use crate::policy::types::{Action, Member, MemberUpdate, Micros, ServerId};
 
-/// Wait before the list is fetched again, doubled at each failure in a row.
+/// Shortest wait before the member list is fetched again. Each consecutive failure doubles it.
 const MIN_BACKOFF: Micros = 200_000;
+/// Longest wait, before jitter.
 const MAX_BACKOFF: Micros = 16 * MIN_BACKOFF;
 
-/// Exponential backoff with jitter.
+/// Exponential backoff with jitter for fetches of the member list.
 pub(super) struct MemberListBackoff {
     wait: Micros,
 }
@@ -22,7 +23,7 @@
 }
 
 impl MemberListBackoff {
-    /// The wait after a failure: at least the present one, with as much again at random.
+    /// Returns the wait after a failure: the present backoff plus a random addition of up to the same length.
     fn next_wait(&mut self, random: &mut RandomSequence) -> Micros {
         let wait = self.wait + random.next_u64() % self.wait;
         self.wait = (self.wait * 2).min(MAX_BACKOFF);
@@ -35,7 +36,7 @@
 }
 
 impl Router {
-    /// Takes news of the member list.
+    /// Applies an update of the member list, or schedules the next fetch if the update failed.
     pub(super) fn update_members(
         &mut self,
         now: Micros,
@@ -63,8 +64,8 @@
         self.congestion.retain(|id| caches.contains(ServerId(id)));
     }
 
-    /// Takes one entry. A server that starts begins with a debt of tokens drawn at random, so that the first
-    /// transfers of many routers don't come together.
+    /// Applies one entry. The token bucket of a server that starts begins with a random debt, so that the
+    /// first transfers of many routers don't arrive at the same time.
     fn update_member(&mut self, now: Micros, member: Member) {
         let id = member.server;
         let tokens = -self.service_times.max_transfer_time() * self.random.next_unit();
@@ -73,7 +74,8 @@
         }
     }
 
-    /// How the member list is fetched again.
+    /// Returns the action that fetches the member list again: [`Action::Subscribe`] if `poll_members` is set,
+    /// otherwise [`Action::FetchMembers`].
     pub(super) fn fetch_members(&self) -> Action {
         if self.settings.poll_members {
             Action::Subscribe
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,37 +1,39 @@
-//! Outlier detection: servers that fail are ejected, ahead of the member list, until a probation request
+//! Outlier detection: ejects failing servers, before the member list removes them, until a probation request
 //! succeeds.
 
 use crate::policy::router::Router;
 use crate::policy::types::{Action, Micros, Outcome, ServerId};
 
-/// Consecutive failures that eject a server.
+/// Weighted sum of consecutive failures from which a server is ejected.
 const MAX_CONSECUTIVE_FAILURES: f64 = 3.0;
-/// A timeout or an error.
-pub(super) const FAILURE: f64 = 1.0;
-/// A refused or broken connection counts as so many failures: it is plainer than silence.
-pub(super) const CONNECTION_FAILURE: f64 = 1.5;
-/// An error before any fill counts as so many failures: more often than not the request is at fault.
-pub(super) const REQUEST_ERROR: f64 = 0.1;
-/// A late response where health checks tell more: only asks for one.
-const SUSPICION: f64 = 0.0;
-/// Connections that break within this time broke by one event, so that they count once.
+/// Weight of a timeout or an error.
+pub(super) const FAILURE_WEIGHT: f64 = 1.0;
+/// Weight of a refused or broken connection, which is stronger evidence than a missing response.
+pub(super) const CONNECTION_FAILURE_WEIGHT: f64 = 1.5;
+/// Weight of an error returned before any fill, which is caused by the request more often than not.
+pub(super) const REQUEST_ERROR_WEIGHT: f64 = 0.1;
+/// Weight of a late response where health checks are enabled. It only triggers a health check, which gives
+/// better evidence.
+const LATE_RESPONSE_WEIGHT: f64 = 0.0;
+/// Connections to a server that break within this time of each other have one cause and count as one failure.
 const RESET_GROUPING_WINDOW: Micros = 50_000;
-/// The first interval between probation requests; each that fails doubles it.
+/// Initial interval between probation requests. Each failed one doubles it.
 const MIN_PROBATION_INTERVAL: Micros = 700_000;
+/// Largest interval between probation requests.
 const MAX_PROBATION_INTERVAL: Micros = 5_600_000;
-/// A server that rejected a request receives none for this long.
+/// A server that rejected a request receives no requests for this long.
 const OVERLOAD_BACKOFF: Micros = 60_000;
 
-/// When an ejected server receives requests.
+/// The schedule of probation requests to an ejected server.
 struct Probation {
     next_request_at: Micros,
     interval: Micros,
 }
 
-/// The health of one server, as this router's attempts and health checks show it.
+/// The health of one server, according to this router's attempts and health checks.
 #[derive(Default)]
 pub(super) struct Health {
-    /// Weighted failures since the last success.
+    /// Weighted sum of failures since the last success.
     consecutive_failures: f64,
     health_check_in_flight: bool,
     last_success_at: Micros,
@@ -42,7 +44,7 @@
 }
 
 impl Health {
-    /// Another process runs on the server.
+    /// Ends an ejection and clears failures, because another process now runs on the server.
     pub(super) fn reset(&mut self) {
         self.consecutive_failures = 0.0;
         self.probation = None;
@@ -52,7 +54,7 @@
         self.probation.is_some()
     }
 
-    /// Whether it is not ejected, or a probation request is due.
+    /// Returns whether the server is not ejected, or a probation request to it is due.
     pub(super) fn is_available(&self, now: Micros) -> bool {
         self.probation.as_ref().is_none_or(|probation| probation.next_request_at <= now)
     }
@@ -61,39 +63,42 @@
         self.overloaded_until > now
     }
 
-    /// The server rejected a request for lack of capacity.
+    /// Records that the server rejected a request for lack of capacity: it is overloaded for
+    /// [`OVERLOAD_BACKOFF`].
     pub(super) fn back_off(&mut self, now: Micros) {
         self.overloaded_until = now + OVERLOAD_BACKOFF;
     }
 
-    /// Whether the server responded to anything that this router sent, at or after this time.
+    /// Returns whether a response to any of this router's requests or health checks arrived at or after
+    /// `time`.
     pub(super) fn responded_since(&self, time: Micros) -> bool {
         self.last_success_at >= time
     }
 
-    /// A request is sent: the next probation request is due an interval later.
+    /// Records that a request is sent. To an ejected server, the next one is due after the probation
+    /// interval.
     pub(super) fn request_sent(&mut self, now: Micros) {
         if let Some(probation) = &mut self.probation {
             probation.next_request_at = now + probation.interval;
         }
     }
 
-    /// Records a broken connection, and returns whether it broke together with an earlier one.
+    /// Records a broken connection. Returns whether it broke together with an earlier one.
     pub(super) fn record_reset(&mut self, now: Micros) -> bool {
         let before = std::mem::replace(&mut self.last_reset_at, now);
         before > 0 && now.saturating_sub(before) < RESET_GROUPING_WINDOW
     }
 
-    /// Records a success, and returns whether it ended an ejection.
+    /// Records a success. Returns whether it ended an ejection.
     fn record_success(&mut self, now: Micros) -> bool {
         self.last_success_at = now;
         self.consecutive_failures = 0.0;
         self.probation.take().is_some()
     }
 
-    /// Ejects the server or doubles its probation interval, and returns whether it was not ejected before.
-    /// `jitter` is in [0, 1). Growing intervals end chance failures in a row, and keep a fleet of routers off
-    /// a server that is lost.
+    /// Ejects the server, or doubles the probation interval if it is already ejected. Returns whether it is
+    /// newly ejected. `jitter` is in [0, 1). Growing intervals outlast a series of chance failures, and keep
+    /// a fleet of routers from sending to a server that stays down.
     fn eject(&mut self, now: Micros, jitter: f64) -> bool {
         let interval = match &self.probation {
             Some(probation) => (2 * probation.interval).min(MAX_PROBATION_INTERVAL),
@@ -106,7 +111,7 @@
 }
 
 impl Router {
-    /// Records a success of a server, which proves that it works.
+    /// Records a success of a server. It proves that the server works, and ends its ejection.
     pub(super) fn record_success(&mut self, now: Micros, id: ServerId, actions: &mut Vec<Action>) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         if endpoint.health.record_success(now) {
@@ -114,8 +119,8 @@
         }
     }
 
-    /// Records a failure of a server by its weight. Below the limit a health check is asked for; at it the
-    /// server is ejected, and requests that wait for it alone are hedged.
+    /// Adds the weight of a failure to the server's consecutive failures. Below the limit, a health check is
+    /// requested; at the limit, the server is ejected and the requests that wait only for it are hedged.
     pub(super) fn record_failure(
         &mut self,
         now: Micros,
@@ -142,15 +147,16 @@
         }
     }
 
-    /// Records a response that is late from a server that has been silent since the attempt. If this router
-    /// sends little, every late response finds a server silent, so that a health check tells more.
-    pub(super) fn record_silence(&mut self, now: Micros, id: ServerId, actions: &mut Vec<Action>) {
-        let weight = if self.settings.health_checks { SUSPICION } else { FAILURE };
+    /// Records a late response from a server that has not responded to anything since the attempt was sent.
+    /// With little traffic from this router that is true of every late response, so a health check gives
+    /// better evidence and is preferred where health checks are enabled.
+    pub(super) fn record_unresponsive(&mut self, now: Micros, id: ServerId, actions: &mut Vec<Action>) {
+        let weight = if self.settings.health_checks { LATE_RESPONSE_WEIGHT } else { FAILURE_WEIGHT };
         self.record_failure(now, id, weight, actions);
     }
 
-    /// Takes the outcome of a health check. A response shows that the process runs: a response that was late
-    /// before it is no sign of silence.
+    /// Handles the outcome of a health check. A response, even a rejection, shows that the process runs. A
+    /// late response to an attempt sent before the check is then no evidence that the server is unresponsive.
     pub(super) fn health_checked(
         &mut self,
         now: Micros,
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of objects on servers: popularity of objects, and the demand that this puts on each cache.
+//! Popularity of objects, and the resulting demand for each cache: the inputs to the placement of objects.
 
 use crate::policy::estimators::decaying_counter::DecayingCounter;
 use crate::policy::estimators::gamma_prior::GammaPrior;
@@ -7,29 +7,31 @@
 use crate::policy::rendezvous::HashOrder;
 use crate::policy::types::{Micros, ObjectId, Request};
 
-/// Time constant of popularity in microseconds: four requests a second count eighty.
+/// Time constant of popularity, in microseconds. A steady rate of 4 requests a second gives a count of 80.
 const POPULARITY_TIME_CONSTANT: f64 = 20_000_000.0;
-/// An object part is hot once its requests are over this share of what a server gets if all get the same; one
-/// server should not serve it alone.
+/// A part of an object is hot when its requests exceed this share of the requests that one server gets if all
+/// servers get the same. A hot part should not be served by one server alone.
 const HOT_SHARE: f64 = 0.4;
 /// Prior mean of an object's share of all requests.
 const OBJECT_SHARE_PRIOR_MEAN: f64 = 0.01;
-/// Prior weight of that share, in events for each hot part.
+/// Weight of that prior, in events. It is multiplied by the share of all requests from which a part is hot.
 const OBJECT_SHARE_PRIOR_WEIGHT: f64 = 2.2;
-/// Prior of the demand for a cache by all but hot objects, relative to its share of the pool's capacity.
+/// Prior for the demand for a cache from objects that are not hot, relative to the cache's share of the
+/// pool's capacity.
 const RELATIVE_DEMAND_PRIOR: GammaPrior = GammaPrior { mean: 1.0, shape: 2.0 };
-/// Most objects remembered in each of two generations.
+/// Largest number of objects kept in each of the two generations of the object table.
 const MAX_OBJECTS: usize = 20_000;
-/// The longest a generation lasts.
+/// Age at which a generation of the object table is replaced by a new one.
 const MAX_GENERATION_AGE: Micros = 30_000_000;
 
-/// What is known of one object.
+/// Request counts, residency estimate and hash orders of one object.
 #[derive(Default)]
 pub(super) struct ObjectStats {
     requests: DecayingCounter,
-    /// Requests for its first part that clients did not mark as retries; for any part of a single one.
+    /// Requests for the first part that clients did not mark as retries. For an object of a single part these
+    /// are all its requests but retries.
     first_part_requests: u32,
-    /// Number of parts, as far as requests have shown.
+    /// Number of parts: the highest part number requested so far, plus one.
     parts: u32,
     pub(super) residency: ResidencyEstimate,
     pub(super) cache_order: HashOrder,
@@ -43,15 +45,15 @@
     pub(super) object_requests: f64,
     /// Recent requests for all objects.
     total_requests: f64,
-    /// The parts among which the object's requests are divided.
+    /// Number of parts among which the object's requests are divided.
     parts: f64,
-    /// Whether the object was requested before.
+    /// Whether the object's first part was requested more than once, including this request but not retries.
     pub(super) requested_before: bool,
 }
 
 impl Popularity {
-    /// How many servers of a pool should serve one part of the object: one for each [`HOT_SHARE`] of the
-    /// requests that a server of this size gets.
+    /// Returns how many servers of a pool should serve one part of the object: one for each [`HOT_SHARE`] of
+    /// the requests that a server of this size gets. Values above 1 mean that the part is hot.
     pub(super) fn wanted_servers(&self, size: f64, total_size: f64) -> f64 {
         let hot_share = HOT_SHARE * size / total_size;
         let prior_mean = OBJECT_SHARE_PRIOR_MEAN.min(hot_share / 2.0);
@@ -60,7 +62,7 @@
     }
 }
 
-/// Objects requested lately, and the number of all requests.
+/// The recently requested objects, and the recent number of requests for all objects.
 #[derive(Default)]
 pub(super) struct ObjectTable {
     objects: GenerationalCache<ObjectStats, MAX_OBJECTS, MAX_GENERATION_AGE>,
@@ -68,13 +70,13 @@
 }
 
 impl ObjectTable {
-    /// The object as it is known, or a new one.
+    /// Returns the entry of an object; creates it if the object is unknown.
     pub(super) fn entry(&mut self, object: ObjectId, now: Micros) -> &mut ObjectStats {
         self.objects.entry(object.0, now)
     }
 
-    /// Counts a request, and returns the popularity before it: a request tells nothing of how often the
-    /// object is requested beside it.
+    /// Counts a request and returns the object's popularity before it. The request itself is left out because
+    /// it is no evidence of how often the object is requested otherwise.
     pub(super) fn count_request(&mut self, request: &Request, now: Micros) -> Popularity {
         let object = self.objects.entry(request.object.0, now);
         let object_requests = object.requests.value(now, POPULARITY_TIME_CONSTANT);
@@ -92,29 +94,31 @@
         }
     }
 
-    /// Recent requests for all objects.
+    /// Returns the recent number of requests for all objects.
     pub(super) fn total_requests(&self, now: Micros) -> f64 {
         self.requests.value(now, POPULARITY_TIME_CONSTANT)
     }
 }
 
-/// Recent requests for which this router picked a cache first.
+/// The demand for one cache: recent requests for which it was this router's first choice, including those
+/// that were then passed on to another cache.
 #[derive(Default)]
 pub(super) struct Demand {
-    /// For objects that have one cache.
+    /// Requests for objects that one cache serves.
     single: DecayingCounter,
-    /// For objects that are spread over several caches.
+    /// Requests for objects that are spread over several caches.
     spread: DecayingCounter,
 }
 
 impl Demand {
-    /// Counts a request for an object that has one cache, or is spread over several.
+    /// Counts a request. `is_spread` is whether its object is spread over several caches.
     pub(super) fn count(&mut self, is_spread: bool, now: Micros) {
         let counter = if is_spread { &mut self.spread } else { &mut self.single };
         counter.add(now, 1.0, POPULARITY_TIME_CONSTANT);
     }
 
-    /// Estimated demand relative to the cache's share of the pool's capacity, without `excluded` requests.
+    /// Returns the estimated demand relative to the cache's share of the pool's capacity; 1 is an equal
+    /// share. `excluded` is a number of requests to leave out.
     pub(super) fn relative(
         &self,
         total_requests: f64,
--- a/src/policy/rendezvous.rs
+++ b/src/policy/rendezvous.rs
@@ -1,20 +1,21 @@
-//! Rendezvous hashing: the order in which an object prefers the servers of a pool.
+//! Rendezvous hashing: ranks the servers of a pool for an object.
 
 use crate::policy::estimators::hash::{mix, unit_interval};
 use crate::policy::types::{ObjectId, ServerId};
 
-/// Servers of a pool considered for a request: the object's own two or three, and the next in hash order.
+/// Number of servers of a pool considered for a request: the object's two parents or three caches, and the
+/// next ones in hash order.
 pub(super) const MAX_CANDIDATES: usize = 6;
-/// Raises the bound on scores by a hundredth of a thousandth, for the rounding errors in it.
+/// Factor that raises the bound on scores by 0.001 % to cover its rounding errors.
 const ROUNDING_MARGIN: f64 = 1.000_01;
 
-/// A server with its weight in the hash, which is its capacity in transfers.
+/// A server and its weight in the hash: its capacity in concurrent transfers.
 pub(super) struct WeightedServer {
     pub(super) id: ServerId,
     pub(super) weight: f64,
 }
 
-/// The running servers of one role, in the order of their ids.
+/// The running servers of one role (caches of the zone, or parents), sorted by id.
 #[derive(Default)]
 pub(super) struct ServerPool {
     servers: Vec<WeightedServer>,
@@ -23,7 +24,7 @@
 }
 
 impl ServerPool {
-    /// A pool of servers that are sorted by id.
+    /// Creates a pool. `servers` must be sorted by id.
     pub(super) fn new(servers: Vec<WeightedServer>) -> Self {
         let total_weight = servers.iter().map(|s| s.weight).sum();
         let max_weight = servers.iter().map(|s| s.weight).fold(0.0, f64::max);
@@ -38,9 +39,11 @@
         self.total_weight
     }
 
-    /// The first servers of the pool in the object's hash order; places past the pool's size are undefined.
-    /// A server's chance to come first is proportional to its weight. As -ln u >= 1 - u, comparing one hash
-    /// with a bound shows for nearly all servers that they are not among the first.
+    /// Returns the first servers of the pool in the object's hash order. Entries beyond the pool's size are
+    /// undefined. The probability that a server comes first is proportional to its weight.
+    ///
+    /// Because `-ln u >= 1 - u`, a lower bound on the hash excludes nearly all servers without computing a
+    /// logarithm.
     fn first_candidates(&self, object: ObjectId) -> [ServerId; MAX_CANDIDATES] {
         let mut best = [(0.0, ServerId(0)); MAX_CANDIDATES];
         let mut min_hash = 0;
@@ -63,7 +66,7 @@
     }
 }
 
-/// An object's hash order over one pool, remembered until the member list changes.
+/// An object's hash order over one pool, stored until the member list changes.
 #[derive(Default)]
 pub(super) struct HashOrder {
     candidates: [ServerId; MAX_CANDIDATES],
@@ -71,7 +74,8 @@
 }
 
 impl HashOrder {
-    /// The object's first servers of the pool, which belongs to this version of the member list.
+    /// Returns the object's first servers of the pool. `list_version` is the version of the member list from
+    /// which the pool was built; the order is computed again when it changes.
     pub(super) fn candidates(
         &mut self,
         object: ObjectId,
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -4,12 +4,13 @@
 use crate::policy::types::{Micros, Request, RequestId, ServerId};
 use std::collections::BTreeMap;
 
-/// Where an attempt goes.
+/// The route of an attempt: a server, and the source if the server has to fill.
 pub(super) struct Route {
     pub(super) server: ServerId,
-    /// The source of a fill; the server itself for a request that it serves directly.
+    /// The source of a fill, or the server itself for an attempt sent directly to a parent or the origin.
+    /// `None` if the server needs no source or may use none.
     pub(super) source: Option<ServerId>,
-    /// The source may serve only what it has cached.
+    /// Whether the source may serve only what it has cached.
     pub(super) only_if_cached: bool,
 }
 
@@ -26,17 +27,18 @@
     pub(super) sent_at: Micros,
     pub(super) in_flight: bool,
     pub(super) may_have_run: bool,
-    /// The source failed, or has been silent since the send: the next attempt should name another.
+    /// The source failed, or has not responded since the attempt was sent. The next attempt names another
+    /// source.
     pub(super) source_failed: bool,
-    /// The response may be lost: the server may receive another attempt while this one is in flight.
+    /// The response may be lost, so the server may receive another attempt while this one is in flight.
     pub(super) response_lost: bool,
     /// The server must receive no further attempt of this request.
     pub(super) server_failed: bool,
-    /// It ended in an error that is more likely the request's fault than a server's.
+    /// The attempt ended in an error caused more likely by the request than by a server.
     pub(super) request_at_fault: bool,
-    /// No suitable copy was cached at the server.
+    /// The server had no suitable copy cached.
     pub(super) missed: bool,
-    /// Slow-start tokens spent on the source, refunded if the response is a hit.
+    /// Slow-start tokens spent on the source, refunded if the attempt succeeds without a fill from it.
     pub(super) reserved_tokens: f64,
 }
 
@@ -62,25 +64,25 @@
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) attempts: Vec<Attempt>,
-    /// Its transfer time in microseconds, known or estimated.
+    /// Transfer time in microseconds: from the size if it is known, otherwise an estimate.
     pub(super) transfer_time: f64,
-    /// When a response has to be complete to meet the latency objective.
+    /// The time by which the response has to be complete to meet the latency objective.
     pub(super) objective_at: Micros,
     pub(super) popularity: Popularity,
-    /// Most attempts by the settings at its arrival; 0 for no limit.
+    /// Limit on attempts from the settings in force when the request arrived; 0 for no limit.
     pub(super) max_attempts: u32,
-    /// The final response was given, or nobody waits for it.
+    /// The final response was given, or the client no longer waits for it.
     pub(super) finished: bool,
     pub(super) response_started: bool,
 }
 
 impl PendingRequest {
-    /// Whether no attempt was sent before.
+    /// Returns whether the next attempt is the first one.
     pub(super) fn is_first_attempt(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Whether the client still waits for the start of a response.
+    /// Returns whether the client still waits for a response to start.
     pub(super) fn awaits_response(&self) -> bool {
         !self.finished && !self.response_started
     }
@@ -89,25 +91,25 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Whether exactly one attempt is in flight, and at this server.
+    /// Returns whether exactly one attempt is in flight and it is at this server.
     pub(super) fn waits_only_for(&self, server: ServerId) -> bool {
         let mut in_flight = self.attempts.iter().filter(|attempt| attempt.in_flight);
         in_flight.next().is_some_and(|attempt| attempt.server == server) && in_flight.next().is_none()
     }
 
-    /// Whether the server may receive an attempt, by how earlier ones there went.
+    /// Returns whether the server may receive another attempt, given the state of earlier attempts there.
     pub(super) fn may_use_server(&self, server: ServerId) -> bool {
         let excludes =
             |attempt: &Attempt| attempt.in_flight && !attempt.response_lost || attempt.server_failed;
         self.attempts.iter().all(|attempt| attempt.server != server || !excludes(attempt))
     }
 
-    /// Whether a fill may name the source, by how earlier ones went.
+    /// Returns whether a fill may name the source, given how earlier attempts with it ended.
     pub(super) fn may_use_source(&self, source: ServerId) -> bool {
         self.attempts.iter().all(|attempt| attempt.source != Some(source) || !attempt.source_failed)
     }
 
-    /// Time left to the latency objective, in microseconds.
+    /// Returns the time left to the latency objective, in microseconds; 0 if it has passed.
     pub(super) fn time_to_objective(&self, now: Micros) -> f64 {
         self.objective_at.saturating_sub(now) as f64
     }
@@ -134,14 +136,14 @@
         self.0.remove(&id)
     }
 
-    /// Marks a request as finished.
+    /// Marks a request as finished. An unknown id is ignored.
     pub(super) fn finish(&mut self, id: RequestId) {
         if let Some(pending) = self.get_mut(id) {
             pending.finished = true;
         }
     }
 
-    /// Requests without a response whose only attempt in flight is at this server.
+    /// Returns the requests that await a response and whose only attempt in flight is at this server.
     pub(super) fn waiting_only_for(&self, server: ServerId) -> Vec<RequestId> {
         let is_waiting = |p: &&PendingRequest| p.awaits_response() && p.waits_only_for(server);
         self.0.values().filter(is_waiting).map(|pending| pending.request.id).collect()
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,23 +1,24 @@
-//! Retries and hedged requests: whether a further attempt is safe, and the budget for them.
+//! Retries and hedged requests: the retry budget, and whether a further attempt is safe.
 
 use crate::policy::endpoints::EndpointTable;
 use crate::policy::requests::{Attempt, PendingRequest};
 use crate::policy::router::Router;
 use crate::policy::types::{Action, Class, Idempotency, KeyScope, Micros, RequestId, ServerId, Settings};
 
-/// Further attempts earned by each request.
+/// Tokens that each request adds to the retry budget; a further attempt costs 1.
 const TOKENS_PER_REQUEST: f64 = 0.05;
-/// Most further attempts saved up.
+/// Largest number of tokens in the retry budget.
 const MAX_TOKENS: f64 = 25.0;
-/// Responses are taken to be lost in general when this share of them is.
+/// Share of lost responses above which losses are general, so that a single one is not attributed to its
+/// server.
 const MIN_LOSS_SHARE: f64 = 0.05;
-/// Weight of a new observation in the share of lost responses.
+/// Weight of a new observation in the running share of lost responses.
 const LOSS_OBSERVATION_WEIGHT: f64 = 0.02;
 
-/// The budget for further attempts of all requests.
+/// The retry budget: tokens for further attempts, shared by all requests.
 pub(super) struct RetryBudget {
     tokens: f64,
-    /// Recent share of attempts whose responses were lost by caches that go on responding.
+    /// Running share of attempts whose response was lost while the cache still responds to other requests.
     lost_share: f64,
 }
 
@@ -28,23 +29,25 @@
 }
 
 impl RetryBudget {
-    /// A request arrived: it earns a share of a further attempt.
+    /// Adds the tokens that a new request earns: [`TOKENS_PER_REQUEST`] plus the share of lost responses.
     pub(super) fn earn(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST + self.lost_share).min(MAX_TOKENS);
     }
 
-    /// Records whether the response of an attempt was lost.
+    /// Records for one attempt whether its response was lost.
     pub(super) fn record_response(&mut self, lost: bool) {
         self.lost_share += LOSS_OBSERVATION_WEIGHT * (f64::from(u8::from(lost)) - self.lost_share);
     }
 
-    /// Whether responses are lost in general, so that a lost one tells nothing of its server.
+    /// Returns whether responses are lost in general, so that a lost one is no evidence against its server.
     pub(super) fn responses_get_lost(&self) -> bool {
         self.lost_share > MIN_LOSS_SHARE
     }
 }
 
-/// Whether a further attempt at this server can do no harm.
+/// Returns whether a further attempt at this server is allowed and can do no harm. This depends on the
+/// settings for hedged requests, on the limit on attempts and, if earlier attempts may have run, on the
+/// class's idempotency.
 pub(super) fn is_safe_attempt(
     settings: &Settings,
     endpoints: &EndpointTable,
@@ -69,7 +72,7 @@
     }
 }
 
-/// Whether the second server drops duplicates of a request that ran at the first.
+/// Returns whether the second server recognizes and drops a duplicate of a request that ran at the first.
 fn in_key_scope(endpoints: &EndpointTable, scope: KeyScope, first: ServerId, second: ServerId) -> bool {
     if scope == KeyScope::All {
         return true;
@@ -79,7 +82,7 @@
     first.zone == second.zone && (scope == KeyScope::Zone || first.cell == second.cell)
 }
 
-/// Whether a rejection, which promises that a retry does no harm, would be true.
+/// Returns whether the request may be rejected. A rejection promises the client that a retry does no harm.
 pub(super) fn may_reject(class: &Class, pending: &PendingRequest) -> bool {
     match class.idempotency {
         Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
@@ -88,7 +91,8 @@
 }
 
 impl Router {
-    /// Sends a further attempt, beside or after the earlier ones, if the budget has one left.
+    /// Sends a further attempt (retry or hedged request) if the retry budget has a token and the transfer can
+    /// complete before the deadline. Returns whether it was sent.
     pub(super) fn send_retry(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.get(id) else { return false };
         let is_too_late = now as f64 + pending.transfer_time > pending.request.deadline as f64;
--- a/src/policy/router.rs
+++ b/src/policy/router.rs
@@ -1,10 +1,15 @@
-//! The router: takes events and appends actions. Each part of its state and of its decisions has a module.
+//! The router: handles events and appends the resulting actions. The other modules hold the parts of its
+//! state and of its decisions.
 //!
-//! An object has its first three caches of the zone in rendezvous hash order; the part decides which of them
-//! comes first, and once the object is hot the less loaded of two of them. A miss is filled from the first of
-//! the object's two parents in a hash order over all parents. For an object that is hot, or estimated to be
-//! cached at the second, the second is chosen if the first has over one and a half times its fills in flight.
-//! All else guards against failures and overload.
+//! An object is served by three caches: the first three of the zone in rendezvous hash order. A hash of the
+//! requested part decides which of them comes first. For a hot object the less loaded of two of them is
+//! chosen.
+//!
+//! A miss is filled from the first of the object's two parents in a hash order over all parents. For an
+//! object that is hot, or estimated to be cached at the second parent, the second is chosen if the first has
+//! more than one and a half times as many fills in flight.
+//!
+//! All other rules guard against failures and overload.
 
 use crate::policy::admission::AdmissionControl;
 use crate::policy::endpoints::EndpointTable;
@@ -23,14 +28,16 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// A request this near to its deadline is not sent.
+/// A request with at most this much time left to its deadline is not sent.
 const MIN_TIME_TO_DEADLINE: Micros = 2_000;
-/// Least Retry-After for a rejected client; as much again is added at random.
+/// Shortest Retry-After for a rejected client, unless the settings allow less. A random addition of up to the
+/// same length spreads the retries.
 const MIN_RETRY_AFTER: Micros = 400_000;
-/// A purge is remembered this much longer than servers need to complete it: running fills may end late.
+/// A purge is kept this much longer than servers need to complete it, because fills that are already running
+/// may end late.
 const PURGE_MARGIN: Micros = 3_000_000;
 
-/// The decisions of one director: a state machine without clock or I/O.
+/// The routing state machine of one director. It reads no clock and does no I/O.
 pub struct Router {
     pub(super) settings: Settings,
     pub(super) random: RandomSequence,
@@ -40,14 +47,14 @@
     pub(super) requests: PendingRequests,
     pub(super) purges: PendingPurges,
     pub(super) service_times: ServiceTimes,
-    /// Congestion of the zone's caches, by their hits.
+    /// Congestion of the zone's caches, estimated from the response times of their hits.
     pub(super) congestion: CongestionEstimator,
     pub(super) admission: AdmissionControl,
     pub(super) retry_budget: RetryBudget,
 }
 
 impl Router {
-    /// A router that knows only its settings; the member list comes as its first event.
+    /// Creates a router without servers; they arrive with the first [`Event::Members`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Router {
@@ -65,7 +72,7 @@
         })
     }
 
-    /// Takes one event and appends the actions that follow from it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Members { kind, members } => self.update_members(now, kind, members, actions),
@@ -83,7 +90,8 @@
         }
     }
 
-    /// The number of listed servers that receive no requests now: those that drain, and those ejected.
+    /// Returns the number of listed servers that receive no regular requests because they drain or are
+    /// ejected.
     pub fn excluded_endpoints(&self) -> usize {
         self.endpoints.excluded()
     }
@@ -159,8 +167,8 @@
         self.settings = settings;
     }
 
-    /// Gives the final response of a request that can't be served: a rejection with Retry-After if a retry
-    /// does no harm, else a failure.
+    /// Gives the final response to a request that can't be served: a rejection with Retry-After if a retry by
+    /// the client does no harm, otherwise a failure.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let retry_after = MIN_RETRY_AFTER + self.random.next_u64() % MIN_RETRY_AFTER;
         let Some(pending) = self.requests.get(id) else { return };
@@ -175,8 +183,8 @@
         self.clean_up(id, None, actions);
     }
 
-    /// Cancels the attempts in flight, but for one that serves the client, and forgets a finished request
-    /// once all have ended.
+    /// Cancels all attempts in flight except `serving`, the one that serves the client. Removes a finished
+    /// request once all of its attempts have ended.
     pub(super) fn clean_up(&mut self, id: RequestId, serving: Option<u32>, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id) else { return };
         for (number, attempt) in pending.attempts.iter().enumerate() {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,19 +1,22 @@
-//! Slow start: limits on the work given to servers that started lately (token bucket).
+//! Slow start: token buckets that limit the work sent to recently started servers.
 
 use crate::policy::endpoints::Endpoint;
 use crate::policy::service_times::ServiceTimes;
 use crate::policy::types::{Micros, Settings, SlowStartRule};
 
-/// Greatest share of the work that overloads a server which all routers together may send it,
+/// Largest share of the work that overloads a server which all routers together may send to it. The share is
+/// lower if that work is only a few transfers; see [`BUDGET_DEVIATIONS`].
 const MAX_BUDGET_SHARE: f64 = 0.65;
-/// and less if that is few transfers: by so many standard deviations of a number that comes by chance.
+/// Distance between the mean number of transfers sent and the number that overloads a server, in standard
+/// deviations of a number of random arrivals (Poisson).
 const BUDGET_DEVIATIONS: f64 = 2.0;
-/// Share of the rest that may be spent in a burst.
+/// Share of the work left over by [`MAX_BUDGET_SHARE`] that may be sent in a burst.
 const BURST_SHARE: f64 = 0.4;
-/// Greatest share of the whole in one transfer.
+/// Largest share of the work that overloads a server which a single transfer may take.
 const MAX_TRANSFER_SHARE: f64 = 0.25;
 
-/// Tokens for the work that this router may send to a server; one token is one microsecond of transfer time.
+/// A token bucket for the work that this router may send to a server. One token is one microsecond of
+/// transfer time.
 #[derive(Default)]
 pub(super) struct TokenBucket {
     tokens: f64,
@@ -31,42 +34,44 @@
         self.refilled_at = now;
     }
 
-    /// Whether a transfer may start: it may overdraw the bucket, which then is paid off before the next.
+    /// Returns whether a transfer may start. It may overdraw the bucket; the next one then waits until the
+    /// bucket is no longer below 0.
     fn admits(&self, transfer_time: f64, limits: &Limits) -> bool {
         self.tokens >= 0.0 && transfer_time <= limits.max_transfer_time
     }
 
-    /// Gives back tokens spent on work that the server turned out not to have.
+    /// Refunds tokens that were spent on work that the server did not have to do.
     pub(super) fn refund(&mut self, tokens: f64) {
         self.tokens += tokens;
     }
 }
 
-/// This router's share of what a server that warms up can take.
+/// The limits of one server in slow start: this router's share of the work that the server can take.
 struct Limits {
-    /// Tokens per microsecond.
+    /// Refill rate, in tokens per microsecond.
     refill_rate: f64,
-    /// Most tokens in the bucket.
+    /// Largest number of tokens in the bucket.
     burst: f64,
-    /// The longest transfer that the server may be given, in microseconds.
+    /// Longest transfer that may be sent to the server, in microseconds.
     max_transfer_time: f64,
 }
 
-/// Applies the slow-start rules of the settings to servers.
+/// The slow-start rules of the settings, applied to servers.
 pub(super) struct SlowStart<'a> {
     pub(super) settings: &'a Settings,
     pub(super) service_times: &'a ServiceTimes,
 }
 
 impl SlowStart<'_> {
-    /// Whether the server may be given a transfer of this time now.
+    /// Returns whether a transfer of this time may be sent to the server now; always true for a warm server.
     pub(super) fn admits(&self, endpoint: &mut Endpoint, transfer_time: f64, now: Micros) -> bool {
         let Some(limits) = self.limits(endpoint, now) else { return true };
         endpoint.slow_start.refill(&limits, now);
         endpoint.slow_start.admits(transfer_time, &limits)
     }
 
-    /// Spends the tokens for a transfer of this time, if the server may be given it. All that is sent counts.
+    /// Spends the tokens for a transfer of this time if the bucket admits it. Called for everything that is
+    /// sent to the server.
     pub(super) fn spend(&self, endpoint: &mut Endpoint, transfer_time: f64, now: Micros) {
         let Some(limits) = self.limits(endpoint, now) else { return };
         endpoint.slow_start.refill(&limits, now);
@@ -75,9 +80,13 @@
         }
     }
 
-    /// The limits of a server, which stay well below what overloads it in any window; `None` once it is warm.
-    /// Among many routers a share is less than one transfer: each may then start a whole one in its turn,
-    /// which it pays off before the next, and the first turns come at different times.
+    /// Returns the limits of a server, or `None` if it is warm: its slow start is over or it started long
+    /// ago. The origin has no slow start. The limits keep the work in any overload window well below what
+    /// overloads the server.
+    ///
+    /// With many routers the share of each is less than one transfer. A router may still start a whole
+    /// transfer when its bucket is not overdrawn, and pays for it before it starts the next one. As the
+    /// buckets begin with random debts, the first transfers of the routers come at different times.
     fn limits(&self, endpoint: &Endpoint, now: Micros) -> Option<Limits> {
         let member = &endpoint.member;
         let rule = self.rule(endpoint);
@@ -106,7 +115,8 @@
         }
     }
 
-    /// The number of routers that send to a server: all for a parent, those of its zone for a cache.
+    /// Returns the number of routers that send to a server: all routers for a parent, those of its zone for a
+    /// cache. All routers are assumed if the number in the zone is unknown.
     fn sharing_routers(&self, endpoint: &Endpoint) -> u32 {
         if endpoint.is_parent(self.settings) {
             return self.settings.routers;
@@ -120,8 +130,9 @@
     }
 }
 
-/// The share of so many transfers, the most that a server can take, whose number stays below that by
-/// [`BUDGET_DEVIATIONS`] if they arrive at random.
+/// Returns the share of `transfers`, the largest number that a server can take, that may be sent on average.
+/// If the transfers arrive at random, their mean number plus [`BUDGET_DEVIATIONS`] standard deviations is
+/// `transfers`.
 fn safe_share(transfers: f64) -> f64 {
     ((transfers + BUDGET_DEVIATIONS * BUDGET_DEVIATIONS / 4.0).sqrt() - BUDGET_DEVIATIONS / 2.0).powi(2)
         / transfers
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,8 +1,8 @@
-//! Timers of the router, and their encoding in tokens.
+//! Timers of the router and their encoding as tokens: the kind above the request's id.
 
 use crate::policy::types::{RequestId, TimerToken};
 
-/// Bits of a token below its kind: the request's id.
+/// Number of bits below the kind in a token. They hold the request's id.
 const KIND_SHIFT: u32 = 64;
 const KIND_DEADLINE: TimerToken = 1;
 const KIND_RESPONSE_LATE: TimerToken = 2;
@@ -10,11 +10,11 @@
 
 /// A timer that the router sets.
 pub(super) enum Timer {
-    /// A request's deadline passed.
+    /// Fires at a request's deadline.
     Deadline(RequestId),
-    /// A request's latest attempt should have a response by now.
+    /// Fires when the response to a request's latest attempt is late.
     ResponseLate(RequestId),
-    /// The member list is to be fetched again.
+    /// Fires when the member list has to be fetched again.
     MemberList,
 }
 
@@ -28,7 +28,7 @@
         kind << KIND_SHIFT | TimerToken::from(id)
     }
 
-    /// The timer of a token; `None` if no timer has it.
+    /// Decodes a token. Returns `None` if its kind is unknown.
     pub(super) fn from_token(token: TimerToken) -> Option<Timer> {
         let id = RequestId(token as u64);
         match token >> KIND_SHIFT {
