--- a/src/cluster/catch_up.rs
+++ b/src/cluster/catch_up.rs
@@ -59,7 +59,7 @@
             tracing::info!(target: LOG_TARGET, entries, "catching up again after an absence past the horizon")
         }
         Stage::CaughtUp => tracing::info!(target: LOG_TARGET, entries, "caught up with peers"),
-        Stage::Alone => {
+        Stage::NoPeers => {
             tracing::info!(target: LOG_TARGET, entries, "no peer to catch up with, continuing alone")
         }
     }
@@ -70,6 +70,6 @@
     match stage {
         Stage::CatchingUp => "catching up",
         Stage::CaughtUp => "caught up",
-        Stage::Alone => "on its own",
+        Stage::NoPeers => "on its own",
     }
 }
--- a/src/replication/entry/drain_record.rs
+++ b/src/replication/entry/drain_record.rs
@@ -6,33 +6,34 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// One run of one director. It is drawn anew at each start, so that what a director published before it lost
-/// its memory is never taken for what it publishes afterwards.
+/// A random number that identifies one process of a director. Each start draws a new one, so that drains
+/// published after a restart without stored state are never confused with those published before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// Operators' drains of one server. Each drain is a dot: an incarnation and a number. An undrain removes the
-/// dots that it has observed and no others: a drain published elsewhere at the same time stays in force.
+/// Operators' drains of one server. Each drain is a dot: the incarnation of the director that published it, and
+/// a number. An undrain removes only the dots that its director has observed, so a drain that is published
+/// concurrently at another director stays in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
-    /// The process that is to drain, by its start (Unix microseconds; 0: not known). A record of a later
-    /// process replaces one of an earlier.
+    /// Start time of the server process that the drains apply to (Unix microseconds; 0 if unknown). A record
+    /// of a later process replaces a record of an earlier one.
     pub started_at: Micros,
-    /// The last drain of each incarnation.
+    /// The number of the last drain of each incarnation.
     pub drains_by_incarnation: BTreeMap<Incarnation, u32>,
-    /// The last of these that was removed.
+    /// The number of the last drain of each incarnation that an undrain has removed.
     pub undrains_by_incarnation: BTreeMap<Incarnation, u32>,
 }
 
 impl DrainRecord {
-    /// Whether the server is to drain.
+    /// Returns whether a drain is in force: one that no undrain has removed.
     pub fn is_draining(&self) -> bool {
         self.drains_by_incarnation
             .iter()
             .any(|(incarnation, number)| self.undrains_by_incarnation.get(incarnation) < Some(number))
     }
 
-    /// The command that is in force.
+    /// Returns the command in force.
     pub fn command(&self) -> DrainCommand {
         if self.is_draining() {
             DrainCommand::Drain
@@ -41,7 +42,8 @@
         }
     }
 
-    /// The record after a command at a director, for the process that was started then.
+    /// Returns the record after a command at the director of this incarnation, for the server process that
+    /// started at `started_at`.
     pub fn with_command(
         &self,
         command: DrainCommand,
@@ -54,7 +56,8 @@
         }
     }
 
-    /// The record after a drain at a director of this incarnation, for the process that was started then.
+    /// Returns the record after a drain at the director of this incarnation, for the server process that
+    /// started at `started_at`.
     pub fn with_drain(&self, incarnation: Incarnation, started_at: Micros) -> DrainRecord {
         let mut record = self.for_process(started_at);
         let last_drain = record.drains_by_incarnation.get(&incarnation);
@@ -63,7 +66,7 @@
         record
     }
 
-    /// The record after all drains that are known here were removed.
+    /// Returns the record after an undrain, which removes all drains that this record contains.
     pub fn with_undrain(&self, started_at: Micros) -> DrainRecord {
         let mut record = self.for_process(started_at);
         let observed =
@@ -72,7 +75,7 @@
         record
     }
 
-    /// This record if it is about that process or a later one, else an empty one.
+    /// Returns a copy of this record if it applies to the given process or a later one, else an empty record.
     fn for_process(&self, started_at: Micros) -> DrainRecord {
         if started_at > self.started_at {
             return DrainRecord { started_at, ..DrainRecord::default() };
@@ -80,7 +83,7 @@
         self.clone()
     }
 
-    /// Incarnations that have a dot.
+    /// Returns the number of incarnations that have a dot.
     pub(in crate::replication) fn incarnation_count(&self) -> usize {
         self.drains_by_incarnation.len().max(self.undrains_by_incarnation.len())
     }
@@ -97,7 +100,7 @@
     }
 }
 
-/// Keeps the greater number of each incarnation.
+/// Merges `theirs` into `ours`, keeping the greater number of each incarnation.
 fn merge_numbers(ours: &mut BTreeMap<Incarnation, u32>, theirs: &BTreeMap<Incarnation, u32>) {
     for (incarnation, number) in theirs {
         let known = ours.entry(*incarnation).or_default();
--- a/src/replication/entry/endpoint_record.rs
+++ b/src/replication/entry/endpoint_record.rs
@@ -1,21 +1,21 @@
-//! A server of the endpoint list, as it is replicated.
+//! The replicated form of a server in the endpoint list.
 
 use crate::dispatch::membership::Endpoint;
 use crate::policy::types::{MemberState, Micros};
 use serde::{Deserialize, Serialize};
 
-/// The state of a server, encoded as one byte.
+/// The lifecycle state of a server, encoded as one byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "u8", into = "u8")]
 pub enum EndpointState {
-    /// It takes requests (0).
+    /// The server accepts requests (encoded as 0).
     #[default]
     Running,
-    /// It finishes the requests that it has (1).
+    /// The server finishes its current requests and gets no new ones (encoded as 1).
     Draining,
-    /// It is gone (2).
+    /// The server has left the endpoint list (encoded as 2).
     Gone,
-    /// A byte that this version does not know. No requests are sent to the server, but its entry does not
+    /// A state that this version does not know. No requests are sent to the server, but its entry does not
     /// expire.
     Unknown(u8),
 }
@@ -62,37 +62,38 @@
     }
 }
 
-/// A server without its name, which is in the key.
+/// A server of the endpoint list. Its name is in the key of the entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: String,
-    /// Its zone.
+    /// The name of the zone.
     pub zone: String,
-    /// Its kind.
+    /// The name of the kind of server.
     pub kind: String,
-    /// Its cell.
+    /// The cell within the zone.
     pub cell: u32,
-    /// Its state.
+    /// The lifecycle state, which also marks tombstones.
     pub state: EndpointState,
-    /// Its size; 0: not known.
+    /// The registered capacity, in concurrent transfers at full rate; 0 if unknown.
     pub size: f64,
-    /// Unix time of a late start in microseconds, or 0.
+    /// Unix time in microseconds at which the server process started; 0 if unknown.
     pub started_at: Micros,
 }
 
 impl EndpointRecord {
-    /// A server that is gone: a tombstone without any other field, so that all directors store the same.
+    /// Returns the record of a server that is gone. All other fields have their defaults, so that all directors
+    /// store the same tombstone.
     pub fn tombstone() -> EndpointRecord {
         EndpointRecord { state: EndpointState::Gone, ..EndpointRecord::default() }
     }
 
-    /// Whether the server is gone.
+    /// Returns whether the record is a tombstone.
     pub fn is_gone(&self) -> bool {
         self.state == EndpointState::Gone
     }
 
-    /// The endpoint of this name.
+    /// Converts the record to an [`Endpoint`] with this name.
     pub fn to_endpoint(&self, name: &str) -> Endpoint {
         Endpoint {
             name: name.into(),
--- a/src/replication/entry/mod.rs
+++ b/src/replication/entry/mod.rs
@@ -1,7 +1,7 @@
-//! What is replicated: keys, values, and the merge of two copies of a value.
+//! Replicated entries: keys, values, and the merge of two copies of a value.
 //!
-//! Every merge is commutative, associative and idempotent, so the order in which copies arrive, and how
-//! often, makes no difference. Where two copies leave a doubt the safer one wins (a drain, a later purge).
+//! Every merge is commutative, associative and idempotent, so neither the order of deliveries nor their number
+//! matters. Where two copies contradict each other, the safer one wins (a drain, a later purge).
 
 mod drain_record;
 mod endpoint_record;
@@ -13,20 +13,20 @@
 use crate::policy::types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What an entry is about.
+/// The key of a replicated entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Key {
-    /// A purge of one object, by its name.
+    /// A purge of one object, by the object's name.
     Object(String),
-    /// A purge of a group.
+    /// A purge of a group of objects, by the group's number.
     Group(u32),
-    /// Operators' drains of a server, by its name.
+    /// Operators' drains of a server, by the server's name.
     Drain(String),
-    /// A server of the endpoint list, by its name.
+    /// A server of the endpoint list, by the server's name.
     Endpoint(String),
 }
 
-/// The kinds of entries.
+/// The kind of a replicated entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Kind {
     /// Purges of objects and groups.
@@ -38,10 +38,10 @@
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Kind; 3] = [Kind::Purges, Kind::Drains, Kind::Members];
 
-    /// Its name in operators' commands and metrics.
+    /// Returns the name of the kind in operators' commands and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Purges => "purges",
@@ -52,7 +52,7 @@
 }
 
 impl Key {
-    /// Its kind.
+    /// Returns the kind of entry that this key belongs to.
     pub fn kind(&self) -> Kind {
         match self {
             Key::Object(_) | Key::Group(_) => Kind::Purges,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The name in it; none: it is a number.
+    /// Returns the name of the object or server, or `None` if the key is a group number.
     pub(super) fn name(&self) -> Option<&str> {
         match self {
             Key::Object(name) | Key::Drain(name) | Key::Endpoint(name) => Some(name),
@@ -80,42 +80,42 @@
     }
 }
 
-/// The value of a key.
+/// The value of a replicated entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// Copies older than this Unix time (microseconds) are not to be served; the later time wins.
+    /// Cached copies older than this Unix time (microseconds) must not be served. The later time wins.
     Purged(Micros),
     /// Operators' drains and undrains of a server.
     Drain(DrainRecord),
-    /// A server, by the revision of the discovery event that described it; the later revision wins.
+    /// The revision of a discovery event, and the server as that event described it. The later revision wins.
     Endpoint(u64, EndpointRecord),
 }
 
-/// The outcome of merging a copy.
+/// The outcome of merging a received copy into a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The copy holds nothing new.
+    /// The copy contained nothing new.
     Unchanged,
     /// The value has changed.
     Changed,
-    /// Two copies of one version differ, which no correct director causes. The greater one by its encoding is
-    /// kept, so that all directors keep the same, and the conflict is reported.
+    /// Two copies of the same revision differ, which no correct director causes. All directors keep the copy
+    /// whose encoding is greater, so that they agree, and report the conflict.
     Conflict {
-        /// Whether the value has changed.
+        /// Whether the merge changed the value.
         changed: bool,
     },
 }
 
 impl MergeOutcome {
-    /// Whether the value has changed.
+    /// Returns whether the merge changed the value.
     pub fn has_changed(self) -> bool {
         matches!(self, MergeOutcome::Changed | MergeOutcome::Conflict { changed: true })
     }
 }
 
 impl Value {
-    /// Merges a copy of the same key. A copy that is not of the key's kind is rejected before
-    /// ([`matches_kind`]).
+    /// Merges a copy of the value for the same key. The caller has already rejected values that don't match
+    /// the kind of their key ([`matches_kind`]).
     pub fn merge(&mut self, other: &Value) -> MergeOutcome {
         let before = self.clone();
         match (&mut *self, other) {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Whether a value is of its key's kind.
+/// Returns whether the kind of a value matches that of its key.
 pub fn matches_kind(key: &Key, value: &Value) -> bool {
     matches!(
         (key, value),
@@ -153,8 +153,8 @@
     )
 }
 
-/// The encoding that is sent, stored and hashed for digests (postcard).
+/// Encodes a value with postcard. This encoding is sent, stored and hashed for digests.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // The types of this crate are serialised to memory, which cannot fail.
+    // Serialising this crate's types to memory cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
--- a/src/replication/gossip/anti_entropy.rs
+++ b/src/replication/gossip/anti_entropy.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy: two directors find the entries that differ by walking down their digest trees.
+//! Anti-entropy: two directors find the entries that differ by comparing their digest trees from the root down.
 //!
-//! One sends the sum of its root. Where it differs the other answers with the sums of the root's children,
-//! and so on down to the leaves that differ. For these they exchange summaries of entries, and each sends
-//! what the other lacks.
+//! One director sends the sum of its root. If the other's root differs, it replies with the sums of the root's
+//! children, and so on down to the leaves that differ. For these leaves they exchange summaries of the entries,
+//! and each sends the entries that the other lacks.
 
 use super::message::RangeSummary;
 use super::packing::pack_entries_at;
@@ -14,18 +14,19 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Nodes or leaves that one message leads to.
+/// Maximum number of nodes of a received message that are compared, and of differing children that are handled
+/// in reply.
 const MAX_NODES_PER_STEP: usize = 16;
-/// Inner nodes in one message.
+/// Maximum number of inner nodes in one message.
 const NODES_PER_MESSAGE: usize = 4;
-/// Sums of entries, or key hashes, in one message.
+/// Maximum number of entry hashes or key hashes in one message.
 const MAX_SUMS_PER_MESSAGE: usize = 50;
-/// Entries of a range that are compared with one summary.
+/// Maximum number of local entries that are compared with one received summary.
 const MAX_COMPARED_ENTRIES: usize = 4 * MAX_SUMS_PER_MESSAGE;
 /// Mean time between two root digests, in microseconds.
 const DIGEST_INTERVAL: Micros = 500_000;
 
-/// When the next root digest is due, and which members were found to be in sync.
+/// The time at which the next root digest is due, and the members known to have been in sync.
 #[derive(Debug)]
 pub(super) struct AntiEntropy<P> {
     next_digest: Micros,
@@ -33,55 +34,56 @@
 }
 
 impl<P: Clone + Eq + Hash> AntiEntropy<P> {
-    /// With a digest due at once.
+    /// Creates the state with a root digest due immediately.
     pub(super) fn new(now: Micros) -> AntiEntropy<P> {
         AntiEntropy { next_digest: now, last_in_sync: HashMap::new() }
     }
 
-    /// Whether a root digest is due now; schedules the next one if so.
+    /// Returns whether a root digest is due, and if so schedules the next one.
     pub(super) fn digest_due(&mut self, now: Micros, random: &mut Random) -> bool {
         if now < self.next_digest {
             return false;
         }
-        // Drawn between half and one and a half of the mean, so that directors do not fall into step.
+        // The interval is drawn from 0.5 to 1.5 times the mean, so that directors do not synchronise.
         self.next_digest = now + DIGEST_INTERVAL / 2 + random.below(DIGEST_INTERVAL as usize) as Micros;
         true
     }
 
-    /// Records that a member's digest is the same as ours.
+    /// Records that a member's root digest is the same as the local one.
     pub(super) fn record_in_sync(&mut self, peer: &P, now: Micros) {
         self.last_in_sync.insert(peer.clone(), now);
     }
 
-    /// When a member's digest was last the same as ours.
+    /// Returns the time at which a member was last recorded as in sync, if ever.
     pub(super) fn last_in_sync(&self, peer: &P) -> Option<Micros> {
         self.last_in_sync.get(peer).copied()
     }
 
-    /// Forgets all but these members.
+    /// Removes the records of all members that are not in `peers`.
     pub(super) fn retain(&mut self, peers: &[P]) {
         self.last_in_sync.retain(|peer, _| peers.contains(peer));
     }
 }
 
-/// The message that opens a walk.
+/// Returns the message that starts a comparison.
 pub(super) fn root_digest(state: &ReplicatedState) -> GossipMessage {
     GossipMessage::RootDigest(state.digest().sum(Node::ROOT))
 }
 
-/// The first step of a walk: the sums of the root's children.
+/// Returns the reply to a root digest that differs: the sums of the root's children.
 pub(super) fn root_children(state: &ReplicatedState) -> GossipMessage {
     GossipMessage::ChildDigests(vec![state.digest().child_sums(Node::ROOT)])
 }
 
-/// A further step of a walk: the messages that answer a member's sums of some nodes' children.
+/// Compares received sums with the local digest. Returns the next messages of the comparison: child sums of the
+/// inner nodes that differ, and summaries of the leaves that differ.
 pub(super) fn compare_children(
     state: &ReplicatedState,
     nodes: &[ChildSums],
     random: &mut Random,
 ) -> Vec<GossipMessage> {
     let mut differing = differing_children(state, nodes);
-    // Not always the first ones: a later walk finds what is left out now.
+    // Starts at a random node: if more nodes differ than one step may handle, later comparisons reach the rest.
     let start = random.below(differing.len());
     differing.rotate_left(start);
     differing.truncate(MAX_NODES_PER_STEP);
@@ -95,7 +97,8 @@
     messages
 }
 
-/// The end of a walk: sends what a member lacks within a range, and asks for what is lacking here.
+/// Completes a comparison within a range: returns messages with the entries that the member lacks, and requests
+/// for the entries that this director lacks.
 pub(super) fn repair(state: &ReplicatedState, theirs: &RangeSummary) -> Vec<GossipMessage> {
     let ours = state.entry_sums(theirs.first..=theirs.last);
     let ours: Vec<EntrySum> = ours.take(MAX_COMPARED_ENTRIES).collect();
@@ -111,7 +114,7 @@
     messages
 }
 
-/// The entries that a member asks for.
+/// Returns the entries that a member requested.
 pub(super) fn requested_entries(state: &ReplicatedState, key_hashes: Vec<u64>) -> Vec<GossipMessage> {
     pack_entries_at(state, key_hashes.into_iter().take(MAX_SUMS_PER_MESSAGE))
 }
@@ -126,7 +129,7 @@
     differing
 }
 
-/// Summaries that cover the range of a leaf without a gap.
+/// Returns summaries that together cover the whole key hash range of a leaf, without gaps.
 fn summarize_leaf(state: &ReplicatedState, leaf: Node) -> Vec<GossipMessage> {
     let range = leaf_key_hashes(leaf.index);
     let entries: Vec<EntrySum> = state.entry_sums(range.clone()).collect();
--- a/src/replication/gossip/catch_up.rs
+++ b/src/replication/gossip/catch_up.rs
@@ -1,8 +1,8 @@
-//! Catching up: a director that starts, or that was away for longer than tombstones are kept, transfers all
-//! entries of others.
+//! Catch-up: a director that starts, or that was disconnected for longer than tombstones are kept, transfers all
+//! entries of other members.
 //!
-//! The key hashes are divided into lanes that are transferred side by side. A lane whose source falls silent
-//! continues with another member from where it is: it makes no difference from whom an entry comes.
+//! The key hashes are divided into transfer lanes that run concurrently. If the source of a lane stops answering,
+//! the lane continues at its current position with another member: an entry is valid regardless of its source.
 
 use super::message::{TransferChunk, TransferRequest};
 use super::packing::MAX_MESSAGE_BYTES;
@@ -12,54 +12,56 @@
 use crate::replication::entry::encode;
 use crate::replication::state::ReplicatedState;
 
-/// Transfer lanes.
+/// Number of transfer lanes, which divide the key hashes evenly.
 pub const LANES: usize = 8;
-/// A lane whose source has been silent for this long (microseconds) continues with another.
+/// Time to wait for the answer to a request before the lane continues with another source, in microseconds.
 const SOURCE_TIMEOUT: Micros = 250_000;
-/// Without a member, or with none that has caught up, a director goes on alone after this (microseconds).
-const ALONE_AFTER: Micros = 3_000_000;
+/// Time after which catch-up ends if there is no member to transfer from, or none that has caught up, in
+/// microseconds.
+const NO_PEERS_TIMEOUT: Micros = 3_000_000;
 
-/// How far a director has caught up.
+/// The stage of catch-up of a director.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It transfers what others hold.
+    /// The director transfers the entries of other members.
     CatchingUp,
-    /// It holds what the members that it caught up from held.
+    /// The director has transferred all entries of members that had themselves caught up.
     CaughtUp,
-    /// Nobody could be asked in time: it goes on with what it has.
-    Alone,
+    /// There was no member to transfer from in time, or none that had caught up. The director continues with
+    /// the entries that it has.
+    NoPeers,
 }
 
-/// A range of key hashes that is transferred in order.
+/// A range of key hashes, transferred in ascending order.
 #[derive(Clone, Debug)]
 struct TransferLane<P> {
-    /// The key hash to continue from; none: the lane is complete.
+    /// The key hash to continue from, or `None` if the lane is complete.
     next: Option<u64>,
     last: u64,
-    outstanding: Option<Outstanding<P>>,
+    outstanding: Option<OutstandingRequest<P>>,
 }
 
-/// A request that is not yet answered.
+/// A request that has not been answered yet.
 #[derive(Clone, Debug)]
-struct Outstanding<P> {
+struct OutstandingRequest<P> {
     source: P,
     sent_at: Micros,
 }
 
-/// The progress of catching up; `P` names a member.
+/// The progress of catch-up. `P` identifies a member.
 #[derive(Debug)]
 pub(super) struct CatchUp<P> {
     stage: Stage,
     lanes: Vec<TransferLane<P>>,
     started_at: Micros,
-    /// Whether some source had not caught up itself.
+    /// Whether any chunk came from a source that had not caught up itself.
     incomplete_source: bool,
     /// The member that last answered a request.
     last_source: Option<P>,
 }
 
 impl<P: Clone + Eq> CatchUp<P> {
-    /// At the start of a director.
+    /// Creates the state for a director that starts: catch-up begins with all lanes.
     pub(super) fn new(now: Micros) -> CatchUp<P> {
         let mut catch_up = CatchUp {
             stage: Stage::CatchingUp,
@@ -72,7 +74,7 @@
         catch_up
     }
 
-    /// Begins anew with all lanes.
+    /// Restarts catch-up from the beginning of all lanes.
     pub(super) fn restart(&mut self, now: Micros) {
         let width = (u64::MAX / LANES as u64) + 1;
         let lane =
@@ -83,17 +85,17 @@
         self.incomplete_source = false;
     }
 
-    /// The present stage.
+    /// Returns the current stage.
     pub(super) fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether entries are still transferred.
+    /// Returns whether catch-up has not ended yet.
     pub(super) fn is_catching_up(&self) -> bool {
         self.stage == Stage::CatchingUp
     }
 
-    /// Sends the requests that are due. Returns how many lanes continue with another source.
+    /// Sends the requests that are due. Returns the number of lanes that replaced an outstanding request.
     pub(super) fn send_requests(
         &mut self,
         peers: &[P],
@@ -105,8 +107,8 @@
             return 0;
         }
         if peers.is_empty() {
-            if now.saturating_sub(self.started_at) > ALONE_AFTER {
-                self.stage = Stage::Alone;
+            if now.saturating_sub(self.started_at) > NO_PEERS_TIMEOUT {
+                self.stage = Stage::NoPeers;
             }
             return 0;
         }
@@ -123,30 +125,34 @@
         source_changes
     }
 
-    /// Whether a lane has an outstanding request that may still be answered.
+    /// Returns whether a lane has an outstanding request that may still be answered.
     fn awaits_answer(&self, lane: usize, peers: &[P], now: Micros) -> bool {
         self.lanes[lane].outstanding.as_ref().is_some_and(|request| {
             now.saturating_sub(request.sent_at) <= SOURCE_TIMEOUT && peers.contains(&request.source)
         })
     }
 
-    /// The member that answers other lanes, or else any.
+    /// Chooses the member that last answered any lane, or a random member if that one is gone or did not answer
+    /// this lane.
     fn choose_source(&self, lane: usize, peers: &[P], random: &mut Random) -> P {
-        let silent = self.lanes[lane].outstanding.as_ref().map(|request| &request.source);
-        let answering =
-            self.last_source.as_ref().filter(|source| silent != Some(*source) && peers.contains(source));
-        // Drawn in any case, so that the order of draws does not depend on the answers.
+        let unresponsive = self.lanes[lane].outstanding.as_ref().map(|request| &request.source);
+        let responsive = self
+            .last_source
+            .as_ref()
+            .filter(|source| unresponsive != Some(*source) && peers.contains(source));
+        // Drawn even if unused, so that the sequence of draws does not depend on the answers.
         let any = random.below(peers.len());
-        answering.unwrap_or(&peers[any]).clone()
+        responsive.unwrap_or(&peers[any]).clone()
     }
 
     fn request(&mut self, lane: usize, first: u64, source: P, now: Micros, out: &mut Outbox<P>) {
-        self.lanes[lane].outstanding = Some(Outstanding { source: source.clone(), sent_at: now });
+        self.lanes[lane].outstanding = Some(OutstandingRequest { source: source.clone(), sent_at: now });
         let last = self.lanes[lane].last;
         out.push((source, GossipMessage::TransferRequest(TransferRequest { lane: lane as u8, first, last })));
     }
 
-    /// Follows the answer to a request, whose entries have been merged.
+    /// Handles the answer to a request, after its entries have been merged: requests the next chunk, or ends
+    /// catch-up if all lanes are complete.
     pub(super) fn handle_chunk(&mut self, from: &P, chunk: &TransferChunk, now: Micros, out: &mut Outbox<P>) {
         let lane = usize::from(chunk.lane);
         let is_expected = self.lanes.get(lane).is_some_and(|lane| lane.next == Some(chunk.first));
@@ -165,31 +171,33 @@
         }
     }
 
-    /// All lanes are complete.
+    /// Ends catch-up when all lanes are complete, or schedules a retry if a source had not caught up.
     fn finish(&mut self, last_source: &P, now: Micros) {
         if !self.incomplete_source {
             self.stage = Stage::CaughtUp;
-        } else if now.saturating_sub(self.started_at) > ALONE_AFTER {
-            // Nobody has caught up: all started at the same time, and have now sent each other what they
-            // have.
-            self.stage = Stage::Alone;
+        } else if now.saturating_sub(self.started_at) > NO_PEERS_TIMEOUT {
+            // No member has caught up because all started at the same time. By now they have sent each other
+            // their entries.
+            self.stage = Stage::NoPeers;
         } else {
             self.retry_later(last_source, now);
         }
     }
 
-    /// Begins anew after a pause, by the end of which others may have caught up.
+    /// Restarts all lanes after a pause of a quarter of the source timeout, during which other members may catch
+    /// up. The start time is kept, so that [`NO_PEERS_TIMEOUT`] still applies.
     fn retry_later(&mut self, last_source: &P, now: Micros) {
         let started_at = self.started_at;
         self.restart(now);
         self.started_at = started_at;
         let retry_at = now + SOURCE_TIMEOUT / 4;
-        let outstanding = Outstanding { source: last_source.clone(), sent_at: retry_at - SOURCE_TIMEOUT };
+        let outstanding =
+            OutstandingRequest { source: last_source.clone(), sent_at: retry_at - SOURCE_TIMEOUT };
         self.lanes.iter_mut().for_each(|lane| lane.outstanding = Some(outstanding.clone()));
     }
 }
 
-/// The answer to a request of a director that catches up.
+/// Returns the answer to a transfer request.
 pub(super) fn next_chunk(
     state: &ReplicatedState,
     request: TransferRequest,
@@ -199,7 +207,7 @@
     let (mut entries, mut size, mut next) = (Vec::new(), 0, None);
     let mut key_hash = first;
     for entry in state.range(first..=last) {
-        // Keys with the same hash go together: a lane continues from a hash, not from a key.
+        // Keys with the same hash must be in the same chunk: a lane continues from a hash, not from a key.
         if size > MAX_MESSAGE_BYTES && entry.key_hash != key_hash {
             next = Some(entry.key_hash);
             break;
--- a/src/replication/gossip/counters.rs
+++ b/src/replication/gossip/counters.rs
@@ -1,23 +1,23 @@
-//! Counters of the protocol since the start.
+//! Counters of the gossip protocol.
 
 use crate::replication::state::MergeError;
 use std::collections::BTreeMap;
 
-/// What was counted since the start.
+/// Counters since the start of the director.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GossipCounters {
-    /// Entries received that changed the state.
+    /// Received entries that changed the state.
     pub merged: u64,
-    /// Entries received that were already known.
+    /// Received entries that were already known.
     pub unchanged: u64,
-    /// Entries received that differ from ours in the same version.
+    /// Received entries that have the same revision as the local entry but a different value.
     pub conflicts: u64,
-    /// Entries rejected, by cause.
+    /// Received entries that were rejected, by cause.
     pub rejected: BTreeMap<MergeError, u64>,
-    /// Updates that were not gossiped, because too many were pending.
+    /// Updates that were not gossiped because the queue of pending updates was full.
     pub updates_dropped: u64,
-    /// Root digests that differed from ours.
+    /// Received root digests that differed from the local one and started a comparison.
     pub digest_mismatches: u64,
-    /// Times that a transfer lane continued with another source.
+    /// Times that a transfer lane replaced an unanswered request by a new one, usually to another source.
     pub source_changes: u64,
 }
--- a/src/replication/gossip/message.rs
+++ b/src/replication/gossip/message.rs
@@ -1,7 +1,7 @@
 //! The messages of the gossip and anti-entropy protocol.
 //!
-//! They are encoded by postcard, which writes enum variants by their number and fields by their order,
-//! without names: the order of both is the wire format.
+//! The messages are encoded by postcard, which writes enum variants by index and fields in declaration order,
+//! without names. Reordering either changes the wire format.
 
 use crate::replication::digest::{ChildSums, EntrySum};
 use crate::replication::entry::{Key, Value};
@@ -10,55 +10,55 @@
 /// A message between two directors.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum GossipMessage {
-    /// Entries: updates that are gossiped, and repairs.
+    /// Entries that are gossiped, or that anti-entropy found missing at the receiver.
     Updates(Vec<(Key, Value)>),
-    /// The sum of the root of the sender's digest tree.
+    /// The root sum of the sender's digest tree.
     RootDigest(u64),
     /// Nodes of the sender's digest tree, each with the sums of its children.
     ChildDigests(Vec<ChildSums>),
-    /// All entries of the sender within a range, by their sums.
+    /// The hashes of all entries of the sender within a range of key hashes.
     RangeSummary(RangeSummary),
-    /// Asks for the entries with these key hashes.
+    /// Requests the entries with these key hashes.
     RequestEntries(Vec<u64>),
-    /// Asks for the next entries of a transfer lane.
+    /// Requests the next entries of a transfer lane.
     TransferRequest(TransferRequest),
     /// Answers a [`TransferRequest`].
     TransferChunk(TransferChunk),
 }
 
-/// What the sender holds within a range of key hashes.
+/// The hashes of the sender's entries within a range of key hashes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeSummary {
     /// The first key hash of the range.
     pub first: u64,
-    /// The last key hash of the range, included.
+    /// The last key hash of the range, inclusive.
     pub last: u64,
-    /// The entries, in the order of their key hashes.
+    /// The hashes of each entry, in ascending order of the key hashes.
     pub entries: Vec<EntrySum>,
 }
 
-/// A request for entries, sent by a director that catches up.
+/// A request for entries, sent by a director during catch-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferRequest {
-    /// The sender's number of the lane.
+    /// The index of the lane, assigned by the sender and returned in the response.
     pub lane: u8,
-    /// The first key hash that is asked for.
+    /// The first key hash of the requested range.
     pub first: u64,
-    /// The last key hash that is asked for, included.
+    /// The last key hash of the requested range, inclusive.
     pub last: u64,
 }
 
-/// Entries for a director that catches up.
+/// The response to a [`TransferRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferChunk {
-    /// The lane, from the request.
+    /// The index of the lane, copied from the request.
     pub lane: u8,
-    /// The first key hash, from the request.
+    /// The first key hash, copied from the request.
     pub first: u64,
-    /// The entries.
+    /// The entries from `first` on, in ascending order of their key hashes.
     pub entries: Vec<(Key, Value)>,
-    /// The key hash to continue from; none: this was the last chunk of the lane.
+    /// The key hash to continue from, or `None` if this is the last chunk of the lane.
     pub next: Option<u64>,
-    /// Whether the sender itself has caught up.
+    /// Whether the sender of the chunk is past catch-up itself.
     pub sender_caught_up: bool,
 }
--- a/src/replication/gossip/mod.rs
+++ b/src/replication/gossip/mod.rs
@@ -1,20 +1,20 @@
-//! The gossip and anti-entropy protocol: messages in, messages out. No socket and no clock; the host gives
-//! times and random draws.
+//! The gossip and anti-entropy protocol between directors. It handles received messages and returns the messages
+//! to send; it uses no socket and no clock. The caller passes in the times and a random seed.
 //!
-//! Three mechanisms run side by side, each of which alone would bring two directors to the same state:
+//! Three mechanisms run concurrently. Each alone would bring two directors to the same state:
 //!
-//! - **Gossip** (`pending_updates`). An update is sent to a few members at once, and each for whom it is new
-//!   sends it to a few more. Each is sent in [`ROUNDS`] rounds to [`FANOUT`] members. Nearly all members have
-//!   it within a few rounds.
-//! - **Anti-entropy** (`anti_entropy`). From time to time a director sends the root of its digest tree to one
-//!   member. Where it differs the two walk down the tree to the leaves that differ, and each sends what the
-//!   other lacks. So the rest get it, and who was partitioned.
-//! - **Catching up** (`catch_up`). A director that starts, or that was away for longer than tombstones are
-//!   kept, transfers all entries of others.
+//! - **Gossip** (`pending_updates`). A director sends an update to [`FANOUT`] random members in each of
+//!   [`ROUNDS`] rounds. Each member to which the update is new does the same. Nearly all members have the
+//!   update within a few rounds.
+//! - **Anti-entropy** (`anti_entropy`). At intervals a director sends the root of its digest tree to one random
+//!   member. If the roots differ, the two descend the trees to the leaves that differ, and each sends the
+//!   entries that the other lacks. This reaches members that gossip missed, and those that were partitioned.
+//! - **Catch-up** (`catch_up`). A director that starts, or that was disconnected for longer than tombstones are
+//!   kept, transfers all entries of other members.
 //!
-//! All of it is bounded: a message by [`MAX_MESSAGE_BYTES`], pending updates by [`MAX_PENDING_UPDATES`], a
-//! step of a walk by its nodes. A message is answered by a few, so a peer that floods gets no more back than
-//! a fixed multiple.
+//! All resources are bounded: messages by [`MAX_MESSAGE_BYTES`], pending updates by [`MAX_PENDING_UPDATES`], a
+//! step of a tree comparison by its number of nodes. A message causes a bounded number of replies, so a peer that
+//! floods a director gets back at most a fixed multiple of what it sends.
 
 mod anti_entropy;
 mod catch_up;
@@ -41,50 +41,51 @@
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// How often expired entries are removed, in microseconds.
+/// Interval between removals of expired entries, in microseconds.
 const EXPIRY_INTERVAL: Micros = 1_000_000;
 
-/// Messages to send, each to a member.
+/// Messages to send, each with its destination.
 pub type Outbox<P> = Vec<(P, GossipMessage)>;
 
-/// An entry of this director that has changed.
+/// An entry of this director that a received message has changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Update {
-    /// The key.
+    /// The key of the changed entry.
     pub key: Key,
-    /// Its present value.
+    /// The value after the merge.
     pub value: Value,
 }
 
-/// Whether entries that are new here are gossiped to other members.
+/// Selects whether merged entries that are new to this director are gossiped to other members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Forward {
     Yes,
-    /// Others have them already.
+    /// Used for entries from catch-up, which other members have already.
     No,
 }
 
-/// One director's part in the protocol; `P` names a member.
+/// The state of the protocol at one director. `P` identifies a member.
 #[derive(Debug)]
 pub struct GossipProtocol<P> {
-    /// All entries.
+    /// The replicated entries of this director.
     pub state: ReplicatedState,
-    /// The other members.
+    /// The members other than this director.
     peers: Vec<P>,
     pending: PendingUpdates,
     anti_entropy: AntiEntropy<P>,
     catch_up: CatchUp<P>,
     next_expiry: Micros,
-    /// When a message of any member was last received.
+    /// Monotonic time at which a message was last received from any member.
     last_received: Micros,
-    /// Entries that changed since they were last taken.
+    /// Entries that received messages have changed since the last call of `take_updates`.
     updates: Vec<Update>,
     counters: GossipCounters,
     random: Random,
 }
 
 impl<P: Clone + Debug + Eq + Hash> GossipProtocol<P> {
-    /// Begins with what a disk held, and catches up once there are members.
+    /// Creates the protocol with a state that may contain entries from disk. Catch-up begins at once, and
+    /// requests entries as soon as there are members.
     pub fn new(state: ReplicatedState, seed: u64, now: ClockReading) -> GossipProtocol<P> {
         GossipProtocol {
             state,
@@ -100,45 +101,46 @@
         }
     }
 
-    /// How far this director has caught up.
+    /// Returns the stage of catch-up of this director.
     pub fn stage(&self) -> Stage {
         self.catch_up.stage()
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start of the director.
     pub fn counters(&self) -> &GossipCounters {
         &self.counters
     }
 
-    /// The other members.
+    /// Returns the members other than this director.
     pub fn peers(&self) -> &[P] {
         &self.peers
     }
 
-    /// When a member's digest was last the same as ours, by the monotonic clock.
+    /// Returns the monotonic time at which a member was last in sync: its root digest was the same as the local
+    /// one. Returns `None` if it never was.
     pub fn last_in_sync(&self, peer: &P) -> Option<Micros> {
         self.anti_entropy.last_in_sync(peer)
     }
 
-    /// Sets the other members.
+    /// Sets the members other than this director.
     pub fn set_members(&mut self, peers: Vec<P>) {
         self.anti_entropy.retain(&peers);
         self.peers = peers;
     }
 
-    /// Takes the entries that changed by others' messages since the last call.
+    /// Takes the entries that received messages have changed since the last call.
     pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
 
-    /// Gossips an entry that was changed at this director.
+    /// Queues an entry that was changed at this director for gossip. Does nothing for `None`.
     pub fn publish(&mut self, change: Option<(Key, Value)>) {
         if let Some((key, _)) = change {
-            self.gossip(key);
+            self.enqueue_update(key);
         }
     }
 
-    /// Does what is due; to be called some tens of times a second.
+    /// Removes expired entries and sends all messages that are due. Must be called some tens of times a second.
     pub fn tick(&mut self, now: ClockReading, out: &mut Outbox<P>) {
         self.expire_entries(now);
         self.send_pending_updates(out);
@@ -146,7 +148,7 @@
         self.send_root_digest(now, out);
     }
 
-    /// Handles a message of a member.
+    /// Handles a message from a member, and adds the replies to `out`.
     pub fn handle_message(
         &mut self,
         from: &P,
@@ -181,13 +183,13 @@
         }
     }
 
-    fn gossip(&mut self, key: Key) {
+    fn enqueue_update(&mut self, key: Key) {
         if !self.pending.add(key) {
             self.counters.updates_dropped += 1;
         }
     }
 
-    /// One round of all pending updates.
+    /// Sends all pending updates to a random sample of members (one gossip round).
     fn send_pending_updates(&mut self, out: &mut Outbox<P>) {
         if self.pending.is_empty() || self.peers.is_empty() {
             return;
@@ -210,8 +212,9 @@
         }
     }
 
-    /// Records that a member was heard. After a silence longer than tombstones are kept, others may have
-    /// removed what this director still lists.
+    /// Records that a message was received. If none was received for longer than tombstones are kept, other
+    /// members may have removed servers that this director still lists: it discards its endpoint list and
+    /// restarts catch-up.
     fn record_contact(&mut self, now: ClockReading) {
         let silence = now.monotonic.saturating_sub(self.last_received);
         self.last_received = now.monotonic;
@@ -246,7 +249,7 @@
         self.counters.merged += 1;
         if let Some(value) = self.state.get(&key).cloned() {
             if forward == Forward::Yes {
-                self.gossip(key.clone());
+                self.enqueue_update(key.clone());
             }
             self.updates.push(Update { key, value });
         }
@@ -270,7 +273,7 @@
     }
 
     fn handle_chunk(&mut self, from: &P, mut chunk: TransferChunk, now: ClockReading, out: &mut Outbox<P>) {
-        // Merged whatever was asked for: an entry is valid whoever sends it.
+        // Merged even if this director did not request the chunk: an entry is valid regardless of its sender.
         self.merge_entries(std::mem::take(&mut chunk.entries), Forward::No, now);
         self.catch_up.handle_chunk(from, &chunk, now.monotonic, out);
     }
--- a/src/replication/gossip/packing.rs
+++ b/src/replication/gossip/packing.rs
@@ -4,10 +4,10 @@
 use crate::replication::entry::{encode, Key, Value};
 use crate::replication::state::ReplicatedState;
 
-/// Bytes of entries in one message; a single entry may be larger.
+/// Maximum size of the encoded entries in one message, in bytes. A message with a single entry may be larger.
 pub const MAX_MESSAGE_BYTES: usize = 1_050;
 
-/// Entries as updates, in as many messages as their size requires.
+/// Packs entries into as many [`GossipMessage::Updates`] messages as their size requires.
 pub(super) fn pack_updates(entries: Vec<(Key, Value)>) -> Vec<GossipMessage> {
     let (mut messages, mut size) = (Vec::new(), usize::MAX);
     for entry in entries {
@@ -24,7 +24,7 @@
     messages.into_iter().map(GossipMessage::Updates).collect()
 }
 
-/// The entries with these key hashes, as updates.
+/// Packs the entries with these key hashes into [`GossipMessage::Updates`] messages.
 pub(super) fn pack_entries_at(
     state: &ReplicatedState,
     key_hashes: impl Iterator<Item = u64>,
--- a/src/replication/gossip/random.rs
+++ b/src/replication/gossip/random.rs
@@ -1,29 +1,29 @@
-//! The pseudo-random draws of the protocol, fixed by its seed.
+//! The pseudo-random number generator of the gossip protocol.
 
 use crate::policy::estimators::hash::{mix, unit_interval};
 
-/// The increment of the generator's state (SplitMix64).
+/// The increment of the generator's state, as in SplitMix64.
 const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A pseudo-random generator.
+/// A pseudo-random number generator whose sequence depends only on its seed.
 #[derive(Debug)]
 pub(super) struct Random {
     state: u64,
 }
 
 impl Random {
-    /// The same seed gives the same draws.
+    /// Creates a generator. The same seed gives the same sequence.
     pub(super) fn new(seed: u64) -> Random {
         Random { state: mix(seed, 3) }
     }
 
-    /// An index below a bound; 0 if the bound is 0.
+    /// Draws an index from 0 to `bound` (exclusive). Returns 0 if the bound is 0.
     pub(super) fn below(&mut self, bound: usize) -> usize {
         self.state = self.state.wrapping_add(INCREMENT);
         (unit_interval(mix(self.state, 0)) * bound as f64) as usize
     }
 
-    /// Some of these items, drawn without replacement.
+    /// Draws up to `count` of the items, without replacement.
     pub(super) fn sample<T: Clone>(&mut self, items: &[T], count: usize) -> Vec<T> {
         let mut indices: Vec<usize> = (0..items.len()).collect();
         let count = count.min(indices.len());
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,17 +1,17 @@
-//! The state that directors share: an update at one director reaches all others. Pure: no clock, no I/O;
-//! times, randomness and messages are given.
+//! State that is replicated between directors: an update made at one director reaches all others. This module
+//! reads no clock and does no I/O; the caller passes in the times, the random seed and the messages.
 //!
 //! | module | contents |
 //! | --- | --- |
-//! | [`entry`] | what is replicated, and how two copies are merged |
-//! | [`state`] | all entries of one director, bounded, with their expiry |
-//! | [`digest`] | digests over ranges, by which two directors find what differs |
-//! | [`gossip`] | the protocol: gossip, anti-entropy, catching up; messages in, messages out |
-//! | [`replay_window`] | which messages are new and which are replayed |
+//! | [`entry`] | keys, values and the merge of two copies of a value |
+//! | [`state`] | all entries of one director, with their bounds and expiry |
+//! | [`digest`] | digests over ranges of keys, by which two directors find the entries that differ |
+//! | [`gossip`] | the protocol: gossip, anti-entropy and catch-up |
+//! | [`replay_window`] | detection of replayed messages |
 //!
 //! The state of a director is a map from [`entry::Key`] to [`entry::Value`]. Two maps are merged entry by
-//! entry, and each merge is commutative, associative and idempotent (a CRDT): directors that have received
-//! the same updates hold the same state, in whatever order and however often these arrived.
+//! entry, and each merge is commutative, associative and idempotent (a CRDT). Directors that have received the
+//! same updates therefore hold the same state, regardless of the order and number of deliveries.
 //! `docs/design/replica.md` compares the alternatives; `docs/replication.md` is for operators.
 
 pub mod digest;
--- a/src/replication/replay_window.rs
+++ b/src/replication/replay_window.rs
@@ -1,18 +1,19 @@
-//! Detection of replayed messages: each message of a sender is accepted once.
+//! Detection of replayed messages: each message of a sender is accepted only once.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Message numbers below the highest that are told apart; lower ones are rejected.
+/// Number of message numbers, counted back from the highest received, for which receipt is recorded. Lower
+/// numbers are rejected.
 pub const WINDOW_MESSAGES: u64 = 1024;
-/// Ended incarnations that are remembered for each sender.
+/// Maximum number of ended incarnations that are stored for each sender.
 const MAX_ENDED_INCARNATIONS: usize = 8;
 
-/// The message numbers received of one incarnation of a sender.
+/// The message numbers received from one incarnation of a sender.
 #[derive(Debug, Default)]
 struct SenderWindow {
     incarnation: u64,
     highest: u64,
-    /// One bit for each number, by its remainder.
+    /// One bit for each message number, at the index `number % WINDOW_MESSAGES`.
     received: [u64; (WINDOW_MESSAGES / 64) as usize],
     ended_incarnations: VecDeque<u64>,
 }
@@ -22,7 +23,7 @@
         SenderWindow { incarnation, ..SenderWindow::default() }
     }
 
-    /// The index of a number's element, and its bit in it.
+    /// Returns the index of the element of `received` that contains a message number, and the mask of its bit.
     fn bit(number: u64) -> (usize, u64) {
         let remainder = number % WINDOW_MESSAGES;
         ((remainder / 64) as usize, 1 << (remainder % 64))
@@ -33,7 +34,8 @@
             return false;
         }
         if number > self.highest {
-            // The numbers between have not been received; after a jump beyond the window none has.
+            // Clears the bits of the numbers since the former highest. After a jump of a whole window or more, all
+            // bits are cleared.
             for skipped in (self.highest + 1..=number).rev().take(WINDOW_MESSAGES as usize) {
                 let (index, bit) = Self::bit(skipped);
                 self.received[index] &= !bit;
@@ -46,7 +48,7 @@
         is_new
     }
 
-    /// Begins a later incarnation of the sender.
+    /// Starts an empty window for a new incarnation of the sender, and records the previous one as ended.
     fn begin_incarnation(&mut self, incarnation: u64) {
         let mut ended_incarnations = std::mem::take(&mut self.ended_incarnations);
         ended_incarnations.push_back(self.incarnation);
@@ -57,23 +59,24 @@
     }
 }
 
-/// The windows of a bounded number of senders; the one that was added first is forgotten first.
+/// Replay windows for a bounded number of senders. At the bound, the sender that was added first is evicted.
 #[derive(Debug)]
 pub struct ReplayWindow<S> {
     max_senders: usize,
     windows: HashMap<S, SenderWindow>,
-    /// The senders in the order in which they were added.
+    /// The senders in the order in which they were added, which is the order of eviction.
     order: VecDeque<S>,
 }
 
 impl<S: Clone + Eq + std::hash::Hash> ReplayWindow<S> {
-    /// For at most this many senders.
+    /// Creates an empty set of windows for at most `max_senders` senders.
     pub fn new(max_senders: usize) -> ReplayWindow<S> {
         ReplayWindow { max_senders, windows: HashMap::new(), order: VecDeque::new() }
     }
 
-    /// Whether a message is new: of the sender's present incarnation, numbered from 1, and not yet received.
-    /// Another incarnation becomes the present one, unless it is known to have ended.
+    /// Records a message and returns whether it is new: it belongs to the sender's current incarnation and has a
+    /// number of 1 or more that was not received before. An unknown incarnation becomes the current one; one
+    /// recorded as ended is rejected.
     pub fn accept(&mut self, sender: &S, incarnation: u64, number: u64) -> bool {
         if !self.windows.contains_key(sender) {
             self.add(sender, incarnation);
@@ -96,7 +99,8 @@
         self.windows.insert(sender.clone(), SenderWindow::of_incarnation(incarnation));
     }
 
-    /// How many senders have a window, and how many are queued to be forgotten: always the same number.
+    /// Returns the number of senders that have a window, and the number that are queued for eviction. Both are
+    /// always equal.
     pub fn remembered(&self) -> (usize, usize) {
         (self.windows.len(), self.order.len())
     }
--- a/src/replication/state/bounds.rs
+++ b/src/replication/state/bounds.rs
@@ -1,27 +1,30 @@
-//! The bounds of the replicated state, and why an entry is rejected.
+//! The bounds of the replicated state, and the reasons for which an entry is rejected.
 
 use crate::policy::types::Micros;
 
-/// The longest name of an object or server, in bytes.
+/// Maximum length of the name of an object or server, in bytes.
 pub const MAX_NAME_BYTES: usize = 512;
-/// How far directors' clocks may differ, in microseconds: a purge from further in the future is rejected.
+/// Maximum difference between directors' clocks, in microseconds. A purge with a time further in the future is
+/// rejected.
 pub const MAX_CLOCK_SKEW: Micros = 60_000_000;
-/// Incarnations in one drain record: an entry with more would not fit a message.
+/// Maximum number of incarnations in one drain record. An entry with more would not fit into a message.
 pub(super) const MAX_DRAIN_INCARNATIONS: usize = 256;
-/// Memory of an entry beside its encoding, in bytes: its node in the map, its time and its sum.
+/// Memory of an entry in addition to its encoding, in bytes: its map node, the time of its last change and its
+/// hash.
 pub(super) const ENTRY_OVERHEAD_BYTES: usize = 96;
 
-/// How much is stored, and for how long.
+/// Limits on the size of the state and on the retention of its entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The most entries.
+    /// Maximum number of entries.
     pub entries: usize,
-    /// The most bytes of keys and values, with the overhead of each entry.
+    /// Maximum memory in bytes: encoded keys and values, plus an overhead of 96 bytes for each entry.
     pub bytes: usize,
-    /// How long a purge is kept after its own time, in microseconds: no older copy can be stored anywhere by
-    /// then.
+    /// How long a purge is kept after its time, in microseconds. By then no cache can still store a copy that
+    /// is older than the purge.
     pub purge_retention: Micros,
-    /// How long tombstones are kept, in microseconds. A director that was away for longer forgets its list.
+    /// How long tombstones are kept, in microseconds. A director that was disconnected or stopped for longer
+    /// discards its endpoint list.
     pub tombstone_retention: Micros,
 }
 
@@ -36,25 +39,30 @@
     }
 }
 
-/// Why an entry was rejected.
+/// The reason for which an entry was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum MergeError {
-    /// The value is not of its key's kind, or the name is empty or too long.
-    #[error("malformed entry")]
+    /// The value does not match the kind of its key, or the name is empty or longer than [`MAX_NAME_BYTES`].
+    #[error(
+        "malformed entry: the value does not match its key, or the name is not 1 to {} bytes long",
+        MAX_NAME_BYTES
+    )]
     Malformed,
-    /// A purge, or an event of a server, that is older than what is kept.
-    #[error("expired entry")]
+    /// A purge is older than [`Bounds::purge_retention`], or a server that is not listed has a revision whose
+    /// tombstone may have been evicted.
+    #[error("expired entry: older than the retention period or than an evicted tombstone")]
     Expired,
-    /// A purge from further in the future than clocks may differ.
-    #[error("purge from the future")]
+    /// The time of a purge is more than [`MAX_CLOCK_SKEW`] ahead of this director's clock.
+    #[error("purge time is more than {} s ahead of this director's clock", MAX_CLOCK_SKEW / 1_000_000)]
     FromFuture,
-    /// The state is full, and nothing in it may be evicted.
-    #[error("no capacity")]
+    /// The state is full and holds no tombstone to evict, or a drain record would get more than 256
+    /// incarnations.
+    #[error("no capacity: the state is full without a tombstone to evict, or the drain record is full")]
     NoCapacity,
 }
 
 impl MergeError {
-    /// Its name in operators' metrics.
+    /// Returns the name of the reason in operators' metrics.
     pub fn name(self) -> &'static str {
         match self {
             MergeError::Malformed => "form",
--- a/src/replication/state/local_changes.rs
+++ b/src/replication/state/local_changes.rs
@@ -1,4 +1,4 @@
-//! Changes that are made at this director: purges, operators' drains and events of the discovery source.
+//! Changes made at this director: purges, operators' drains and events of the discovery source.
 
 use super::{ClockReading, Entry, ListScope, MergeError, ReplicatedState, StoredKey};
 use crate::dispatch::membership::Endpoint;
@@ -7,7 +7,8 @@
 use std::collections::BTreeSet;
 
 impl ReplicatedState {
-    /// Purges a key as of a Unix time in microseconds. Returns the entry to publish; none: nothing changed.
+    /// Purges a key as of a Unix time in microseconds. Returns the entry to publish, or `None` if nothing
+    /// changed.
     pub fn purge(
         &mut self,
         key: Key,
@@ -17,8 +18,8 @@
         self.put(key, Value::Purged(at), now)
     }
 
-    /// Drains or undrains the process that is listed under a server's name. Returns the entry to publish;
-    /// none: nothing changed.
+    /// Drains or undrains the process that is listed under a server's name. Returns the entry to publish, or
+    /// `None` if nothing changed.
     pub fn set_drain(
         &mut self,
         name: &str,
@@ -37,8 +38,9 @@
         self.put(key, Value::Drain(record), now)
     }
 
-    /// Applies an event of the discovery source with its revision, and returns the entries that changed. A
-    /// full list sets a tombstone for each server that it lacks and that is not described by a later event.
+    /// Applies an event of the discovery source with its revision, and returns the entries that changed. A full
+    /// list sets a tombstone for each server that it does not contain, unless a later event described that
+    /// server.
     pub fn apply_member_update(
         &mut self,
         revision: u64,
@@ -54,13 +56,14 @@
         if scope == ListScope::Full {
             updates.extend(self.tombstones_for_missing(revision, members));
         }
-        // What is rejected for want of capacity is not counted here: the core has it from the source itself.
+        // Entries rejected for lack of capacity are not counted here: the dispatcher gets them from the source
+        // directly.
         updates.into_iter().filter_map(|(key, value)| self.put(key, value, now).ok().flatten()).collect()
     }
 
     fn tombstones_for_missing(&self, revision: u64, members: &[Endpoint]) -> Vec<(Key, Value)> {
         let listed: BTreeSet<&str> = members.iter().map(|member| &*member.name).collect();
-        let is_missing = |(at, entry): &(&StoredKey, &Entry)| match (&at.key, &entry.value) {
+        let is_missing = |(stored_key, entry): &(&StoredKey, &Entry)| match (&stored_key.key, &entry.value) {
             (Key::Endpoint(name), Value::Endpoint(known, record)) => {
                 *known < revision && !record.is_gone() && !listed.contains(&**name)
             }
@@ -68,7 +71,9 @@
         };
         let missing = self.entries.iter().filter(is_missing);
         missing
-            .map(|(at, _)| (at.key.clone(), Value::Endpoint(revision, EndpointRecord::tombstone())))
+            .map(|(stored_key, _)| {
+                (stored_key.key.clone(), Value::Endpoint(revision, EndpointRecord::tombstone()))
+            })
             .collect()
     }
 
--- a/src/replication/state/mod.rs
+++ b/src/replication/state/mod.rs
@@ -1,17 +1,17 @@
-//! All entries of one director: merged as they arrive, summed into the digest tree, bounded, and removed when
-//! they can no longer matter.
+//! The replicated entries of one director. Received entries are merged, added to the digest tree and removed
+//! when they expire; [`Bounds`] limit their number and size.
 //!
-//! What is removed, and why it does not come back:
+//! Expired entries are not restored by copies from other directors:
 //!
-//! | entry | removed | why it does not come back |
+//! | entry | expires | why it is not restored |
 //! | --- | --- | --- |
-//! | purge | its own time is [`Bounds::purge_retention`] ago | it carries its time: all directors reject it |
-//! | drain | a tombstone retention after the server is gone | it names the process that ended |
-//! | tombstone | a tombstone retention after it was set | who was away for longer forgets its list |
+//! | purge | [`Bounds::purge_retention`] after its time | it contains its time, so all directors reject it |
+//! | drain | [`Bounds::tombstone_retention`] after the server is gone | it applies to a process that has ended |
+//! | tombstone | [`Bounds::tombstone_retention`] after it was set | a director away for longer discards its list |
 //!
-//! Where there is no capacity tombstones are evicted, the lowest revision first; a server that is not known
-//! and has no higher revision is rejected from then on. Purges, drains and servers that are listed are never
-//! evicted: new entries are rejected instead, counted and logged.
+//! If the state is full, tombstones are evicted, those with the lowest revision first. From then on an unlisted
+//! server is rejected unless its revision is higher than that of every evicted tombstone. Purges, drains and
+//! listed servers are never evicted: new entries are rejected instead, counted and logged.
 
 mod bounds;
 mod expiry;
@@ -26,48 +26,48 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// The time, as the host reads it.
+/// A reading of both clocks, passed in by the caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The monotonic clock, in microseconds.
+    /// Monotonic time in microseconds.
     pub monotonic: Micros,
-    /// Unix time in microseconds, which may be wrong and may step.
+    /// Unix time in microseconds. It may be wrong, and it may jump.
     pub unix: Micros,
 }
 
-/// Whether a list of endpoints is complete.
+/// The scope of an endpoint list: complete or incremental.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All endpoints: those that are missing are gone.
+    /// The list contains all endpoints; a server that is not in it is gone.
     Full,
-    /// Only endpoints that changed.
+    /// The list contains only endpoints that changed.
     Incremental,
 }
 
-/// An entry of the state, borrowed.
+/// A borrowed entry of the state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EntryRef<'a> {
     /// The hash of the key, by which entries are ordered.
     pub key_hash: u64,
-    /// The key.
+    /// The key, from which `key_hash` is computed.
     pub key: &'a Key,
-    /// The value.
+    /// The value, of the kind that the key requires.
     pub value: &'a Value,
 }
 
-/// A value with what is kept beside it.
+/// A value with its metadata.
 #[derive(Clone, Debug)]
 struct Entry {
     value: Value,
-    /// Its part of the digest.
+    /// The hash of the key and value, which the digest tree includes.
     sum: u64,
-    /// When it last changed here, by the monotonic clock.
+    /// Monotonic time of the last change at this director.
     changed_at: Micros,
-    /// Its size by [`Bounds::bytes`].
+    /// The size in bytes, as defined by [`Bounds::bytes`].
     size: usize,
 }
 
-/// A key in the map, ordered by its hash.
+/// A key of the map, ordered by its hash.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct StoredKey {
     hash: u64,
@@ -79,13 +79,13 @@
         StoredKey { hash: stable_hash(&encode(&key)), key }
     }
 
-    /// The least key of a hash.
+    /// Returns the lowest key that can have this hash.
     fn first_of(hash: u64) -> StoredKey {
         StoredKey { hash, key: Key::Object(String::new()) }
     }
 }
 
-/// All entries of one director.
+/// The replicated entries of one director.
 #[derive(Debug)]
 pub struct ReplicatedState {
     incarnation: Incarnation,
@@ -93,13 +93,13 @@
     entries: BTreeMap<StoredKey, Entry>,
     digest: DigestTree,
     bytes: usize,
-    /// Entries by kind.
+    /// The number of entries of each kind.
     counts: [usize; Kind::ALL.len()],
-    /// Tombstones up to this revision may have been evicted.
+    /// The highest revision of an evicted tombstone.
     evicted_revision: u64,
 }
 
-/// The part of an entry in the digest; never 0, which stands for no entry.
+/// Returns the hash of an entry for the digest tree. It is never 0, which means "no entry" there.
 fn entry_sum(key: &Key, value: &Value) -> u64 {
     stable_hash(&encode(&(key, value))) | 1
 }
@@ -109,7 +109,7 @@
 }
 
 impl ReplicatedState {
-    /// An empty state.
+    /// Creates an empty state for the director of this incarnation.
     pub fn new(incarnation: Incarnation, bounds: Bounds) -> ReplicatedState {
         ReplicatedState {
             incarnation,
@@ -126,13 +126,13 @@
 // ---- merging ----
 
 impl ReplicatedState {
-    /// Merges a copy of an entry.
+    /// Merges a copy of an entry into the state, or rejects it.
     pub fn merge(&mut self, key: &Key, value: &Value, now: ClockReading) -> Result<MergeOutcome, MergeError> {
         self.validate(key, value, now)?;
-        let at = StoredKey::new(key.clone());
-        let Some(entry) = self.entries.get(&at) else {
+        let stored_key = StoredKey::new(key.clone());
+        let Some(entry) = self.entries.get(&stored_key) else {
             self.make_room(entry_size(key, value))?;
-            self.insert(at, value.clone(), now);
+            self.insert(stored_key, value.clone(), now);
             return Ok(MergeOutcome::Changed);
         };
         let mut merged = entry.value.clone();
@@ -141,7 +141,7 @@
             return Err(MergeError::NoCapacity);
         }
         if outcome.has_changed() {
-            self.insert(at, merged, now);
+            self.insert(stored_key, merged, now);
         }
         Ok(outcome)
     }
@@ -165,37 +165,37 @@
         Ok(())
     }
 
-    /// Evicts tombstones until a new entry of this size fits.
+    /// Evicts tombstones until a new entry of this size (in bytes) fits.
     fn make_room(&mut self, size: usize) -> Result<(), MergeError> {
         while self.entries.len() + 1 > self.bounds.entries || self.bytes + size > self.bounds.bytes {
-            // A linear search: it happens only to a director whose bounds are too small.
-            let tombstones = self.entries.iter().filter_map(|(at, entry)| match &entry.value {
-                Value::Endpoint(revision, record) if record.is_gone() => Some((at, *revision)),
+            // A linear search is sufficient: it runs only if the bounds of a director are too small.
+            let tombstones = self.entries.iter().filter_map(|(stored_key, entry)| match &entry.value {
+                Value::Endpoint(revision, record) if record.is_gone() => Some((stored_key, *revision)),
                 _ => None,
             });
             let oldest = tombstones.min_by_key(|(_, revision)| *revision);
-            let (at, revision) = oldest.ok_or(MergeError::NoCapacity)?;
-            let at = at.clone();
+            let (stored_key, revision) = oldest.ok_or(MergeError::NoCapacity)?;
+            let stored_key = stored_key.clone();
             self.evicted_revision = self.evicted_revision.max(revision);
-            self.remove(&at);
+            self.remove(&stored_key);
         }
         Ok(())
     }
 
-    fn insert(&mut self, at: StoredKey, value: Value, now: ClockReading) {
-        self.remove(&at);
-        let (size, sum) = (entry_size(&at.key, &value), entry_sum(&at.key, &value));
-        self.digest.replace_entry(at.hash, 0, sum);
+    fn insert(&mut self, stored_key: StoredKey, value: Value, now: ClockReading) {
+        self.remove(&stored_key);
+        let (size, sum) = (entry_size(&stored_key.key, &value), entry_sum(&stored_key.key, &value));
+        self.digest.replace_entry(stored_key.hash, 0, sum);
         self.bytes += size;
-        self.counts[at.key.kind() as usize] += 1;
-        self.entries.insert(at, Entry { value, sum, changed_at: now.monotonic, size });
+        self.counts[stored_key.key.kind() as usize] += 1;
+        self.entries.insert(stored_key, Entry { value, sum, changed_at: now.monotonic, size });
     }
 
-    fn remove(&mut self, at: &StoredKey) {
-        if let Some(entry) = self.entries.remove(at) {
-            self.digest.replace_entry(at.hash, entry.sum, 0);
+    fn remove(&mut self, stored_key: &StoredKey) {
+        if let Some(entry) = self.entries.remove(stored_key) {
+            self.digest.replace_entry(stored_key.hash, entry.sum, 0);
             self.bytes -= entry.size;
-            self.counts[at.key.kind() as usize] -= 1;
+            self.counts[stored_key.key.kind() as usize] -= 1;
         }
     }
 }
@@ -203,74 +203,76 @@
 // ---- reading ----
 
 impl ReplicatedState {
-    /// The value of a key.
+    /// Returns the value stored for a key.
     pub fn get(&self, key: &Key) -> Option<&Value> {
         self.entries.get(&StoredKey::new(key.clone())).map(|entry| &entry.value)
     }
 
-    /// The incarnation of this director.
+    /// Returns the incarnation of this director.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The bounds in force.
+    /// Returns the bounds that this state was created with.
     pub fn bounds(&self) -> &Bounds {
         &self.bounds
     }
 
-    /// The digest of all entries.
+    /// Returns the digest tree over all entries.
     pub fn digest(&self) -> &DigestTree {
         &self.digest
     }
 
-    /// The number of entries.
+    /// Returns the number of entries of all kinds.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Returns whether the state has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The size of all entries, as [`Bounds::bytes`] counts it.
+    /// Returns the size of all entries in bytes, as defined by [`Bounds::bytes`].
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The number of entries of a kind.
+    /// Returns the number of entries of one kind, tombstones included.
     pub fn count(&self, kind: Kind) -> usize {
         self.counts[kind as usize]
     }
 
-    /// Entries by the hash of their keys.
+    /// Iterates over the entries within a range of key hashes, in ascending order of the hashes.
     pub fn range(&self, key_hashes: RangeInclusive<u64>) -> impl Iterator<Item = EntryRef<'_>> {
-        self.stored_range(key_hashes).map(|(at, entry)| EntryRef {
-            key_hash: at.hash,
-            key: &at.key,
+        self.stored_range(key_hashes).map(|(stored_key, entry)| EntryRef {
+            key_hash: stored_key.hash,
+            key: &stored_key.key,
             value: &entry.value,
         })
     }
 
-    /// The parts of entries in the digest, by the hash of their keys.
+    /// Iterates over the digest hashes of the entries within a range of key hashes, in ascending order.
     pub fn entry_sums(&self, key_hashes: RangeInclusive<u64>) -> impl Iterator<Item = EntrySum> + '_ {
-        self.stored_range(key_hashes).map(|(at, entry)| EntrySum { key_hash: at.hash, sum: entry.sum })
+        self.stored_range(key_hashes)
+            .map(|(stored_key, entry)| EntrySum { key_hash: stored_key.hash, sum: entry.sum })
     }
 
     fn stored_range(&self, key_hashes: RangeInclusive<u64>) -> impl Iterator<Item = (&StoredKey, &Entry)> {
         let from_first = self.entries.range(StoredKey::first_of(*key_hashes.start())..);
-        from_first.take_while(move |(at, _)| key_hashes.contains(&at.hash))
+        from_first.take_while(move |(stored_key, _)| key_hashes.contains(&stored_key.hash))
     }
 
-    /// All entries of a kind, ordered by key.
+    /// Returns all entries of one kind, sorted by key.
     pub fn entries_of_kind(&self, kind: Kind) -> Vec<(&Key, &Value)> {
-        let of_kind = self.entries.iter().filter(|(at, _)| at.key.kind() == kind);
-        let mut entries: Vec<_> = of_kind.map(|(at, entry)| (&at.key, &entry.value)).collect();
+        let of_kind = self.entries.iter().filter(|(stored_key, _)| stored_key.key.kind() == kind);
+        let mut entries: Vec<_> =
+            of_kind.map(|(stored_key, entry)| (&stored_key.key, &entry.value)).collect();
         entries.sort_by(|a, b| a.0.cmp(b.0));
         entries
     }
 
-    /// The state of the server of this name; none: it is not listed.
+    /// Returns the lifecycle state of a server, or `None` if the state has no entry for it.
     pub fn endpoint_state(&self, name: &str) -> Option<MemberState> {
         match self.get(&Key::Endpoint(name.into())) {
             Some(Value::Endpoint(_, record)) => Some(record.state.into()),
@@ -279,7 +281,7 @@
     }
 }
 
-/// The key hashes of a leaf of the digest tree.
+/// Returns the range of key hashes that a leaf of the digest tree covers.
 pub fn leaf_key_hashes(index: u16) -> RangeInclusive<u64> {
     let first = u64::from(index) << 52;
     debug_assert_eq!(leaf_index(first), usize::from(index));
--- a/tests/replication_gossip.rs
+++ b/tests/replication_gossip.rs
@@ -53,7 +53,7 @@
         // Neither catches up any more: from here on digests alone find what differs.
         for director in [&mut a, &mut b] {
             director.tick(at(9), &mut Vec::new());
-            prop_assert_eq!(director.stage(), Stage::Alone);
+            prop_assert_eq!(director.stage(), Stage::NoPeers);
         }
         let mut walks = 0;
         while root(&a) != root(&b) {
