--- a/src/replication/entry/endpoint_record.rs
+++ b/src/replication/entry/endpoint_record.rs
@@ -77,7 +77,7 @@
     pub state: EndpointState,
     /// The registered capacity, in concurrent transfers at full rate; 0 if unknown.
     pub size: f64,
-    /// Unix time in microseconds at which the server process started; 0 if unknown.
+    /// Unix time in microseconds at which the server process started; 0 if unknown or long ago.
     pub started_at: Micros,
 }
 
--- a/src/replication/gossip/anti_entropy.rs
+++ b/src/replication/gossip/anti_entropy.rs
@@ -76,7 +76,7 @@
 }
 
 /// Compares received sums with the local digest. Returns the next messages of the comparison: child sums of the
-/// inner nodes that differ, and summaries of the leaves that differ.
+/// inner nodes that differ, and summaries of the leaves that differ, for at most [`MAX_NODES_PER_STEP`] nodes.
 pub(super) fn compare_children(
     state: &ReplicatedState,
     nodes: &[ChildSums],
--- a/src/replication/gossip/mod.rs
+++ b/src/replication/gossip/mod.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Forward {
     Yes,
-    /// Used for entries from catch-up, which other members have already.
+    /// Entries from catch-up are not gossiped: other members have them already.
     No,
 }
 
--- a/src/replication/replay_window.rs
+++ b/src/replication/replay_window.rs
@@ -2,8 +2,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-/// Number of message numbers, counted back from the highest received, for which receipt is recorded. Lower
-/// numbers are rejected.
+/// Size of the window in message numbers, which ends at the highest number received. Lower numbers are rejected.
 pub const WINDOW_MESSAGES: u64 = 1024;
 /// Maximum number of ended incarnations that are stored for each sender.
 const MAX_ENDED_INCARNATIONS: usize = 8;
@@ -59,7 +58,8 @@
     }
 }
 
-/// Replay windows for a bounded number of senders. At the bound, the sender that was added first is evicted.
+/// Replay windows for a bounded number of senders. When the bound is reached, the sender that was added
+/// first is evicted.
 #[derive(Debug)]
 pub struct ReplayWindow<S> {
     max_senders: usize,
--- a/src/replication/state/bounds.rs
+++ b/src/replication/state/bounds.rs
@@ -18,7 +18,7 @@
 pub struct Bounds {
     /// Maximum number of entries.
     pub entries: usize,
-    /// Maximum memory in bytes: encoded keys and values, plus an overhead of 96 bytes for each entry.
+    /// Maximum memory in bytes: encoded keys and values, plus a fixed overhead for each entry.
     pub bytes: usize,
     /// How long a purge is kept after its time, in microseconds. By then no cache can still store a copy that
     /// is older than the purge.
@@ -55,8 +55,8 @@
     /// The time of a purge is more than [`MAX_CLOCK_SKEW`] ahead of this director's clock.
     #[error("purge time is more than {} s ahead of this director's clock", MAX_CLOCK_SKEW / 1_000_000)]
     FromFuture,
-    /// The state is full and holds no tombstone to evict, or a drain record would get more than 256
-    /// incarnations.
+    /// The state is full and holds no tombstone to evict, or a drain record would contain more incarnations
+    /// than a message can carry.
     #[error("no capacity: the state is full without a tombstone to evict, or the drain record is full")]
     NoCapacity,
 }
--- a/src/replication/state/expiry.rs
+++ b/src/replication/state/expiry.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns whether the server of a drain is not listed, or has been gone for longer than tombstones are
-    /// kept. If no server at all is listed here, other directors may have the endpoint list, and the drain is
+    /// kept. If the state has no entries of the endpoint list, other directors may have them, and the drain is
     /// kept.
     fn is_server_gone(&self, key: &Key, now: ClockReading) -> bool {
         let Key::Drain(name) = key else { return false };
