--- a/crates/foxhold-testbed/src/scenarios/gossip.rs
+++ b/crates/foxhold-testbed/src/scenarios/gossip.rs
@@ -267,7 +267,7 @@
 
 /// Sends one update, and waits until all directors have logged it or the deadline has passed.
 async fn measure_update(fleet: &Fleet, update: usize, spread: &mut Spread) -> Result<(), Failure> {
-    let end = format!("operators' drain set server=update-{update}");
+    let end = format!("drain override set server=update-{update}");
     let sent = Instant::now();
     fleet.admin_call((update * 7) % fleet.len(), &format!("drain update-{update}")).await?;
     let mut without: Vec<usize> = (0..fleet.len()).collect();
--- a/crates/foxhold-testbed/tests/gossip.rs
+++ b/crates/foxhold-testbed/tests/gossip.rs
@@ -223,7 +223,7 @@
         fleet.joined(&all(&fleet), 4, s(20)).await.expect("it is back");
         let drains = same(&fleet, &all(&fleet), s(10)).await;
         assert!(has(&drains, "cache-1 does not drain"), "{drains:?}");
-        assert!(fleet.log(4).contains("others took this director for dead"), "{}", fleet.log(4));
+        assert!(fleet.log(4).contains("rejoined the cluster after being declared dead"), "{}", fleet.log(4));
     });
 }
 
@@ -257,10 +257,10 @@
             let log = fleet.log(3);
             assert_ne!(log, before);
             let says = match how {
-                "from its disk" => "entries taken from the disk",
-                "from a broken disk" => "it is put aside as",
+                "from its disk" => "entries loaded from disk",
+                "from a broken disk" => "stored state is unreadable; file renamed",
                 "from an old disk" => "older than the horizon",
-                _ => "entries taken from the disk merged=0 stored=0",
+                _ => "entries loaded from disk merged=0 stored=0",
             };
             assert!(log.contains(says), "{how}: {log}");
         }
@@ -346,13 +346,18 @@
         // It goes on: a word told there is with all.
         told(&fleet, 0, "drain cache-2").await;
         fleet.until(&all(&fleet), "drains", s(2), |s| has(s, "cache-2 drains")).await.expect("it talks");
-        assert!(fleet.log(0).contains("the state can't be written"), "{}", fleet.log(0));
+        assert!(fleet.log(0).contains("writing the state to disk failed"), "{}", fleet.log(0));
         // What is on the disk is sound: the state of some earlier moment.
         fleet.lift_file_limit();
         fleet.kill(0).await;
         fleet.start_some(&[0]).await.expect("it starts");
         let log = fleet.log(0);
-        assert!(!log.contains("put aside") && log.contains("entries taken from the disk"), "{log}");
+        assert!(
+            !log.contains("file renamed")
+                && !log.contains("renaming the file failed")
+                && log.contains("entries loaded from disk"),
+            "{log}"
+        );
         fleet
             .until(&[0], "drains", s(5), |s| has(s, "cache-1 drains") && has(s, "cache-2 drains"))
             .await
--- a/src/cluster/actor.rs
+++ b/src/cluster/actor.rs
@@ -1,4 +1,4 @@
-//! The actor: one task that waits for datagrams, commands, events of the discovery source and timers.
+//! The cluster actor: one task that handles datagrams, commands, watch events and timers.
 
 use super::catch_up::{stage_name, CatchUpMonitor};
 use super::dispatcher_feed::DispatcherFeed;
@@ -22,34 +22,35 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// The longest that an update waits before it is sent, so that several share a message.
+/// Interval at which pending work is done. An update waits this long at most before it is sent, so that
+/// several updates share a message.
 pub const TICK: Duration = Duration::from_millis(20);
-/// Further datagrams that are handled after one, before anything else.
+/// How many more datagrams are handled after each received one before other events get a turn.
 const RECEIVE_BATCH: usize = 4;
 
-/// What the actor is made of.
+/// The parts that an [`Actor`] is built from.
 pub(super) struct ActorParts {
-    /// The operator's settings.
+    /// The section `peers` of the operator's file.
     pub(super) section: PeersSection,
-    /// The replicated state and its protocol.
+    /// The replication protocol, with the replicated state.
     pub(super) replication: GossipProtocol<SocketAddr>,
     /// The membership protocol.
     pub(super) members: Members,
-    /// The socket.
+    /// The authenticated UDP transport.
     pub(super) transport: Transport,
-    /// The writer to the disk, if the state is stored.
+    /// The store on disk, or `None` to keep the state in memory only.
     pub(super) store: Option<Store>,
-    /// Where messages to the dispatcher are sent.
+    /// The dispatcher's mailbox.
     pub(super) dispatcher: DispatcherSender,
-    /// The clock.
+    /// Source of monotonic and Unix time.
     pub(super) clock: Clock,
     /// Commands from this process.
     pub(super) commands: mpsc::Receiver<ClusterCommand>,
-    /// Events of the discovery source.
+    /// Watch events of the local discovery source.
     pub(super) watch_events: mpsc::Receiver<WatchEvent>,
 }
 
-/// The actor; it does nothing until it runs.
+/// The cluster actor. Idle until [`Actor::run`] is called.
 pub struct Actor {
     pub(super) replication: GossipProtocol<SocketAddr>,
     pub(super) membership: Membership,
@@ -63,7 +64,7 @@
 }
 
 impl Actor {
-    /// Puts the parts together. Entries that a disk held are handled like those that peers send.
+    /// Creates an actor from its parts. Entries loaded from disk are handled like entries that peers send.
     pub(super) fn new(parts: ActorParts) -> Actor {
         let (section, now) = (parts.section, Instant::now());
         let mut actor = Actor {
@@ -91,7 +92,7 @@
         ClockReading { monotonic: self.clock.now(), unix: self.clock.unix() }
     }
 
-    /// Runs until the last handle is dropped, or until the command to leave.
+    /// Runs until the last handle is dropped or [`ClusterCommand::Leave`] is received.
     pub async fn run(mut self) {
         self.catch_up.begin(&self.dispatcher_feed, self.clock.unix()).await;
         let mut ticks = interval(TICK);
@@ -103,7 +104,7 @@
             tokio::select! {
                 received = self.transport.receive(&mut buffer) => {
                     self.receive_batch(received.ok(), &mut buffer);
-                    // Requests go first: thousands of entries may be on the way here.
+                    // Lets request handling run first: thousands of entries may be arriving here.
                     tokio::task::yield_now().await;
                 }
                 command = self.commands.recv() => match command {
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Handles the datagram in the buffer, and some that have arrived meanwhile: to wait for each would cost
-    /// more than they do.
+    /// Handles the datagram in the buffer and up to [`RECEIVE_BATCH`] that have arrived since: waiting for
+    /// each one separately would cost more than handling it.
     fn receive_batch(&mut self, size: Option<usize>, buffer: &mut [u8]) {
         if let Some(size) = size {
             self.handle_datagram(&buffer[..size]);
@@ -145,24 +146,25 @@
         self.apply_membership(output);
         self.persistence.write(&self.replication.state, Instant::now(), self.clock.unix());
         self.persistence.close().await;
-        let _ = done.send(()); // the sender may have gone
+        let _ = done.send(()); // the receiver may have been dropped
     }
 
-    /// Takes over an entry that is new to this director, to be written and delivered to the dispatcher.
+    /// Queues an entry that is new to this director for writing to disk and delivery to the dispatcher.
     pub(super) fn accept(&mut self, update: Update) {
-        self.persistence.mark(&update.key);
+        self.persistence.mark_changed(&update.key);
         self.dispatcher_feed.accept(update, &self.replication.state);
     }
 
-    /// Applies an event of the discovery source and spreads what changed by it.
+    /// Applies a watch event of the discovery source and sends the changed entries to peers.
     fn apply_watch_event(&mut self, event: &WatchEvent) {
         let now = self.now();
         for (key, entry) in source::apply(&mut self.replication.state, event, now) {
-            // The dispatcher has it from the source itself, except for how long a purge is kept here.
+            // The dispatcher receives the event from the source itself. Only a purge is sent to it again,
+            // with the retention that applies in the cluster.
             if key.kind() == Kind::Purges {
                 self.dispatcher_feed.push(Update { key: key.clone(), value: entry.clone() });
             }
-            self.persistence.mark(&key);
+            self.persistence.mark_changed(&key);
             if let Key::Endpoint(name) = &key {
                 self.dispatcher_feed.recheck_drain(name, &self.replication.state);
             }
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Executes a command. A reply that nobody waits for any more is dropped.
+    /// Executes a command. Its reply is dropped if the sender no longer waits for it.
     fn execute(&mut self, command: ClusterCommand) {
         let now = self.now();
         match command {
@@ -189,8 +191,8 @@
         }
     }
 
-    /// Replies to an operator's change, takes it over and spreads it at once: a tick is a long time for an
-    /// operator who waits for a drain.
+    /// Replies to an operator's change, applies it, and sends it to peers and the dispatcher without waiting
+    /// for the next tick, which would delay an operator who waits for a drain.
     fn finish_change(&mut self, change: Result<Option<(Key, Value)>, MergeError>, reply: ChangeReply) {
         let effect = |change: &Option<_>| match change {
             Some(_) => ChangeEffect::Changed,
--- a/src/cluster/admin.rs
+++ b/src/cluster/admin.rs
@@ -1,21 +1,21 @@
-//! Operators' commands on the replicated state, for the admin endpoint: one line each.
+//! Commands of the admin endpoint on the replicated state. Each command is one line.
 //!
 //! | command | answer |
 //! | --- | --- |
 //! | `peers` | the status of this director and its peers, as one line of JSON, then `END` |
-//! | `state KIND` | all entries of `purges`, `drains` or `members`, a line each, then `END` |
+//! | `state KIND` | all entries of `purges`, `drains` or `members`, one per line, then `END` |
 //! | `drain NAME`, `undrain NAME` | `YES`, `YES no news` if nothing changed, or `NO` and the reason |
-//! | `purge object NAME`, `purge group NUMBER` | the same: no director serves copies older than now |
+//! | `purge object NAME`, `purge group NUMBER` | as for `drain`; no director serves older copies afterwards |
 
 use super::handle::ChangeEffect;
 use super::{ClusterCommand, ClusterHandle};
 use crate::replication::entry::{DrainCommand, Key, Kind};
 use crate::replication::state::{MergeError, MAX_NAME_BYTES};
 
-/// The reason once the actor has ended.
+/// The reason given to operators after the actor has ended.
 const ENDED: &str = "the talk among directors has ended";
 
-/// Executes a command and returns its answer; none: it is not a command of this module.
+/// Executes a command and returns its answer. Returns `None` if this module does not know the command.
 pub async fn answer(cluster: &ClusterHandle, command: &str) -> Option<String> {
     let arguments: Vec<&str> = command.split_ascii_whitespace().collect();
     Some(match arguments[..] {
@@ -32,7 +32,7 @@
     })
 }
 
-/// The stage of catching up, for the answer to `check`.
+/// Returns the name of the catch-up stage, for the answer to `check`.
 pub async fn stage(cluster: &ClusterHandle) -> &'static str {
     cluster.send(ClusterCommand::Stage).await.unwrap_or(ENDED)
 }
--- a/src/cluster/catch_up.rs
+++ b/src/cluster/catch_up.rs
@@ -1,4 +1,5 @@
-//! Follows how far this director has caught up, and keeps it from serving old copies until then.
+//! Tracks the catch-up stage and controls the fresh-only mode: until this director has caught up, it may have
+//! missed purges, so no copy older than its start is served.
 
 use super::dispatcher_feed::DispatcherFeed;
 use super::LOG_TARGET;
@@ -7,32 +8,37 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The stage that was last seen, and the careful mode after a start.
+/// The last catch-up stage, and the fresh-only mode after a start.
 pub(super) struct CatchUpMonitor {
     stage: Stage,
-    /// The longest time of the careful mode; none: this director serves any copy from its start on.
-    max_careful: Option<Duration>,
-    /// When the careful mode ends at the latest, while it lasts.
-    careful_until: Option<Instant>,
+    /// The longest duration of the fresh-only mode, or `None` if copies of any age are served from the start.
+    fresh_only_limit: Option<Duration>,
+    /// When the fresh-only mode ends at the latest, or `None` if it is off.
+    fresh_only_until: Option<Instant>,
 }
 
 impl CatchUpMonitor {
-    /// At a start.
-    pub(super) fn new(max_careful: Option<Duration>, now: Instant) -> CatchUpMonitor {
-        let careful_until = max_careful.map(|limit| now + limit);
-        CatchUpMonitor { stage: Stage::CatchingUp, max_careful, careful_until }
+    /// Creates the monitor of a director that has just started.
+    pub(super) fn new(fresh_only_limit: Option<Duration>, now: Instant) -> CatchUpMonitor {
+        let fresh_only_until = fresh_only_limit.map(|limit| now + limit);
+        CatchUpMonitor { stage: Stage::CatchingUp, fresh_only_limit, fresh_only_until }
     }
 
-    /// Begins the careful mode: no copy older than this director's start is served.
+    /// Turns the fresh-only mode on, if configured: no copy older than this director's start is served.
     pub(super) async fn begin(&self, dispatcher: &DispatcherFeed, unix: Micros) {
-        if let Some(limit) = self.max_careful {
-            dispatcher.not_before(Some(unix)).await;
+        if let Some(limit) = self.fresh_only_limit {
+            dispatcher.set_not_before(Some(unix)).await;
             let max_ms = limit.as_millis() as u64;
-            tracing::info!(target: LOG_TARGET, max_ms, "careful mode begins: no older copies are served");
+            tracing::info!(
+                target: LOG_TARGET,
+                max_ms,
+                "fresh-only mode on: copies older than this director's start are not served"
+            );
         }
     }
 
-    /// Logs a change of the stage, and ends the careful mode once there is no more need for it.
+    /// Logs a change of the stage, and turns the fresh-only mode off once this director has caught up, has no
+    /// peer to catch up with, or the limit has passed.
     pub(super) async fn update(
         &mut self,
         stage: Stage,
@@ -43,12 +49,13 @@
         if stage != std::mem::replace(&mut self.stage, stage) {
             log_stage(stage, entries);
         }
-        let ends = self.careful_until.is_some_and(|until| until <= now || stage != Stage::CatchingUp);
-        // The dispatcher's mailbox keeps the order: it is to have what was received before the mode ends.
-        if ends && dispatcher.is_empty() {
-            self.careful_until = None;
-            dispatcher.not_before(None).await;
-            tracing::info!(target: LOG_TARGET, "careful mode ended: all copies are served");
+        let is_over = self.fresh_only_until.is_some_and(|until| until <= now || stage != Stage::CatchingUp);
+        // The dispatcher's mailbox preserves order, so the dispatcher handles all updates received so far
+        // before the mode is turned off.
+        if is_over && dispatcher.is_empty() {
+            self.fresh_only_until = None;
+            dispatcher.set_not_before(None).await;
+            tracing::info!(target: LOG_TARGET, "fresh-only mode off: all copies are served");
         }
     }
 }
@@ -56,16 +63,24 @@
 fn log_stage(stage: Stage, entries: usize) {
     match stage {
         Stage::CatchingUp => {
-            tracing::info!(target: LOG_TARGET, entries, "catching up again after an absence past the horizon")
+            tracing::info!(
+                target: LOG_TARGET,
+                entries,
+                "absent for longer than the horizon; catching up again"
+            )
         }
         Stage::CaughtUp => tracing::info!(target: LOG_TARGET, entries, "caught up with peers"),
         Stage::Alone => {
-            tracing::info!(target: LOG_TARGET, entries, "no peer to catch up with, continuing alone")
+            tracing::info!(
+                target: LOG_TARGET,
+                entries,
+                "no peer to catch up with; continuing with the local state"
+            )
         }
     }
 }
 
-/// The name of a stage, for operators.
+/// Returns the name of a stage as shown to operators.
 pub(super) fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::CatchingUp => "catching up",
--- a/src/cluster/dispatcher_feed.rs
+++ b/src/cluster/dispatcher_feed.rs
@@ -1,4 +1,4 @@
-//! Delivers replicated updates to the dispatcher, without ever waiting for it.
+//! Delivers replicated updates to the dispatcher without waiting for capacity in its mailbox.
 
 use super::drain_feed::{drain_in_force, DrainFeed};
 use crate::dispatch::{DispatcherMessage, DispatcherSender};
@@ -9,22 +9,24 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Updates on their way to the dispatcher. What its mailbox has no capacity for is tried again later.
+/// A queue of updates for the dispatcher. Updates that do not fit into its mailbox are sent with a later
+/// flush.
 pub(super) struct DispatcherFeed {
     dispatcher: DispatcherSender,
-    /// How long the dispatcher is to keep a purge.
+    /// How long the dispatcher keeps a purge, in microseconds.
     purge_retention: Micros,
     updates: VecDeque<Update>,
     drains: DrainFeed,
 }
 
 impl DispatcherFeed {
-    /// With nothing to deliver.
+    /// Creates an empty queue.
     pub(super) fn new(dispatcher: DispatcherSender, purge_retention: Micros) -> DispatcherFeed {
         DispatcherFeed { dispatcher, purge_retention, updates: VecDeque::new(), drains: DrainFeed::default() }
     }
 
-    /// Takes an update of the replicated state.
+    /// Queues an update of the replicated state. Drain overrides go through [`DrainFeed`]; an endpoint update
+    /// may also cause the server's drain to be sent again.
     pub(super) fn accept(&mut self, update: Update, state: &ReplicatedState) {
         match (&update.key, &update.value) {
             (Key::Drain(server), Value::Drain(record)) => self.drains.handle_change(server, record.command()),
@@ -36,30 +38,31 @@
         }
     }
 
-    /// Takes an update past the handling of drains.
+    /// Queues an update without the handling of drain overrides.
     pub(super) fn push(&mut self, update: Update) {
         self.updates.push_back(update);
     }
 
-    /// Delivers a server's drain anew if it is in force: the dispatcher forgets it when another process runs
-    /// under the server's name.
+    /// Schedules a server's drain to be sent again if it is in force, as the dispatcher discards it when
+    /// another process runs under the server's name.
     pub(super) fn recheck_drain(&mut self, server: &str, state: &ReplicatedState) {
         if drain_in_force(state, server) == Some(DrainCommand::Drain) {
             self.drains.schedule(server);
         }
     }
 
-    /// Whether all updates are in the dispatcher's mailbox.
+    /// Returns whether all updates have been put into the dispatcher's mailbox.
     pub(super) fn is_empty(&self) -> bool {
         self.updates.is_empty()
     }
 
-    /// Sets or clears the Unix time before which copies are not served, waiting for capacity.
-    pub(super) async fn not_before(&self, unix: Option<Micros>) {
+    /// Sets the Unix time in microseconds before which copies are not served, or clears it with `None`. Waits
+    /// for capacity in the mailbox.
+    pub(super) async fn set_not_before(&self, unix: Option<Micros>) {
         self.dispatcher.send(DispatcherMessage::NotBefore(unix)).await;
     }
 
-    /// Delivers what the dispatcher has capacity for.
+    /// Sends queued updates, then drain overrides, as far as the dispatcher's mailbox has capacity.
     pub(super) fn flush(&mut self, state: &ReplicatedState, now: Instant) {
         if !self.flush_updates() {
             return;
@@ -68,7 +71,7 @@
         self.updates.extend(self.drains.flush(&self.dispatcher, state, now));
     }
 
-    /// Whether all updates could be delivered.
+    /// Sends queued updates. Returns `false` if the mailbox is full.
     fn flush_updates(&mut self) -> bool {
         while let Some(update) = self.updates.front() {
             if let Some(message) = self.dispatcher_message(update) {
@@ -81,7 +84,7 @@
         true
     }
 
-    /// The message to the dispatcher; none: the dispatcher has no use for the update.
+    /// Returns the message for an update, or `None` if the dispatcher does not use updates of this kind.
     fn dispatcher_message(&self, update: &Update) -> Option<DispatcherMessage> {
         match (&update.key, &update.value) {
             (Key::Object(name), Value::Purged(at)) => Some(DispatcherMessage::Purged {
--- a/src/cluster/drain_feed.rs
+++ b/src/cluster/drain_feed.rs
@@ -1,4 +1,4 @@
-//! Delivers operators' drains to the dispatcher, again until it has taken them.
+//! Delivers operators' drain overrides to the dispatcher, with retries until it has applied them.
 
 use super::LOG_TARGET;
 use crate::dispatch::{DispatcherMessage, DispatcherSender};
@@ -10,41 +10,41 @@
 use tokio::sync::oneshot::{self, error::TryRecvError};
 use tokio::time::Instant;
 
-/// A drain that the dispatcher could not apply is sent again after this.
+/// Delay before a drain that the dispatcher could not apply is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Drains on their way to the dispatcher.
+/// A queue of drain overrides for the dispatcher.
 #[derive(Default)]
 pub(super) struct DrainFeed {
-    /// Servers whose drain is to be sent, and from when on.
+    /// Servers whose drain override is to be sent, and the earliest time to send it.
     due: BTreeMap<String, Instant>,
-    /// Drains sent that the dispatcher has not replied to.
+    /// Servers whose drain was sent, and the dispatcher's pending replies.
     unanswered: Vec<(String, oneshot::Receiver<bool>)>,
-    /// Servers whose drain the dispatcher was sent.
+    /// Servers whose drain was sent, and neither has failed nor was ended since.
     sent_servers: BTreeSet<String>,
 }
 
 impl DrainFeed {
-    /// Logs that an operator's drain of a server was set or ended, and sends it with the next flush.
+    /// Logs that the drain override of a server was set or cleared, and schedules it for the next flush.
     pub(super) fn handle_change(&mut self, server: &str, command: DrainCommand) {
         match command {
             DrainCommand::Drain => {
-                tracing::info!(target: LOG_TARGET, server = %server, "operators' drain set")
+                tracing::info!(target: LOG_TARGET, server = %server, "drain override set")
             }
             DrainCommand::Undrain => {
-                tracing::info!(target: LOG_TARGET, server = %server, "operators' drain ended")
+                tracing::info!(target: LOG_TARGET, server = %server, "drain override cleared")
             }
         }
         self.schedule(server);
     }
 
-    /// Sends a server's drain with the next flush.
+    /// Schedules a server's drain override for the next flush.
     pub(super) fn schedule(&mut self, server: &str) {
         self.due.insert(server.to_owned(), Instant::now());
     }
 
-    /// Takes the dispatcher's replies. A server that it does not list is tried again: its list may come
-    /// later.
+    /// Collects the dispatcher's replies. The drain of a server that the dispatcher does not list is sent
+    /// again after [`RETRY_INTERVAL`], as the server may be listed later.
     pub(super) fn collect_replies(&mut self, now: Instant) {
         let mut unanswered = std::mem::take(&mut self.unanswered);
         unanswered.retain_mut(|(server, reply)| match reply.try_recv() {
@@ -59,8 +59,9 @@
         self.unanswered = unanswered;
     }
 
-    /// Sends what is due, as far as the dispatcher has capacity. Returns the entries of endpoints whose drain
-    /// has ended: the dispatcher does not keep what the source said meanwhile.
+    /// Sends the drain overrides that are due, as far as the dispatcher's mailbox has capacity. Returns the
+    /// entries of endpoints whose drain has ended, to be sent again: the dispatcher does not keep what the
+    /// source reported during the drain.
     pub(super) fn flush(
         &mut self,
         dispatcher: &DispatcherSender,
@@ -95,15 +96,15 @@
     }
 }
 
-/// Sends a command to the dispatcher; none: its mailbox is full.
+/// Sends a command to the dispatcher and returns the receiver of its reply, or `None` if the mailbox is full.
 fn send(
     dispatcher: &DispatcherSender,
     server: &str,
     command: DrainCommand,
 ) -> Option<oneshot::Receiver<bool>> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, receiver) = oneshot::channel();
     let message = DispatcherMessage::Drain { name: server.into(), command, listed: reply };
-    dispatcher.try_send(message).then_some(answer)
+    dispatcher.try_send(message).then_some(receiver)
 }
 
 fn endpoint_update(state: &ReplicatedState, server: String) -> Option<Update> {
@@ -112,8 +113,9 @@
     Some(Update { key, value })
 }
 
-/// The operators' command on the process that is listed under a server's name; none: it is about another
-/// process, or the endpoint is not known yet.
+/// Returns the drain command that applies to the process listed under a server's name. A drain of an earlier
+/// process counts as an undrain. Returns `None` if there is no command, the server is gone, or its endpoint
+/// is not known yet.
 pub(super) fn drain_in_force(state: &ReplicatedState, server: &str) -> Option<DrainCommand> {
     let Some(Value::Drain(drain)) = state.get(&Key::Drain(server.into())) else { return None };
     match state.get(&Key::Endpoint(server.into())) {
@@ -121,8 +123,8 @@
         Some(Value::Endpoint(_, record)) if record.started_at > drain.started_at => {
             Some(DrainCommand::Undrain)
         }
-        // Sent once the server is listed. Without a replicated list the dispatcher has it from its own
-        // source.
+        // The command is sent once the server is listed. If no endpoint list is replicated, the dispatcher
+        // has the server from its own source.
         None if state.count(Kind::Members) > 0 => None,
         _ => Some(drain.command()),
     }
--- a/src/cluster/duplicates.rs
+++ b/src/cluster/duplicates.rs
@@ -1,4 +1,4 @@
-//! Warns of two directors under one name.
+//! Detects and logs directors that share a name.
 
 use super::LOG_TARGET;
 use std::collections::BTreeMap;
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A duplicate name is reported once it has lasted this long: a director that moves to another address is
-/// seen at both for a while.
+/// How long a duplicate name must persist before it is logged. A director that moves to another address is
+/// temporarily a member at both.
 const REPORT_AFTER: Duration = Duration::from_secs(10);
 
 struct Duplicate {
@@ -16,12 +16,13 @@
     reported: bool,
 }
 
-/// Names that two or more directors have at present.
+/// Names currently shared by two or more directors.
 #[derive(Default)]
 pub(super) struct DuplicateNames(BTreeMap<String, Duplicate>);
 
 impl DuplicateNames {
-    /// Takes the duplicates found now, and logs each that has lasted.
+    /// Replaces the duplicates by those found now, and logs each once that has persisted for
+    /// [`REPORT_AFTER`].
     pub(super) fn update(&mut self, found: BTreeMap<String, Vec<SocketAddr>>, now: Instant) {
         self.0.retain(|name, duplicate| found.get(name) == Some(&duplicate.addresses));
         for (name, addresses) in found {
@@ -36,13 +37,13 @@
                     target: LOG_TARGET,
                     director = %name,
                     ?addresses,
-                    "several directors have the same name"
+                    "duplicate director name"
                 );
             }
         }
     }
 
-    /// A line for each duplicate name.
+    /// Returns one line of text for each duplicate name.
     pub(super) fn lines(&self) -> Vec<String> {
         self.0.iter().map(|(name, duplicate)| format!("{name} at {:?}", duplicate.addresses)).collect()
     }
--- a/src/cluster/frame.rs
+++ b/src/cluster/frame.rs
@@ -1,12 +1,12 @@
-//! Authenticated framing: the datagrams of messages among directors. Each is authenticated with a shared key,
-//! so that one that is forged, damaged, of another fleet or replayed is rejected, with a [`Rejection`].
+//! Authenticated framing of messages between directors. Each datagram is authenticated with a shared key, so
+//! that forged, damaged or replayed datagrams and those of another fleet are rejected with a [`Rejection`].
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 1 | version of the format, [`VERSION`] |
-//! | 4 | the fleet, by a hash of its name |
-//! | variable | the [`Message`], encoded by postcard |
-//! | 16 | HMAC-SHA256 of all before, truncated to its first half |
+//! | 4 | hash of the fleet's name |
+//! | variable | the [`Message`], encoded with postcard |
+//! | 16 | HMAC-SHA256 of all preceding bytes, truncated to its first half |
 
 use super::members::Member;
 use crate::replication::digest::stable_hash;
@@ -15,68 +15,69 @@
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// The version of the format that this program sends and accepts.
+/// The format version that this program sends and accepts.
 pub const VERSION: u8 = 1;
 /// The largest datagram that is sent or accepted, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 /// The shortest key, in bytes.
 pub const MIN_KEY_BYTES: usize = 16;
-/// Bytes of the version.
+/// Size of the version field, in bytes.
 const VERSION_BYTES: usize = 1;
-/// Bytes of the hash of the fleet's name.
+/// Size of the hash of the fleet's name, in bytes.
 const FLEET_BYTES: usize = 4;
-/// Bytes before the message.
+/// Size of the fields before the message, in bytes.
 const HEADER_BYTES: usize = VERSION_BYTES + FLEET_BYTES;
-/// Bytes of the truncated HMAC.
+/// Size of the truncated HMAC, in bytes.
 const TAG_BYTES: usize = 16;
 
 /// The content of a message, by protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// A message of the membership protocol, as its library encodes it.
+    /// A message of the membership protocol, as encoded by `foca`.
     Swim(Vec<u8>),
     /// A message of the replication protocol.
     Gossip(GossipMessage),
 }
 
-/// A message with its sender and its number, by which a replay is recognised.
+/// A message with its sender, and the incarnation and number by which replays are detected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// The director that sent the message.
     pub from: Member,
-    /// The sender's incarnation: a random number, drawn at each start of the process.
+    /// A random number that the sender draws at each start of its process.
     pub incarnation: u64,
-    /// The number of the message within that incarnation, from 1.
+    /// The sequence number of the message within that incarnation, from 1.
     pub number: u64,
-    /// The content.
+    /// The message of either protocol.
     pub body: Body,
 }
 
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum Rejection {
-    /// Too short or too long.
+    /// The datagram is too short or too long.
     #[error("invalid size")]
     Size,
-    /// Of a version that is not known here.
+    /// The format version is not [`VERSION`].
     #[error("unknown version")]
     Version,
-    /// Of another fleet.
+    /// The datagram was sent by a director of another fleet.
     #[error("another fleet")]
     Fleet,
-    /// Authenticated with no key that is known here, or damaged.
+    /// The datagram was authenticated with an unknown key, or it is damaged.
     #[error("not authentic")]
     Unauthenticated,
-    /// Authentic, but it cannot be decoded.
+    /// The datagram is authentic but cannot be decoded.
     #[error("malformed")]
     Malformed,
-    /// Received a second time, or of an incarnation that has ended.
+    /// The message was received before, belongs to an earlier incarnation of its sender, or claims to come
+    /// from this director.
     #[error("replayed")]
     Replayed,
 }
 
 impl Rejection {
-    /// Its name in the operators' status.
+    /// Returns the name under which operators see the cause in the status.
     pub fn name(self) -> &'static str {
         match self {
             Rejection::Size => "size",
@@ -89,15 +90,15 @@
     }
 }
 
-/// Encodes and authenticates the messages of one fleet, and verifies and decodes them.
+/// Encoder and decoder for the authenticated datagrams of one fleet.
 pub struct FrameCodec {
     fleet: [u8; FLEET_BYTES],
     keys: Vec<Hmac<Sha256>>,
 }
 
 impl FrameCodec {
-    /// By the fleet's name and its keys: the first authenticates, each is accepted. None without a key, or if
-    /// one is shorter than [`MIN_KEY_BYTES`].
+    /// Creates a codec. The first key authenticates sent messages; received messages may use any key. Returns
+    /// `None` if there is no key or one is shorter than [`MIN_KEY_BYTES`].
     pub fn new(fleet: &str, keys: &[Vec<u8>]) -> Option<FrameCodec> {
         let valid = !keys.is_empty() && keys.iter().all(|key| key.len() >= MIN_KEY_BYTES);
         let keys = keys.iter().filter_map(|key| Hmac::<Sha256>::new_from_slice(key).ok()).collect();
@@ -105,7 +106,7 @@
         valid.then_some(FrameCodec { fleet, keys })
     }
 
-    /// The datagram of a message. None: it would be larger than [`MAX_DATAGRAM_BYTES`].
+    /// Encodes a message as a datagram. Returns `None` if it would be larger than [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self, message: &Message) -> Option<Vec<u8>> {
         let mut header = vec![VERSION];
         header.extend(self.fleet);
@@ -116,7 +117,7 @@
         (datagram.len() <= MAX_DATAGRAM_BYTES).then_some(datagram)
     }
 
-    /// The message of a datagram, or why it is rejected.
+    /// Verifies and decodes a datagram.
     pub fn decode(&self, datagram: &[u8]) -> Result<Message, Rejection> {
         let content = self.verify(datagram)?;
         let decoded = postcard::take_from_bytes(&content[HEADER_BYTES..]);
@@ -127,7 +128,7 @@
         Ok(message)
     }
 
-    /// The header and the encoded message of an authentic datagram.
+    /// Verifies a datagram and returns its header and encoded message without the HMAC.
     fn verify<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], Rejection> {
         if datagram.len() < HEADER_BYTES + TAG_BYTES || datagram.len() > MAX_DATAGRAM_BYTES {
             return Err(Rejection::Size);
--- a/src/cluster/handle.rs
+++ b/src/cluster/handle.rs
@@ -1,67 +1,67 @@
-//! The handle by which the rest of the process sends commands to the actor.
+//! The commands to the actor, and the handle that sends them.
 
 use crate::replication::entry::{DrainCommand, Key, Kind};
 use crate::replication::state::MergeError;
 use tokio::sync::{mpsc, oneshot};
 
-/// Commands that may wait for the actor; a sender that finds the queue full waits.
+/// Maximum number of commands queued for the actor. Senders wait while the queue is full.
 pub(super) const COMMAND_QUEUE_CAPACITY: usize = 64;
 
 /// The effect of an operator's change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeEffect {
-    /// The state has changed, and peers are sent the update.
+    /// The state changed, and the update is sent to peers.
     Changed,
-    /// The state was already so.
+    /// The state already had the requested value.
     Unchanged,
 }
 
-/// The reply to an operator's change: its effect, or why it cannot be stored.
+/// Sends the reply to an operator's change: its effect, or why it could not be stored.
 pub type ChangeReply = oneshot::Sender<Result<ChangeEffect, MergeError>>;
 
-/// A command to the actor, from this process.
+/// A command from this process to the actor.
 #[derive(Debug)]
 pub enum ClusterCommand {
-    /// An operator drains or undrains a server.
+    /// Drains or undrains a server on behalf of an operator.
     SetDrain {
-        /// The name of the server.
+        /// The server's name, at most [`MAX_NAME_BYTES`](crate::replication::state::MAX_NAME_BYTES) bytes.
         server: String,
-        /// Whether it is to drain.
+        /// Whether to drain or undrain the server.
         command: DrainCommand,
-        /// Where the reply goes.
+        /// Receives the reply.
         reply: ChangeReply,
     },
-    /// An operator purges this key as of now.
+    /// Purges copies older than the present time, on behalf of an operator.
     Purge {
-        /// The key.
+        /// The object or group to purge.
         key: Key,
-        /// Where the reply goes.
+        /// Receives the reply.
         reply: ChangeReply,
     },
-    /// Asks for the status of this director and its peers, as JSON.
+    /// Requests the status of this director and its peers as JSON.
     Status(oneshot::Sender<String>),
-    /// Asks for all entries of a kind, a line each.
+    /// Requests all entries of a kind, one line per entry.
     List {
-        /// The kind.
+        /// The kind of entries to list.
         kind: Kind,
-        /// Where the reply goes.
+        /// Receives the reply.
         reply: oneshot::Sender<Vec<String>>,
     },
-    /// Asks for the name of the present stage of catching up.
+    /// Requests the name of the present catch-up stage.
     Stage(oneshot::Sender<&'static str>),
-    /// Leaves the cluster and writes what is not yet written.
+    /// Leaves the cluster, writes pending changes to disk and ends the actor.
     Leave(oneshot::Sender<()>),
 }
 
-/// A handle of the actor, cheap to clone. The actor ends when the last one is dropped.
+/// A handle to the actor, cheap to clone. The actor ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct ClusterHandle(pub(super) mpsc::Sender<ClusterCommand>);
 
 impl ClusterHandle {
-    /// Sends a command and waits for its reply; none if the actor has ended.
+    /// Sends a command and waits for its reply. Returns `None` if the actor has ended.
     pub async fn send<T>(&self, command: impl FnOnce(oneshot::Sender<T>) -> ClusterCommand) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         self.0.send(command(reply)).await.ok()?;
-        answer.await.ok()
+        receiver.await.ok()
     }
 }
--- a/src/cluster/key_file.rs
+++ b/src/cluster/key_file.rs
@@ -1,36 +1,36 @@
-//! The file of the keys by which directors authenticate their messages.
+//! Parser for the file of keys with which directors authenticate their messages.
 
 use super::frame::MIN_KEY_BYTES;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 
-/// Why a key file cannot be used. Lines are numbered from 1.
+/// An error in a key file. Lines are numbered from 1.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyFileError {
-    /// A line is not base64url.
+    /// A line is not valid base64url.
     #[error("line {line}: not base64url")]
     NotBase64 {
-        /// The line.
+        /// Line number, from 1.
         line: usize,
-        /// What the decoder says.
+        /// The decoder's error.
         #[source]
         source: base64::DecodeError,
     },
-    /// A key is too short.
-    #[error("line {line}: a key of {bytes} bytes, {MIN_KEY_BYTES} at least")]
+    /// A key is shorter than [`MIN_KEY_BYTES`].
+    #[error("line {line}: key of {bytes} bytes, expected at least {MIN_KEY_BYTES}")]
     TooShort {
-        /// The line.
+        /// Line number, from 1.
         line: usize,
-        /// The size of the key.
+        /// Size of the key, in bytes.
         bytes: usize,
     },
-    /// There is no key.
-    #[error("holds no key")]
+    /// The file contains no key.
+    #[error("no key in the file")]
     Empty,
 }
 
-/// The keys of a key file: one a line in base64url, the first for sending; empty lines and those that begin
-/// with `#` are ignored.
+/// Parses a key file: one base64url key per line. The first key is used for sending. Empty lines and lines
+/// that begin with `#` are ignored.
 pub fn parse_keys(text: &str) -> Result<Vec<Vec<u8>>, KeyFileError> {
     let lines = text.lines().map(str::trim).zip(1..);
     let keys = lines.filter(|(text, _)| !text.is_empty() && !text.starts_with('#'));
--- a/src/cluster/members.rs
+++ b/src/cluster/members.rs
@@ -1,8 +1,8 @@
-//! The membership protocol: SWIM with suspicion, by the crate `foca`, which has no I/O of its own.
+//! The membership protocol: SWIM with suspicion, as implemented by the crate `foca`, which performs no I/O.
 //!
 //! A member is identified by its address, and a later incarnation replaces an earlier one, so a director
-//! that restarts at its address stays the same member. Two directors with one name at different addresses
-//! are found by all members, themselves among them ([`Members::duplicate_names`]).
+//! that restarts at its address stays the same member. Every member, including the directors concerned,
+//! detects two directors with the same name at different addresses ([`Members::duplicate_names`]).
 
 pub use super::membership_change::MembershipChange;
 
@@ -15,48 +15,49 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// How often each member probes another.
+/// Interval at which each member probes another.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A probe that is not acknowledged within this is followed by indirect probes.
+/// Time after which an unacknowledged probe is followed by indirect probes.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// A suspected member that does not refute it for this long is declared dead.
+/// Time after which a suspected member that has not refuted the suspicion is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// How often changes of the membership are gossiped.
+/// Interval at which membership changes are gossiped.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a live member is sent an announcement.
+/// Interval at which an announcement is sent to a live member.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(10);
-/// How often dead members are sent an announcement, so that a partition heals.
+/// Interval at which announcements are sent to dead members, so that the cluster reunites after a network
+/// partition.
 const ANNOUNCE_TO_DEAD_INTERVAL: Duration = Duration::from_millis(2_000);
-/// How long a dead member is remembered.
+/// How long a dead member is kept in the member list.
 const DEAD_RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// The largest message of the protocol, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1_200;
 
-/// What a first renewal adds to the incarnation: a second, as incarnations begin with the time of the start
-/// in microseconds.
+/// Added to the incarnation when a director first rejoins after being declared dead: one second, as the
+/// initial incarnation is the start time in Unix microseconds.
 const RENEWAL_STEP: u64 = 1_000_000;
-/// How often the step is doubled at most.
+/// Maximum number of times that [`RENEWAL_STEP`] is doubled.
 const MAX_RENEWAL_SHIFT: u8 = 40;
 
-/// A timer of the protocol: handed back when it expires.
+/// A timer of the protocol, to be passed to [`Members::handle_timer`] when it expires.
 pub type Timer = foca::Timer<Member>;
 
-/// The identity of a director.
+/// The identity of a director in the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name, from its operator's file.
+    /// The director's name, from its operator's file.
     pub name: String,
-    /// Where other directors reach it.
+    /// The address at which other directors reach it.
     pub address: SocketAddr,
-    /// Grows with each start, and each time that others declared it dead while it runs.
+    /// Increases at each start, and each time that the director rejoins after being declared dead.
     pub incarnation: u64,
-    /// How often it was declared dead in this run: each time adds more to the incarnation than the one
-    /// before, so that it passes an incarnation taken from a clock that was set back since.
+    /// How often the director was declared dead since its start. Each rejoin doubles the step added to the
+    /// incarnation, so that it overtakes an incarnation taken from a clock that has since been set back.
     pub returns: u8,
 }
 
 impl Member {
-    /// A director at its start.
+    /// Creates the identity of a director that has just started.
     pub fn new(name: &str, address: SocketAddr, incarnation: u64) -> Member {
         Member { name: name.into(), address, incarnation, returns: 0 }
     }
@@ -80,27 +81,28 @@
     }
 }
 
-/// What the protocol asks for after an input.
+/// The actions that the protocol requests after an input.
 #[derive(Debug, Default)]
 pub struct ProtocolOutput {
-    /// Messages to send, each to an address.
+    /// Messages to send, with their destination addresses.
     pub messages: Vec<(SocketAddr, Vec<u8>)>,
-    /// Timers to hand back, each after a delay.
+    /// Timers to schedule, with their delays.
     pub timers: Vec<(Duration, Timer)>,
-    /// Changes of the membership.
+    /// Membership changes, in the order in which they occurred.
     pub changes: Vec<MembershipChange>,
 }
 
-/// The membership as one director knows it.
+/// The membership as known to this director.
 pub struct Members {
     foca: Foca<Member, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
-    /// Messages and timers that the library rejected, since the start.
+    /// Number of inputs that `foca` rejected since the start.
     pub rejected: u64,
 }
 
 impl Members {
-    /// With this director alone, in a cluster of about this size.
+    /// Creates a membership in which this director is the only member. `cluster_size` is the approximate
+    /// number of directors, by which the protocol is tuned.
     pub fn new(local: Member, cluster_size: u32, seed: u64) -> Members {
         let at_least_one = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
         let every = |frequency, n| Some(PeriodicParams { frequency, num_members: at_least_one(n) });
@@ -121,37 +123,37 @@
         Members { foca, runtime: AccumulatingRuntime::new(), rejected: 0 }
     }
 
-    /// This director, at its present incarnation.
+    /// Returns this director's identity with its present incarnation.
     pub fn local(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// The other members that are alive, suspected ones among them.
+    /// Returns the other live members, including suspected ones.
     pub fn peers(&self) -> Vec<Member> {
         self.foca.iter_members().map(|m| m.id().clone()).collect()
     }
 
-    /// Members that are dead or have left, as far as they are remembered.
+    /// Returns the members that were declared dead or left during the last 24 hours.
     pub fn dead(&self) -> Vec<Member> {
         let down = self.foca.iter_membership_state().filter(|m| m.state() == foca::State::Down);
         down.map(|m| m.id().clone()).collect()
     }
 
-    /// Takes other directors for live members and announces that to nobody, as in a cluster that has long
-    /// been in its steady state.
+    /// Adds other directors as live members without announcing them, as in a cluster that has reached its
+    /// steady state.
     pub fn know(&mut self, peers: impl Iterator<Item = Member>) -> ProtocolOutput {
         let result = self.foca.apply_many(peers.map(foca::Member::alive), false, &mut self.runtime);
         self.output(result)
     }
 
-    /// Announces this director to whichever director is at an address.
+    /// Announces this director to the director at an address, whose identity is not known yet.
     pub fn announce(&mut self, address: SocketAddr) -> ProtocolOutput {
         let unknown = Member::new("", address, 0);
         let result = self.foca.announce(unknown, &mut self.runtime);
         self.output(result)
     }
 
-    /// Handles a message of the protocol.
+    /// Handles an encoded message of the protocol.
     pub fn handle_message(&mut self, bytes: &[u8]) -> ProtocolOutput {
         let result = self.foca.handle_data(bytes, &mut self.runtime);
         self.output(result)
@@ -163,13 +165,13 @@
         self.output(result)
     }
 
-    /// Tells the other members that this director leaves.
+    /// Leaves the cluster and notifies other members.
     pub fn leave(&mut self) -> ProtocolOutput {
         let result = self.foca.leave_cluster(&mut self.runtime);
         self.output(result)
     }
 
-    /// Collects what the library asks for after an input.
+    /// Collects the actions that `foca` requests after an input.
     fn output(&mut self, result: Result<(), foca::Error>) -> ProtocolOutput {
         self.rejected += u64::from(result.is_err());
         let mut output = ProtocolOutput::default();
@@ -185,7 +187,7 @@
         output
     }
 
-    /// Names that two or more directors have, with their addresses.
+    /// Returns the names that are shared by two or more directors, with their addresses.
     pub fn duplicate_names(&self) -> BTreeMap<String, Vec<SocketAddr>> {
         let mut by_name: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
         for member in self.peers().into_iter().chain([self.local().clone()]) {
--- a/src/cluster/membership.rs
+++ b/src/cluster/membership.rs
@@ -1,4 +1,4 @@
-//! Which directors there are, and when to announce this one to others.
+//! Tracks the members of the cluster and schedules announcements of this director.
 
 use super::duplicates::DuplicateNames;
 use super::members::{Member, Members, ProtocolOutput, Timer};
@@ -11,37 +11,37 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Mean time between announcements to seeds that are not among the members.
+/// Mean interval between announcements to seeds that are not members.
 pub const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// While the number of members grows, some are asked for theirs this often.
+/// While the number of peers grows, some peers are asked for their member lists at this interval.
 pub const DISCOVERY_INTERVAL: Duration = Duration::from_millis(250);
-/// Members asked in one interval of discovery.
+/// How many peers are asked for their member lists per [`DISCOVERY_INTERVAL`].
 pub const DISCOVERY_FANOUT: usize = 2;
-/// Least time between two announcements to senders that are not known as members.
+/// Minimum time between two announcements to senders that are not known as members.
 pub const GREETING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The members of the cluster, with the protocol's timers and the times of what this director does itself.
+/// The members of the cluster, the protocol's timers, and the times of this director's own announcements.
 pub(super) struct Membership {
     /// The membership protocol.
     pub(super) members: Members,
-    /// Names that two or more directors have.
+    /// Names shared by two or more directors.
     pub(super) duplicates: DuplicateNames,
     timers: Timers<Timer>,
     seeds: Vec<SocketAddr>,
     own_address: SocketAddr,
-    /// Members with their incarnations, by which one that has restarted is recognised.
-    known: HashSet<Member>,
-    /// When a message of each address was last received, by the monotonic clock.
+    /// Live members with their incarnations; a sender with another incarnation has restarted.
+    known_members: HashSet<Member>,
+    /// Monotonic time of the last message from each address, in microseconds.
     last_received: HashMap<SocketAddr, Micros>,
     next_greeting: Instant,
     next_seeds: Instant,
     next_discovery: Instant,
-    /// Peers known at the last discovery.
-    peers_known: usize,
+    /// Number of peers at the last discovery.
+    last_peer_count: usize,
 }
 
 impl Membership {
-    /// Begins with this director alone.
+    /// Creates a membership in which this director is the only member.
     pub(super) fn new(members: Members, seeds: Vec<SocketAddr>, now: Instant) -> Membership {
         Membership {
             own_address: members.local().address,
@@ -49,60 +49,61 @@
             duplicates: DuplicateNames::default(),
             timers: Timers::new(),
             seeds,
-            known: HashSet::new(),
+            known_members: HashSet::new(),
             last_received: HashMap::new(),
             next_greeting: now,
             next_seeds: now,
             next_discovery: now,
-            peers_known: 0,
+            last_peer_count: 0,
         }
     }
 
-    /// Schedules timers of the protocol.
+    /// Schedules timers of the membership protocol, each after its delay.
     pub(super) fn schedule(&mut self, timers: Vec<(Duration, Timer)>) {
         for (after, timer) in timers {
             self.timers.schedule(after, timer);
         }
     }
 
-    /// When the next timer of the protocol expires.
+    /// Returns when the next timer of the protocol expires.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.timers.next_deadline()
     }
 
-    /// Handles one timer that has expired; none: there is none.
+    /// Handles one expired timer. Returns `None` if no timer has expired.
     pub(super) fn expire(&mut self, now: Instant) -> Option<ProtocolOutput> {
         let timer = self.timers.pop_expired(now)?;
         Some(self.members.handle_timer(timer))
     }
 
-    /// Takes over a change of the members, and returns the addresses of the peers.
+    /// Updates the known members after a membership change and returns the addresses of the peers.
     pub(super) fn refresh(&mut self) -> Vec<SocketAddr> {
-        self.known = self.members.peers().into_iter().collect();
-        let peers: Vec<SocketAddr> = self.known.iter().map(|m| m.address).collect();
+        self.known_members = self.members.peers().into_iter().collect();
+        let peers: Vec<SocketAddr> = self.known_members.iter().map(|m| m.address).collect();
         let dead: BTreeSet<SocketAddr> = self.members.dead().into_iter().map(|m| m.address).collect();
         self.last_received.retain(|address, _| peers.contains(address) || dead.contains(address));
         peers
     }
 
-    /// Records a message of this sender. A sender that is not known in this incarnation has restarted, or
-    /// this director has: it is to be greeted at once instead of after a failure detection.
+    /// Records a message of a sender. If the sender is not known in this incarnation, it or this director has
+    /// restarted. An announcement is then sent to it at once, as the failure detector would take longer to
+    /// notice.
     pub(super) fn received(&mut self, from: &Member, now: Micros) -> Option<ProtocolOutput> {
         self.last_received.insert(from.address, now);
         let at = Instant::now();
-        if at < self.next_greeting || self.known.contains(from) {
+        if at < self.next_greeting || self.known_members.contains(from) {
             return None;
         }
         self.next_greeting = at + GREETING_INTERVAL;
         Some(self.members.announce(from.address))
     }
 
-    /// When a message of this member was last received, by the monotonic clock.
+    /// Returns the monotonic time of the last message from a member.
     pub(super) fn last_received(&self, member: &Member) -> Option<Micros> {
         self.last_received.get(&member.address).copied()
     }
 
-    /// Seeds to announce this director to now; none: it is not yet time.
+    /// Returns the seeds to announce this director to, or `None` if announcements are not yet due.
     pub(super) fn seeds_due(&mut self, now: Instant) -> Option<Vec<SocketAddr>> {
         if now < self.next_seeds {
             return None;
@@ -113,19 +114,20 @@
         Some(self.seeds.iter().filter(missing).copied().collect())
     }
 
-    /// Peers to ask for their members now: some while the number of peers grows, else none.
+    /// Returns the peers to ask for their member lists now: [`DISCOVERY_FANOUT`] per interval while the
+    /// number of peers grows, otherwise none.
     pub(super) fn discovery_due(&mut self, peers: &[SocketAddr], now: Instant) -> Vec<SocketAddr> {
         if now < self.next_discovery {
             return Vec::new();
         }
         self.next_discovery = now + DISCOVERY_INTERVAL;
-        if peers.len() <= std::mem::replace(&mut self.peers_known, peers.len()) {
+        if peers.len() <= std::mem::replace(&mut self.last_peer_count, peers.len()) {
             return Vec::new();
         }
         (0..DISCOVERY_FANOUT).map(|_| peers[(random() % peers.len() as u64) as usize]).collect()
     }
 
-    /// Looks for names that two or more directors have.
+    /// Updates the list of names that are shared by two or more directors.
     pub(super) fn check_names(&mut self, now: Instant) {
         self.duplicates.update(self.members.duplicate_names(), now);
     }
--- a/src/cluster/membership_change.rs
+++ b/src/cluster/membership_change.rs
@@ -1,32 +1,32 @@
-//! Changes of the membership, and their log events.
+//! Membership changes and their log events.
 
 use super::members::Member;
 use super::LOG_TARGET;
 use foca::OwnedNotification;
 
-/// A change of the membership, as one director sees it.
+/// A membership change as seen by this director.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// A member is alive.
+    /// A member joined or came back.
     Alive(Member),
-    /// A member is dead, or has left.
+    /// A member was declared dead or has left.
     Dead(Member),
-    /// The director at an address has another name.
+    /// The director at a known address has changed its name.
     Renamed {
-        /// What it was.
+        /// The member under its former name.
         from: Member,
-        /// What it is.
+        /// The member under its present name.
         to: Member,
     },
-    /// A member has restarted.
+    /// A member has restarted with a later incarnation.
     Restarted(Member),
-    /// This director has joined others.
+    /// This director is known to at least one live member.
     Joined,
-    /// No other member is alive.
-    Alone,
-    /// Others have declared this director dead.
+    /// All other members are dead or have left.
+    NoLivePeers,
+    /// This director is no longer a member: it has left, or it was declared dead and could not rejoin.
     DeclaredDead,
-    /// This director was declared dead, and is back.
+    /// This director was declared dead by peers and has rejoined with the given later incarnation.
     Rejoined(Member),
 }
 
@@ -40,7 +40,7 @@
             }
             OwnedNotification::Rename(_, member) => MembershipChange::Restarted(member),
             OwnedNotification::Active => MembershipChange::Joined,
-            OwnedNotification::Idle => MembershipChange::Alone,
+            OwnedNotification::Idle => MembershipChange::NoLivePeers,
             OwnedNotification::Defunct => MembershipChange::DeclaredDead,
             OwnedNotification::Rejoin(member) => MembershipChange::Rejoined(member),
         }
@@ -48,7 +48,7 @@
 }
 
 impl MembershipChange {
-    /// Logs the change.
+    /// Logs the change at level `info`.
     pub(super) fn log(&self) {
         match self {
             MembershipChange::Alive(member) => tracing::info!(
@@ -62,20 +62,21 @@
                 peer = %to.name,
                 address = %from.address,
                 former_name = %from.name,
-                "peer has another name"
+                "peer changed its name"
             ),
             MembershipChange::Restarted(member) => tracing::info!(
-                target: LOG_TARGET, peer = %member.name, address = %member.address, "peer has restarted"
+                target: LOG_TARGET, peer = %member.name, address = %member.address, "peer restarted"
             ),
             MembershipChange::Joined => tracing::info!(target: LOG_TARGET, "joined the cluster"),
-            MembershipChange::Alone => tracing::info!(target: LOG_TARGET, "no other director is alive"),
-            MembershipChange::DeclaredDead => {
-                tracing::info!(target: LOG_TARGET, "others take this director for dead")
-            }
+            MembershipChange::NoLivePeers => tracing::info!(target: LOG_TARGET, "no live peer"),
+            MembershipChange::DeclaredDead => tracing::info!(
+                target: LOG_TARGET,
+                "no longer a member: left the cluster, or declared dead by peers"
+            ),
             MembershipChange::Rejoined(member) => tracing::info!(
                 target: LOG_TARGET,
                 incarnation = member.incarnation,
-                "others took this director for dead, it has rejoined"
+                "rejoined the cluster after being declared dead"
             ),
         }
     }
--- a/src/cluster/messages.rs
+++ b/src/cluster/messages.rs
@@ -1,4 +1,4 @@
-//! The actor's side of the two protocols: messages in, messages out.
+//! The actor's handling of messages of the membership and replication protocols.
 
 use super::actor::Actor;
 use super::frame::Body;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 impl Actor {
-    /// Handles one datagram.
+    /// Verifies a received datagram and passes its message to the protocol that it belongs to.
     pub(super) fn handle_datagram(&mut self, datagram: &[u8]) {
         let Some(message) = self.transport.decode(datagram) else { return };
         let now = self.now();
@@ -32,27 +32,28 @@
         self.replication.handle_message(&from.address, body, now, &mut replies);
         let after = self.replication.counters();
         if after.conflicts > before.conflicts {
-            tracing::warn!(target: LOG_TARGET, peer = %from.name, "peer sent a conflicting copy");
+            tracing::warn!(target: LOG_TARGET, peer = %from.name, "peer sent a conflicting entry");
         }
         if after.rejected != before.rejected {
             tracing::debug!(
                 target: LOG_TARGET,
                 peer = %from.name,
                 rejected = ?after.rejected,
-                "entries of a peer rejected"
+                "rejected entries from peer"
             );
         }
         self.send_replication(replies);
     }
 
-    /// Lets the replication protocol send what is due.
+    /// Sends the messages of the replication protocol that are due.
     pub(super) fn tick_replication(&mut self, now: ClockReading) {
         let mut messages = Vec::new();
         self.replication.tick(now, &mut messages);
         self.send_replication(messages);
     }
 
-    /// Sends messages, and takes over the entries that changed since the last time.
+    /// Sends messages of the replication protocol, and queues the entries changed since the last call for the
+    /// disk and the dispatcher.
     fn send_replication(&mut self, messages: Outbox<SocketAddr>) {
         for (to, message) in messages {
             self.transport.send(self.membership.members.local(), to, Body::Gossip(message));
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Announces this director where that is due, and looks for duplicate names.
+    /// Sends the announcements that are due and checks for duplicate names.
     pub(super) fn tick_membership(&mut self, now: Instant) {
         if let Some(seeds) = self.membership.seeds_due(now) {
             self.announce(seeds);
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Lets the membership protocol handle its timers that have expired.
+    /// Handles the expired timers of the membership protocol.
     pub(super) fn expire_timers(&mut self) {
         let now = Instant::now();
         while let Some(output) = self.membership.expire(now) {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Does what the membership protocol asks for.
+    /// Executes the actions that the membership protocol requests.
     pub(super) fn apply_membership(&mut self, output: ProtocolOutput) {
         for (to, bytes) in output.messages {
             self.transport.send(self.membership.members.local(), to, Body::Swim(bytes));
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,25 +1,26 @@
 //! Replication among directors: an actor that holds the replicated state, exchanges it with other directors
-//! by datagrams, and stores it on a disk where the operator names a folder. Off unless the operator's file
-//! has a section `peers`.
+//! in UDP datagrams, and stores it on disk if the operator configures a folder. Disabled unless the
+//! operator's file has a section `peers`.
 //!
-//! It runs beside the dispatcher, and requests wait for none of it: events reach it through a queue that
-//! drops what does not fit, and updates are delivered to the dispatcher as its mailbox permits. It has one
-//! socket, and one thread, which writes to the disk. The protocols themselves, without I/O, are in
-//! [`crate::replication`] and [`members`].
+//! The actor runs concurrently with the dispatcher, and no request waits for it: watch events reach it
+//! through a bounded queue that drops events when full, and updates are sent to the dispatcher only while
+//! its mailbox has capacity. The actor owns one socket and one thread, which writes to the disk. The
+//! protocols themselves are free of I/O; they are in [`crate::replication`] and [`members`].
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `startup` | opening the keys, the socket and the stored state |
+//! | `startup` | reading the keys, opening the socket and the stored state |
 //! | `actor` | the actor and its event loop |
-//! | `messages` | the actor's handling of both protocols' messages |
+//! | `messages` | the actor's handling of messages of both protocols |
 //! | `handle` | commands to the actor |
-//! | `membership`, [`members`], `membership_change`, `duplicates` | announcements, protocol, log, names |
-//! | `transport`, [`frame`], `key_file` | the socket, authenticated framing, and the file of its keys |
-//! | `dispatcher_feed`, `drain_feed` | delivery of updates and drains to the dispatcher |
-//! | `catch_up` | the stage of catching up, and the careful mode until then |
-//! | `persistence`, [`store`] | when entries are written, and the writer |
+//! | `membership`, [`members`] | announcements of this director, and the membership protocol |
+//! | `membership_change`, `duplicates` | membership changes and their log events, duplicate names |
+//! | `transport`, [`frame`], `key_file` | the socket, authenticated framing, and the key file |
+//! | `dispatcher_feed`, `drain_feed` | delivery of updates and drain overrides to the dispatcher |
+//! | `catch_up` | the catch-up stage, and the fresh-only mode after a start |
+//! | `persistence`, [`store`] | the schedule of writes to disk, and the writer thread |
 //! | `source` | events of the local discovery source |
-//! | `status`, `report`, [`admin`] | operators' status, metrics and commands |
+//! | `status`, `report`, [`admin`] | status, metrics and commands for operators |
 
 mod actor;
 pub mod admin;
@@ -53,10 +54,10 @@
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 
-/// The target of log events, by which operators choose their level.
+/// The target of this module's log events, by which operators set their log level.
 const LOG_TARGET: &str = "foxhold::cluster";
 
-/// A random number, from the operating system's seed.
+/// Returns a random number, seeded by the operating system.
 fn random() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/src/cluster/persistence.rs
+++ b/src/cluster/persistence.rs
@@ -1,4 +1,4 @@
-//! Decides when which entries are written to the disk.
+//! Schedules writes of changed entries to disk.
 
 use super::store::{BatchScope, Store};
 use crate::policy::types::Micros;
@@ -9,41 +9,41 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Changes are written this often.
+/// Interval at which changes are written.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
-/// After a failed write all entries are written, this often until it succeeds: the actor does nothing else
-/// while it encodes them.
+/// After a failed write, interval between attempts to write all entries. Longer than [`WRITE_INTERVAL`],
+/// because the actor is blocked while it encodes them.
 const FULL_WRITE_INTERVAL: Duration = Duration::from_secs(5);
-/// Without a change the time of the last write is renewed this often.
+/// Interval at which the stored time of the last write is updated if nothing has changed.
 const TIMESTAMP_INTERVAL: Duration = Duration::from_secs(5);
-/// How long the last writes are waited for when the director ends.
+/// Time limit for the last writes at shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Entries that are to be written; without a store nothing is.
+/// The entries to be written to the store, and the schedule of writes. Does nothing without a store.
 pub(super) struct Persistence {
     store: Option<Store>,
     dirty: BTreeSet<Key>,
     next_write: Instant,
-    /// When all entries may be written next, where a write has failed.
+    /// After a failed write, the earliest time of the next attempt to write all entries.
     next_full_write: Instant,
     last_write: Instant,
 }
 
 impl Persistence {
-    /// With nothing to write. Without a store the state is kept in memory only.
+    /// Creates a schedule with nothing to write. If `store` is `None`, the state is kept in memory only.
     pub(super) fn new(store: Option<Store>, now: Instant) -> Persistence {
         let dirty = BTreeSet::new();
         Persistence { store, dirty, next_write: now, next_full_write: now, last_write: now }
     }
 
-    /// Marks an entry as changed.
-    pub(super) fn mark(&mut self, key: &Key) {
+    /// Marks an entry to be written with the next batch.
+    pub(super) fn mark_changed(&mut self, key: &Key) {
         if self.store.is_some() {
             self.dirty.insert(key.clone());
         }
     }
 
-    /// Writes if it is time to.
+    /// Writes changed entries if a write is due.
     pub(super) fn write_if_due(&mut self, state: &ReplicatedState, now: Instant, unix: Micros) {
         let is_due = now >= self.next_write;
         if is_due && !(self.is_incomplete() && now < self.next_full_write) {
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Whether the store lacks entries, since a write failed.
+    /// Returns whether entries are missing from the store after a failed write.
     fn is_incomplete(&self) -> bool {
         self.store.as_ref().is_some_and(|store| store.status.incomplete.load(Ordering::Relaxed))
     }
 
-    /// Hands what has changed to the writer, or all entries after a write that failed.
+    /// Passes the changed entries to the writer, or all entries after a failed write.
     pub(super) fn write(&mut self, state: &ReplicatedState, now: Instant, unix: Micros) {
         let scope = if self.is_incomplete() { BatchScope::AllEntries } else { BatchScope::Changes };
         let Some(store) = &self.store else { return };
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Waits, for a bounded time, until all that was handed over is written.
+    /// Waits until the writer has written all batches, for [`CLOSE_TIMEOUT`] at most.
     pub(super) async fn close(self) {
         if let Some(store) = self.store {
             store.close(CLOSE_TIMEOUT).await;
         }
     }
 
-    /// Batches written and batches that failed, since the start.
+    /// Returns the numbers of batches written and failed since the start.
     pub(super) fn counts(&self) -> (u64, u64) {
         let read = |count: &AtomicU64| count.load(Ordering::Relaxed);
         self.store.as_ref().map_or((0, 0), |store| (read(&store.status.written), read(&store.status.failed)))
--- a/src/cluster/report.rs
+++ b/src/cluster/report.rs
@@ -1,7 +1,7 @@
-//! Answers to operators' questions: the status with its metrics, and the list of entries.
+//! Answers to operators' commands: the status with its metrics, and the list of entries.
 //!
-//! The names of metrics are those that operators' scripts read; they meet the program's own names here and in
-//! [`super::status`].
+//! Operators' scripts read the metrics by the names used here. These names and those in [`super::status`] may
+//! differ from the names in the code and must not change.
 
 use super::actor::Actor;
 use super::catch_up::stage_name;
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 impl Actor {
-    /// All entries of a kind, a line each.
+    /// Returns all entries of a kind as text, one line per entry.
     pub(super) fn list(&self, kind: Kind) -> Vec<String> {
         self.replication
             .state
@@ -23,7 +23,7 @@
             .collect()
     }
 
-    /// The status, as JSON.
+    /// Returns the status of this director and its peers as JSON.
     pub(super) fn status(&self, now: ClockReading) -> String {
         let state = &self.replication.state;
         let own = self.membership.members.local();
@@ -77,7 +77,7 @@
         counts.into_iter().map(|(name, n)| (name.to_owned(), n)).collect()
     }
 
-    /// What was rejected, by cause: datagrams, entries and messages of the membership protocol.
+    /// Returns the numbers of rejected datagrams, entries and membership messages, by cause.
     fn rejected(&self) -> BTreeMap<String, u64> {
         let datagrams = self.transport.counters.rejected.iter();
         let datagrams = datagrams.map(|(cause, n)| (cause.name().to_owned(), *n));
--- a/src/cluster/source.rs
+++ b/src/cluster/source.rs
@@ -5,7 +5,7 @@
 use crate::replication::entry::{Key, Value};
 use crate::replication::state::{ClockReading, ListScope, ReplicatedState};
 
-/// Applies an event, and returns the entries that changed by it.
+/// Applies a watch event and returns the entries changed by it.
 pub(super) fn apply(state: &mut ReplicatedState, event: &WatchEvent, now: ClockReading) -> Vec<(Key, Value)> {
     match &event.change {
         WatchChange::Members { complete, members } => {
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -1,4 +1,4 @@
-//! Opens what the actor needs: the keys, the socket and the stored state.
+//! Startup of the actor: reads the keys and opens the socket and the stored state.
 
 use super::actor::{Actor, ActorParts};
 use super::frame::FrameCodec;
@@ -21,37 +21,37 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 
-/// Bytes of entries that the state may hold, for each entry that it may hold.
+/// Bytes of state allowed per entry of the configured maximum (`peers.entries`).
 const BYTES_PER_ENTRY: usize = 512;
 
-/// Why the actor cannot start. Each text names the key of the operator's file.
+/// An error on starting the actor. Each message names the setting in the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The key file cannot be read.
     #[error("peers.key: {}: {source}", path.display())]
     ReadKeys {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What failed.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The key file holds something else.
+    /// The key file cannot be parsed.
     #[error("peers.key: {}: {source}", path.display())]
     ParseKeys {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What is wrong.
+        /// What is wrong with its content.
         source: KeyFileError,
     },
-    /// No key can be used.
+    /// There is no key, or one is too short.
     #[error("peers.key: no usable key")]
     NoUsableKey,
     /// The socket cannot be opened.
     #[error("peers.listen: {address}: {source}")]
     Bind {
-        /// The address to listen at.
+        /// The configured address to listen on.
         address: SocketAddr,
-        /// What failed.
+        /// The I/O error.
         source: io::Error,
     },
     /// The stored state cannot be opened.
@@ -59,8 +59,10 @@
     Store(#[from] StoreError),
 }
 
-/// Opens the socket and the stored state. `initial_events`: events of the discovery source that the
-/// configuration holds; `watch_events`: its further ones.
+/// Reads the keys, opens the socket and the stored state, and returns the actor with a handle to it.
+///
+/// `initial_events` are the watch events that the configuration contains; `watch_events` delivers the later
+/// ones of the discovery source.
 pub async fn open(
     section: PeersSection,
     dispatcher: DispatcherSender,
@@ -102,8 +104,8 @@
     FrameCodec::new(&section.fleet, &keys).ok_or(StartError::NoUsableKey)
 }
 
-/// Opens the store, where the operator names a folder, and loads its entries into the state. Returns the
-/// incarnation to start with as a member.
+/// Opens the store if a folder is configured, and loads its entries into the state. Also returns this
+/// director's initial incarnation in the membership protocol.
 fn open_store(
     folder: Option<&Path>,
     state: &mut ReplicatedState,
@@ -116,32 +118,32 @@
             target: LOG_TARGET,
             reason = %file.reason,
             file = %file.path.display(),
-            "stored state can't be read: it is put aside as broken and fetched from peers"
+            "stored state is unreadable; file renamed, state will be fetched from peers"
         );
     }
     restore(&stored, state, now);
     Ok((Some(store), stored.incarnation))
 }
 
-/// Merges the stored entries into the state. If they are older than tombstones are kept, the endpoint list is
-/// forgotten.
+/// Merges the stored entries into the state. If they are older than the retention time of tombstones, the
+/// endpoint list is dropped, as peers may have removed endpoints and forgotten the tombstones since.
 fn restore(stored: &StoredState, state: &mut ReplicatedState, now: ClockReading) {
     let merged = stored.entries.iter().filter(|(key, value)| state.merge(key, value, now).is_ok()).count();
-    // A clock that was set back makes the age unknown, which counts as too old.
+    // If the clock was set back, the age is unknown and counts as too old.
     let age = now.unix.checked_sub(stored.saved_at);
     if stored.saved_at > 0 && age.is_none_or(|age| age > state.bounds().tombstone_retention) {
         let forgotten = state.forget_members();
         tracing::info!(
             target: LOG_TARGET,
             forgotten,
-            "stored state is older than the horizon: its endpoint list is forgotten"
+            "stored state is older than the horizon; its endpoint list is dropped"
         );
     }
     tracing::info!(
         target: LOG_TARGET,
         merged,
         stored = stored.entries.len(),
-        "entries taken from the disk"
+        "entries loaded from disk"
     );
 }
 
--- a/src/cluster/status.rs
+++ b/src/cluster/status.rs
@@ -1,36 +1,36 @@
-//! The status of this director and its peers, as operators are shown it. The JSON keeps the names that
-//! operators' scripts read.
+//! The status of this director and its peers as shown to operators. The names in the JSON are read by
+//! operators' scripts and must not change.
 
 use miniserde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The answer to the command `peers`, as JSON.
+/// The answer to the admin command `peers`, serialised as JSON.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// This director's name.
+    /// This director's name, from its operator's file.
     pub name: String,
-    /// Where other directors reach it.
+    /// The address at which other directors reach this one.
     pub address: String,
-    /// Grows with each start, and each time that others took it for dead.
+    /// Increases at each start, and each time that this director rejoins after being declared dead.
     pub incarnation: u64,
-    /// The stage of catching up.
+    /// The catch-up stage: `catching up`, `caught up` or `on its own`.
     pub stage: String,
-    /// Entries by kind.
+    /// Number of entries by kind.
     pub entries: BTreeMap<String, u64>,
-    /// Bytes of entries, as their bound counts them.
+    /// Size of all entries in bytes, as counted towards the limit of the state.
     pub bytes: u64,
-    /// The members that are alive, by name.
+    /// The live members, sorted by name.
     pub peers: Vec<PeerStatus>,
-    /// Members that are dead or have left.
+    /// Members that died or left, each as `NAME at ADDRESS`.
     #[serde(rename = "gone")]
     pub dead: Vec<String>,
-    /// Names that two or more have.
+    /// Names shared by two or more directors, with their addresses.
     #[serde(rename = "twins")]
     pub duplicate_names: Vec<String>,
-    /// Totals since the start.
+    /// Totals since the start, by name.
     pub counts: BTreeMap<String, u64>,
-    /// What was rejected, by cause.
+    /// Number of rejected datagrams, entries and membership messages, by cause.
     #[serde(rename = "turned_down")]
     pub rejected: BTreeMap<String, u64>,
 }
@@ -38,14 +38,16 @@
 /// A member other than this director.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Its name.
+    /// The peer's name, from its operator's file.
     pub name: String,
-    /// Where it is reached.
+    /// The address at which the peer is reached.
     pub address: String,
-    /// Milliseconds since a message of it was last received; none: never in this run.
+    /// Milliseconds since a message of the peer was last received, or `None` if none was received since the
+    /// start.
     #[serde(rename = "heard_ms")]
     pub last_received_ms: Option<u64>,
-    /// Milliseconds since its digest was last the same as ours; none: never in this run.
+    /// Milliseconds since the peer's digest last matched this director's, or `None` if it has not since the
+    /// start.
     #[serde(rename = "alike_ms")]
     pub last_in_sync_ms: Option<u64>,
 }
@@ -72,7 +74,7 @@
     ms.map_or("-".to_owned(), |ms| ms.to_string())
 }
 
-/// Writes the counts that are not zero, on one line.
+/// Writes all non-zero counts on one line.
 fn write_counts(f: &mut fmt::Formatter<'_>, title: &str, counts: &BTreeMap<String, u64>) -> fmt::Result {
     let counted = counts.iter().filter(|(_, n)| **n > 0);
     let counted: Vec<String> = counted.map(|(name, n)| format!("{name} {n}")).collect();
--- a/src/cluster/store/error.rs
+++ b/src/cluster/store/error.rs
@@ -1,57 +1,57 @@
-//! Why the stored state cannot be used.
+//! Errors of the store.
 
 use super::file::FORMAT_VERSION;
 use std::io;
 use std::path::PathBuf;
 
-/// Why the store cannot be opened.
+/// An error on opening the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A new file cannot be created.
     #[error("peers.folder: {}: {source}", path.display())]
     Create {
-        /// The file.
+        /// Path of the new file.
         path: PathBuf,
-        /// What failed.
+        /// The database's error.
         source: FileError,
     },
-    /// The file cannot be read, and could not be renamed either.
-    #[error("peers.folder: {}: {reason}; not put aside: {source}", path.display())]
+    /// The file cannot be read, and renaming it failed.
+    #[error("peers.folder: {}: {reason}; renaming the file failed: {source}", path.display())]
     SetAside {
-        /// The file.
+        /// Path of the unreadable file.
         path: PathBuf,
         /// Why it cannot be read.
         reason: FileError,
-        /// Why it could not be renamed.
+        /// The error on renaming it.
         source: io::Error,
     },
-    /// The thread of the writer cannot be started.
-    #[error("peers.folder: no thread to write: {0}")]
+    /// The writer thread cannot be started.
+    #[error("peers.folder: starting the writer thread failed: {0}")]
     SpawnWriter(#[source] io::Error),
 }
 
-/// Why a file cannot be opened, read or written.
+/// An error on opening, reading or writing the file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It cannot be opened.
+    /// The database cannot be opened.
     #[error(transparent)]
     Open(#[from] redb::DatabaseError),
-    /// It cannot be read or written.
+    /// The database cannot be read or written.
     #[error(transparent)]
     Access(#[from] redb::Error),
-    /// The database panicked on its pages.
-    #[error("its pages can't be read")]
+    /// `redb` panicked while opening the file, as it may on corrupt pages.
+    #[error("corrupt database pages")]
     InvalidPages,
-    /// It is of another version of the format.
-    #[error("it is of form {found}, {FORMAT_VERSION} is read here")]
+    /// The file has a format version that this program does not read.
+    #[error("unsupported format version {found}, expected {FORMAT_VERSION}")]
     Version {
-        /// The version that was found.
+        /// The file's format version, or 0 if it states none.
         found: u64,
     },
     /// A key cannot be decoded.
-    #[error("a key: {0}")]
+    #[error("decoding a key failed: {0}")]
     Key(#[source] postcard::Error),
     /// An entry cannot be decoded.
-    #[error("an entry: {0}")]
+    #[error("decoding an entry failed: {0}")]
     Entry(#[source] postcard::Error),
 }
--- a/src/cluster/store/file.rs
+++ b/src/cluster/store/file.rs
@@ -1,4 +1,4 @@
-//! The format of the file: its tables, and how they are read and written.
+//! The database file: its tables, and functions to read and write them.
 
 use super::error::FileError;
 use super::{BatchScope, StoredState};
@@ -6,37 +6,38 @@
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, TableError};
 use std::path::Path;
 
-/// The version of the format of the file.
+/// The version of the file format.
 pub(super) const FORMAT_VERSION: u64 = 1;
-/// Numbers by name.
+/// Table of numbers about the file, by name.
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// In [`META`]: the version of the format.
+/// Name in [`META`] of the format version.
 const META_VERSION: &str = "form";
-/// In [`META`]: the time of the last write, in Unix microseconds.
+/// Name in [`META`] of the time of the last write, in Unix microseconds.
 const META_SAVED_AT: &str = "saved";
-/// In [`META`]: the incarnation of the director that wrote last.
+/// Name in [`META`] of the incarnation of the director that wrote last.
 const META_INCARNATION: &str = "incarnation";
-/// Encoded entries by encoded key.
+/// Table of encoded entries by encoded key.
 const ENTRIES: TableDefinition<&[u8], &[u8]> = TableDefinition::new("entries");
-/// The database's cache of pages, in bytes.
+/// Size of the database's page cache, in bytes.
 const CACHE_BYTES: usize = 2 << 20;
 
-/// Encoded keys and entries; none: the entry is removed.
+/// Encoded keys with their encoded entries, or `None` for entries to be removed.
 pub(super) type EncodedBatch = Vec<(Vec<u8>, Option<Vec<u8>>)>;
 
 /// One write to the file.
 pub(super) struct Batch {
-    /// What is written.
+    /// The entries to write or remove.
     pub(super) entries: EncodedBatch,
-    /// Whether these are all entries.
+    /// Whether the batch contains all entries or only changes.
     pub(super) scope: BatchScope,
     /// The time of the write, in Unix microseconds.
     pub(super) unix: Micros,
 }
 
-/// Opens a file, or creates it.
+/// Opens a file, or creates it if it does not exist.
 pub(super) fn open_database(path: &Path) -> Result<Database, FileError> {
-    // The library may panic on pages that it did not write: one more way in which a file is broken.
+    // `redb` may panic on pages that it did not write, as in a corrupt file. A panic is reported like any
+    // other unreadable file.
     let opened = std::panic::catch_unwind(|| {
         let mut builder = Database::builder();
         builder.set_cache_size(CACHE_BYTES).create(path)
@@ -44,7 +45,7 @@
     Ok(opened.map_err(|_| FileError::InvalidPages)??)
 }
 
-/// Reads all of a file. A new file holds nothing.
+/// Reads the whole file. A new file yields an empty state.
 pub(super) fn read(database: &Database) -> Result<StoredState, FileError> {
     let transaction = database.begin_read().map_err(redb::Error::from)?;
     let meta = match transaction.open_table(META) {
@@ -78,7 +79,7 @@
     Ok(())
 }
 
-/// Writes a batch in one transaction.
+/// Writes a batch and the file's metadata in one transaction.
 pub(super) fn write(database: &Database, batch: &Batch, incarnation: u64) -> Result<(), redb::Error> {
     let transaction = database.begin_write()?;
     if batch.scope == BatchScope::AllEntries {
--- a/src/cluster/store/mod.rs
+++ b/src/cluster/store/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated state on a disk, in an embedded database (`redb`) that a thread of its own writes to.
+//! Storage of the replicated state on disk, in an embedded database (`redb`) written by a dedicated thread.
 //!
-//! Requests never wait for the disk. Changes are handed over in batches; while the writer is busy they
-//! gather, by key. Each batch is one transaction, so a kill at any moment leaves the state of some earlier
-//! moment. A file that cannot be read is renamed, and the state is fetched from peers. A write that fails is
-//! counted, and all entries are written again once writing works.
+//! Requests never wait for the disk. Changes are passed to the writer in batches; while the writer is busy,
+//! changes are collected by key. Each batch is one transaction, so a process killed at any moment leaves a
+//! consistent earlier state. A file that cannot be read is renamed, and the state is fetched from peers. A
+//! failed write is counted, and all entries are written again once writing succeeds.
 
 mod error;
 mod file;
@@ -24,52 +24,52 @@
 use tokio::time::{sleep, timeout};
 use writer::{Request, Writer};
 
-/// The name of the file within the folder.
+/// Name of the database file within the configured folder.
 const FILE_NAME: &str = "foxhold-state.redb";
-/// Batches that may wait for the writer.
+/// Maximum number of batches queued for the writer.
 const QUEUE_CAPACITY: usize = 4;
-/// How often a full queue is tried again at the end.
+/// Interval between attempts to queue the stop request while the queue is full.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the file held at the start.
+/// The content of the file at the start.
 #[derive(Debug, Default)]
 pub struct StoredState {
-    /// The entries.
+    /// All stored entries, not yet checked against the bounds of the state.
     pub entries: Vec<(Key, Value)>,
-    /// When it was last written, in Unix microseconds; 0: never.
+    /// Time of the last write in Unix microseconds, or 0 if the file was never written.
     pub saved_at: Micros,
-    /// The incarnation to start with: later than that of the last start.
+    /// The incarnation to start with, which is later than that of the previous start.
     pub incarnation: u64,
-    /// The file that was there and could not be read.
+    /// The unreadable file that was replaced, if any.
     pub set_aside: Option<SetAsideFile>,
 }
 
-/// A file that could not be read, and was renamed.
+/// An unreadable file that was renamed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SetAsideFile {
-    /// Its new name.
+    /// The file's new path.
     pub path: PathBuf,
     /// Why it could not be read, for the log.
     pub reason: String,
 }
 
-/// What a batch holds.
+/// Which entries a batch contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchScope {
-    /// Entries that changed.
+    /// Only entries that changed.
     Changes,
-    /// All entries; what the file holds beside them is removed.
+    /// All entries; any other entries in the file are removed.
     AllEntries,
 }
 
-/// The handle of the writer.
+/// A handle to the writer thread.
 pub struct Store {
     requests: SyncSender<Request>,
-    /// What the writer reports.
+    /// Counts and failures reported by the writer.
     pub status: Arc<WriterStatus>,
 }
 
-/// Opens the file in a folder, renames one that cannot be read, and starts the writer.
+/// Opens the file in a folder and starts the writer. An unreadable file is renamed and replaced by a new one.
 pub fn open(folder: &Path, unix: Micros) -> Result<(Store, StoredState), StoreError> {
     let path = folder.join(FILE_NAME);
     let (database, mut stored) = open_or_replace(folder, &path, unix)?;
@@ -85,7 +85,7 @@
     Ok((Store { requests, status }, stored))
 }
 
-/// Opens and reads the file. One that cannot be read is renamed, and a new one created.
+/// Opens and reads the file. Renames an unreadable file and creates a new one.
 fn open_or_replace(folder: &Path, path: &Path, unix: Micros) -> Result<(Database, StoredState), StoreError> {
     let reason = match open_and_read(path) {
         Ok(opened) => return Ok(opened),
@@ -108,7 +108,8 @@
 }
 
 impl Store {
-    /// Hands a batch to the writer. An error returns the keys of a batch for which the queue has no capacity.
+    /// Queues a batch for the writer. Returns the batch's keys as an error if the queue is full or the writer
+    /// has stopped.
     pub fn write(
         &self,
         batch: Vec<(Key, Option<Value>)>,
@@ -124,16 +125,16 @@
         }
     }
 
-    /// Waits until all batches are written and the file is closed, for a bounded time.
+    /// Waits until all batches are written and the file is closed, for `limit` at most.
     pub async fn close(self, limit: Duration) {
-        let _ = timeout(limit, self.stop()).await; // the next start uses what was written
+        let _ = timeout(limit, self.stop()).await; // after a timeout, the next start uses what was written
     }
 
     async fn stop(self) {
         let (done, stopped) = oneshot::channel();
         let mut request = Request::Stop(done);
-        while let Err(TrySendError::Full(back)) = self.requests.try_send(request) {
-            request = back;
+        while let Err(TrySendError::Full(returned)) = self.requests.try_send(request) {
+            request = returned;
             sleep(RETRY_INTERVAL).await;
         }
         let _ = stopped.await;
--- a/src/cluster/store/writer.rs
+++ b/src/cluster/store/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes batches to the file.
+//! The writer thread, which writes batches to the file.
 
 use super::error::FileError;
 use super::file::{self, Batch};
@@ -13,41 +13,41 @@
 
 /// A request to the writer.
 pub(super) enum Request {
-    /// Writes a batch.
+    /// Writes a batch in one transaction.
     Write(Batch),
-    /// Closes the file and ends the thread.
+    /// Closes the file, replies and ends the thread.
     Stop(oneshot::Sender<()>),
 }
 
-/// What the writer reports, to be read at any time.
+/// The writer's counts and failure state, readable from other threads.
 #[derive(Debug, Default)]
 pub struct WriterStatus {
-    /// Batches written.
+    /// Number of batches written.
     pub written: AtomicU64,
-    /// Batches that could not be written.
+    /// Number of batches that could not be written.
     pub failed: AtomicU64,
-    /// Whether the file lacks entries since a write failed: all are to be written.
+    /// Whether entries are missing from the file after a failed write, so that all entries must be written.
     pub incomplete: AtomicBool,
 }
 
-/// The state of the thread.
+/// The state of the writer thread.
 pub(super) struct Writer {
     pub(super) path: PathBuf,
-    /// None after a failure: the library requires it to be opened again.
+    /// The open database, or `None` after a failure: `redb` requires it to be reopened then.
     pub(super) database: Option<Database>,
     pub(super) incarnation: u64,
     pub(super) status: Arc<WriterStatus>,
 }
 
 impl Writer {
-    /// Handles requests until one to stop, or until nobody can send one.
+    /// Handles requests until [`Request::Stop`] is received or all senders are dropped.
     pub(super) fn run(mut self, requests: &Receiver<Request>) {
         while let Ok(request) = requests.recv() {
             match request {
                 Request::Write(batch) => self.write(&batch),
                 Request::Stop(done) => {
                     drop(self.database.take());
-                    let _ = done.send(()); // nobody may wait any more
+                    let _ = done.send(()); // the receiver is dropped after the close timeout
                     return;
                 }
             }
@@ -73,13 +73,13 @@
         Ok(database)
     }
 
-    /// Counts a failure, and logs the first.
+    /// Counts a failed write and logs the first one.
     fn record_failure(&self, error: &FileError) {
         if self.status.failed.fetch_add(1, Ordering::Relaxed) == 0 {
             tracing::warn!(
                 target: LOG_TARGET,
                 reason = %error,
-                "the state can't be written to the disk; serving continues without"
+                "writing the state to disk failed; serving continues and the write will be retried"
             );
         }
         self.status.incomplete.store(true, Ordering::Relaxed);
--- a/src/cluster/timers.rs
+++ b/src/cluster/timers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Timers that have not expired; `T` is handed back when one does.
+/// Pending timers; the value `T` of a timer is returned when it expires.
 pub(super) struct Timers<T> {
     deadlines: BinaryHeap<Reverse<(Instant, u64)>>,
     pending: HashMap<u64, T>,
@@ -13,24 +13,24 @@
 }
 
 impl<T> Timers<T> {
-    /// Without a timer.
+    /// Creates an empty queue.
     pub(super) fn new() -> Timers<T> {
         Timers { deadlines: BinaryHeap::new(), pending: HashMap::new(), scheduled: 0 }
     }
 
-    /// Schedules a timer.
+    /// Schedules a timer to expire after a delay.
     pub(super) fn schedule(&mut self, after: Duration, timer: T) {
         self.scheduled += 1;
         self.deadlines.push(Reverse((Instant::now() + after, self.scheduled)));
         self.pending.insert(self.scheduled, timer);
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline, or `None` if no timer is pending.
     pub(super) fn next_deadline(&self) -> Option<Instant> {
         self.deadlines.peek().map(|Reverse((deadline, _))| *deadline)
     }
 
-    /// Removes the earliest timer whose deadline has passed.
+    /// Removes and returns the earliest timer if its deadline has passed.
     pub(super) fn pop_expired(&mut self, now: Instant) -> Option<T> {
         while let Some(Reverse((deadline, number))) = self.deadlines.peek().copied() {
             if deadline > now {
--- a/src/cluster/transport.rs
+++ b/src/cluster/transport.rs
@@ -1,4 +1,4 @@
-//! Authenticated datagrams over one UDP socket, without duplicates or replays.
+//! Sends and receives authenticated datagrams over one UDP socket, rejecting duplicates and replays.
 
 use super::frame::{Body, FrameCodec, Message, Rejection};
 use super::members::Member;
@@ -8,41 +8,42 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// Senders whose message numbers are remembered.
+/// Number of senders whose sequence numbers are kept to detect replays.
 pub const REMEMBERED_SENDERS: usize = 4096;
 
-/// Totals since the start.
+/// Traffic totals since the start.
 #[derive(Debug, Default)]
 pub(super) struct TransportCounters {
-    /// Datagrams sent.
+    /// Number of datagrams handed to the socket.
     pub(super) sent: u64,
-    /// Bytes sent.
+    /// Size of these datagrams, without UDP and IP headers.
     pub(super) sent_bytes: u64,
-    /// Bytes received.
+    /// Size of all received datagrams, including rejected ones.
     pub(super) received_bytes: u64,
-    /// Messages that were too large, or that the socket's buffer had no room for.
+    /// Messages dropped because they were too large or the socket did not accept them, such as with a full
+    /// send buffer.
     pub(super) unsent: u64,
-    /// Datagrams rejected, by cause.
+    /// Number of rejected datagrams by cause.
     pub(super) rejected: BTreeMap<Rejection, u64>,
 }
 
-/// The socket, and the state by which messages are authenticated, numbered and checked.
+/// The socket, and the state for authenticating, numbering and checking messages.
 pub(super) struct Transport {
     socket: UdpSocket,
     codec: FrameCodec,
-    /// Where other directors reach this one; what claims to be from there is rejected.
+    /// The address at which other directors reach this one. Messages that claim to come from it are rejected.
     own_address: SocketAddr,
-    /// Drawn anew at each start of the process.
+    /// A random number drawn at each start of the process.
     incarnation: u64,
-    /// The number of the message sent last.
+    /// The sequence number of the last message sent.
     sequence: u64,
     received: ReplayWindow<SocketAddr>,
-    /// Totals since the start.
+    /// Traffic totals since the start.
     pub(super) counters: TransportCounters,
 }
 
 impl Transport {
-    /// Over a bound socket.
+    /// Creates a transport on a bound socket.
     pub(super) fn new(
         socket: UdpSocket,
         codec: FrameCodec,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Sends a message, or drops and counts it: every message of both protocols may be lost.
+    /// Sends a message without waiting. One that cannot be sent is dropped and counted, as both protocols
+    /// tolerate lost messages.
     pub(super) fn send(&mut self, from: &Member, to: SocketAddr, body: Body) {
         self.sequence += 1;
         let message =
@@ -78,17 +80,17 @@
         }
     }
 
-    /// Waits for a datagram and returns its size.
+    /// Waits for a datagram, writes it to the buffer and returns its size in bytes.
     pub(super) async fn receive(&self, buffer: &mut [u8]) -> io::Result<usize> {
         self.socket.recv_from(buffer).await.map(|(size, _)| size)
     }
 
-    /// Takes a datagram that has already arrived and returns its size.
+    /// Receives a datagram if one has already arrived, and returns its size in bytes.
     pub(super) fn try_receive(&self, buffer: &mut [u8]) -> io::Result<usize> {
         self.socket.try_recv_from(buffer).map(|(size, _)| size)
     }
 
-    /// Verifies and decodes a datagram. What is rejected is counted by its cause.
+    /// Verifies and decodes a datagram. Counts it by cause and returns `None` if it is rejected.
     pub(super) fn decode(&mut self, datagram: &[u8]) -> Option<Message> {
         self.counters.received_bytes += datagram.len() as u64;
         match self.codec.decode(datagram).and_then(|message| self.check_replay(message)) {
--- a/tests/cluster_frame.rs
+++ b/tests/cluster_frame.rs
@@ -52,6 +52,6 @@
     let good = "# a comment\n\nAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=\n";
     assert_eq!(parse_keys(good).expect("a key"), vec![vec![0; 32]]);
     assert!(parse_keys("# none\n").expect_err("none").to_string().contains("no key"));
-    assert!(parse_keys("\nAAAA\n").expect_err("short").to_string().starts_with("line 2: a key of 3 bytes"));
+    assert!(parse_keys("\nAAAA\n").expect_err("short").to_string().starts_with("line 2: key of 3 bytes"));
     assert!(parse_keys("!!\n").expect_err("not base64").to_string().starts_with("line 1"));
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -144,8 +144,7 @@
         assert_eq!((bad.0, bad.1.as_str()), (Some(2), ""), "{bad:?}");
         let faults: Vec<&str> = bad.2.lines().collect();
         assert_eq!(faults.len(), 5, "{faults:?}");
-        let says =
-            ["sometimes", "line 1", "keys.json", "short.key: line 1: a key of 3 bytes", "/nowhere.yaml"];
+        let says = ["sometimes", "line 1", "keys.json", "short.key: line 1: key of 3 bytes", "/nowhere.yaml"];
         assert!(faults.iter().zip(says).all(|(fault, says)| fault.contains(says)), "{faults:?}");
     }
 
