--- a/tests/library.rs
+++ b/tests/library.rs
@@ -173,7 +173,7 @@
         let unknown = director.send(CacheRequest::new("videos", "a")).await;
         assert_eq!(unknown, Err(SendError::UnknownClass("videos".into())));
         let error = Director::builder(Settings::default()).start().expect_err("no classes");
-        assert!(error.to_string().contains("no classes"), "{error}");
+        assert!(error.to_string().contains("no request classes are configured"), "{error}");
         let missing = foxhold::discovery::XdsFile::new("/nowhere/members.json");
         let error = Director::builder(settings()).endpoint_source(missing).start().expect_err("no file");
         assert!(error.to_string().contains("/nowhere/members.json"), "{error}");
