--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,13 +1,13 @@
-//! The admin endpoint: one command a connection, answered with a line that begins with `YES` or `NO`, or with
-//! lines of which the last is `END`.
+//! The admin endpoint. Each connection carries one command. The answer is one line that begins with `YES` or
+//! `NO`, or several lines that end with the line `END`.
 //!
 //! | command | answer |
 //! | --- | --- |
-//! | `check` | `YES`, with the stage of catching up where directors gossip, or `NO` and a reason |
-//! | `vars` | the metrics on one line of JSON, then `END` |
-//! | others | those of the cluster, where directors gossip |
+//! | `check` | `YES`, followed by the catch-up stage if gossip is enabled, or `NO` and a reason |
+//! | `vars` | the metrics as one line of JSON, then `END` |
+//! | others | the commands of `cluster::admin`, if gossip is enabled |
 //!
-//! | name in `vars` | here |
+//! | name in `vars` | source |
 //! | --- | --- |
 //! | `requests.CLASS.served`, `refused`, `failed` | `served`, `rejected` and `failed` of [`ClassCounts`] |
 //! | `attempts` | [`DispatcherMetrics::attempts`] |
@@ -31,57 +31,58 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Connections at a time; a further one takes the place of the oldest.
+/// Maximum number of open connections. At this number a new connection closes the oldest one.
 const MAX_CONNECTIONS: usize = 8;
-/// The descriptors that connections hold at most: one is accepted before another makes room.
+/// Maximum number of file descriptors held by connections. A new connection is accepted before the oldest one
+/// is closed, which takes one more descriptor.
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
-/// The longest command, in bytes.
+/// Maximum length of a command in bytes if gossip is disabled.
 const MAX_COMMAND_BYTES: usize = 256;
-/// The longest command where commands may name an object, in bytes.
+/// Maximum length of a command in bytes if gossip is enabled: cluster commands can contain object names.
 #[cfg(feature = "peers")]
 const MAX_CLUSTER_COMMAND_BYTES: usize = 600;
 const READ_BYTES: usize = 64;
-/// A command must be complete, and its answer read, by then.
+/// Time limit for a connection, from its accept until the answer is written.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// The dispatcher answers within this, or can't serve.
+/// Time limit for the dispatcher's answer. A dispatcher that takes longer is reported as unavailable.
 const DISPATCHER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 const CHECK: &[u8] = b"check";
 const VARS: &[u8] = b"vars";
 
-/// Why the admin endpoint can't listen.
+/// Error of opening the admin endpoint's listener.
 #[derive(Debug, thiserror::Error)]
-#[error("operators at {address}: {source}")]
+#[error("admin endpoint: listen on {address}: {source}")]
 pub struct AdminListenError {
-    /// Its address.
+    /// The configured address, which could not be bound.
     pub address: String,
-    /// What the system said.
+    /// The error from the operating system.
     pub source: io::Error,
 }
 
-/// Configurations that were read again since the start.
+/// Counters of the configuration reloads since the process started.
 #[derive(Debug, Default)]
 pub struct ReloadCounters {
-    /// Those that came into force.
+    /// Reloads whose configuration was applied.
     pub succeeded: Cell<u64>,
-    /// Those that were rejected.
+    /// Reloads whose configuration was rejected.
     pub failed: Cell<u64>,
 }
 
-/// What the admin endpoint shows.
+/// State that the admin endpoint reports.
 #[derive(Clone)]
 pub struct AdminEndpoint {
-    /// The dispatcher whose metrics are shown.
+    /// The dispatcher whose metrics are reported.
     pub dispatcher: Dispatcher,
-    /// Requests that are accepted and not answered yet.
+    /// Number of requests that are accepted and not yet answered.
     pub requests_in_flight: Rc<Cell<usize>>,
-    /// How far the graceful shutdown has come.
+    /// Phase of the graceful shutdown.
     pub shutdown: watch::Receiver<ShutdownPhase>,
-    /// Configurations that were read again.
+    /// Configuration reloads since the process started.
     pub reloads: Rc<ReloadCounters>,
-    /// The cluster of directors, where they gossip.
+    /// The cluster of directors. `None` if gossip is disabled.
     #[cfg(feature = "peers")]
     pub cluster: Option<cluster::ClusterHandle>,
 }
@@ -110,7 +111,7 @@
     }
 }
 
-/// Listens on an address for as long as the process runs.
+/// Binds `address` and starts a task that serves the endpoint until the process ends.
 pub async fn listen(address: &str, endpoint: AdminEndpoint) -> Result<(), AdminListenError> {
     let listener = TcpListener::bind(address).await;
     let listener = listener.map_err(|source| AdminListenError { address: address.to_owned(), source })?;
@@ -118,7 +119,8 @@
     Ok(())
 }
 
-/// Serves each connection in a task of its own, so that one that sends nothing holds up no other.
+/// Accepts connections and serves each in a separate task, so that one that sends nothing does not block
+/// others.
 pub async fn accept(listener: TcpListener, endpoint: AdminEndpoint) {
     let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
@@ -130,23 +132,23 @@
                 continue;
             }
         };
-        make_room(&mut connections).await;
+        close_oldest_if_full(&mut connections).await;
         let endpoint = endpoint.clone();
         connections.push_back(tokio::task::spawn_local(async move {
-            let _ = timeout(COMMAND_TIMEOUT, endpoint.serve(stream)).await; // too slow: closed
+            let _ = timeout(COMMAND_TIMEOUT, endpoint.serve(stream)).await; // time-out: closed
         }));
     }
 }
 
-/// Closes the oldest connection where there are as many as may be.
-async fn make_room(connections: &mut VecDeque<JoinHandle<()>>) {
+/// Closes the oldest connection if [`MAX_CONNECTIONS`] are open.
+async fn close_oldest_if_full(connections: &mut VecDeque<JoinHandle<()>>) {
     connections.retain(|connection| !connection.is_finished());
     if connections.len() < MAX_CONNECTIONS {
         return;
     }
     if let Some(oldest) = connections.pop_front() {
         oldest.abort();
-        // Its descriptor is free again before a further connection is accepted.
+        // Waits until the descriptor is closed, so that the next accept does not exceed MAX_DESCRIPTORS.
         let _ = oldest.await;
     }
 }
@@ -199,7 +201,7 @@
         }
     }
 
-    /// The answer to `check` where the dispatcher answers.
+    /// Returns the answer to `check` once the dispatcher has answered.
     async fn check(&self) -> String {
         if *self.shutdown.borrow() != ShutdownPhase::Running {
             return "NO it is about to end\n".into();
--- a/src/frontend/http.rs
+++ b/src/frontend/http.rs
@@ -1,37 +1,38 @@
-//! HTTP codec: parses the heads of HTTP/1.1 requests and encodes those of responses (RFC 9112).
+//! HTTP/1.1 codec (RFC 9112): parses request heads and encodes response heads. A head is the first line and
+//! the header lines of a message.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest head of a request that is read, in bytes.
+/// Maximum length of a request head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Header lines of a request at most.
+/// Maximum number of header lines in a request.
 const MAX_HEADERS: usize = 100;
 
-/// Why a request can't be read; the connection closes after the response that says so.
+/// Error of reading a request. The client is sent [`BadRequest::status`], and the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRequest {
-    /// It is not in the form of HTTP/1.1.
+    /// The request violates the syntax of HTTP/1.1, or a parameter of the frontend is missing or invalid.
     #[error("malformed request")]
     Malformed,
-    /// It is not complete in time.
+    /// The request was not complete before its deadline.
     #[error("request timeout")]
     Timeout,
-    /// Its body is larger than is taken.
-    #[error("body too large")]
+    /// The body is larger than the frontend accepts.
+    #[error("request body too large")]
     BodyTooLarge,
-    /// Its head is longer, or has more header lines, than is taken.
-    #[error("head too large")]
+    /// The head is longer than [`MAX_HEAD_BYTES`] or has too many header lines.
+    #[error("request head too large")]
     HeadTooLarge,
-    /// Its body comes in a transfer encoding.
-    #[error("transfer encoding not implemented")]
+    /// The body uses a transfer encoding, such as chunked.
+    #[error("transfer encoding not supported, expected Content-Length")]
     NotImplemented,
-    /// It is in another version of HTTP.
-    #[error("unsupported version of HTTP")]
+    /// The version is neither HTTP/1.0 nor HTTP/1.1.
+    #[error("unsupported HTTP version, expected HTTP/1.0 or HTTP/1.1")]
     UnsupportedVersion,
 }
 
 impl BadRequest {
-    /// The status of the response.
+    /// Returns the HTTP status that reports this error to the client.
     pub fn status(self) -> u16 {
         match self {
             BadRequest::Malformed => 400,
@@ -44,30 +45,31 @@
     }
 }
 
-/// The request line and headers of a request; its body follows on the connection.
+/// The request line and headers of a request, without its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// The method, case unchanged. A valid HTTP token.
     pub method: String,
-    /// The target, octet for octet.
+    /// The request target, byte for byte as received.
     pub target: String,
-    /// Names in lower case, and values.
+    /// Header names in lower case with their values, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The length of the body, in bytes.
+    /// Length of the body in bytes. 0 without a `Content-Length` header.
     pub content_length: usize,
-    /// Whether the connection closes after the response.
+    /// Whether the connection closes after the response: on `Connection: close`, and in HTTP/1.0 without
+    /// `Connection: keep-alive`.
     pub closes_connection: bool,
     /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
 impl RequestHead {
-    /// The value of a header; the first, where there are more.
+    /// Returns the first value of a header. `name` is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0 == name).map(|h| h.1.as_str())
     }
 
-    /// The value of a header that stands there just once.
+    /// Returns the value of a header that occurs exactly once, otherwise `None`. `name` is in lower case.
     pub fn single_header(&self, name: &str) -> Option<&str> {
         let mut found = self.headers.iter().filter(|h| h.0 == name);
         let first = found.next()?;
@@ -75,9 +77,9 @@
     }
 }
 
-/// Takes the head of a request off the buffer; none: it is not complete yet.
+/// Removes a request head from the front of the buffer and parses it. Returns `None` if it is incomplete.
 pub fn parse_head(buffer: &mut BytesMut, max_body_bytes: usize) -> Result<Option<RequestHead>, BadRequest> {
-    // Empty lines before a request are skipped, as RFC 9112 (2.2) asks.
+    // RFC 9112 (2.2) asks servers to skip empty lines before a request.
     while buffer.starts_with(b"\r\n") {
         let _ = buffer.split_to(2);
     }
@@ -150,7 +152,7 @@
     }
 }
 
-/// A header's name in lower case, and its value.
+/// Parses a header line. Returns the name in lower case and the value without surrounding blanks.
 fn parse_header(line: &str) -> Result<(String, String), BadRequest> {
     let (name, value) = line.split_once(':').ok_or(BadRequest::Malformed)?;
     let value = value.trim_matches([' ', '\t']);
@@ -161,25 +163,26 @@
     Ok((name.to_ascii_lowercase(), value.to_owned()))
 }
 
-/// The values of all headers of a name.
+/// Returns the values of all headers with this name.
 fn header_values<'a>(headers: &'a [(String, String)], name: &'a str) -> impl Iterator<Item = &'a str> {
     headers.iter().filter(move |header| header.0 == name).map(|header| header.1.as_str())
 }
 
-/// Whether an option stands in any of the `Connection` headers.
+/// Returns whether any `Connection` header contains an option.
 fn has_connection_option(headers: &[(String, String)], option: &str) -> bool {
     let mut options = header_values(headers, "connection").flat_map(|value| value.split(','));
     options.any(|given| given.trim().eq_ignore_ascii_case(option))
 }
 
-/// The bytes of body that follow a head.
+/// Returns the length of the body in bytes.
 fn content_length(headers: &[(String, String)]) -> Result<usize, BadRequest> {
     let lengths: Vec<&str> = header_values(headers, "content-length").collect();
     if header_values(headers, "transfer-encoding").next().is_some() {
-        // No client of ours sends it. With a length beside it one of the two would hide a second request.
+        // Supported clients do not send this header. Together with `Content-Length` the end of the body is
+        // ambiguous, which allows request smuggling.
         return Err(if lengths.is_empty() { BadRequest::NotImplemented } else { BadRequest::Malformed });
     }
-    // Two lengths, or none that can be read, would leave open where the next request begins.
+    // With several lengths, or one that cannot be parsed, the start of the next request is unknown.
     match lengths[..] {
         [] => Ok(0),
         [length] if is_digits(length) => length.parse().map_err(|_| BadRequest::BodyTooLarge),
@@ -195,30 +198,30 @@
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
 }
 
-/// A response.
+/// A complete HTTP response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its headers without `Content-Length` and `Connection`.
+    /// Headers except `Content-Length` and `Connection`, which [`Response::encode_head`] adds.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// The body, sent unchanged after the head.
     pub body: Bytes,
 }
 
 impl Response {
-    /// A response without a body.
+    /// Creates a response without headers and body.
     pub fn empty(status: u16) -> Self {
         Response { status, ..Response::default() }
     }
 
-    /// The same with one more header.
+    /// Appends a header.
     pub fn with_header(mut self, name: &'static str, value: String) -> Self {
         self.headers.push((name, value));
         self
     }
 
-    /// The head as it is written, with the header that says so where the connection closes after it.
+    /// Encodes the status line and headers. Adds `Connection: close` if `closes_connection` is set.
     pub fn encode_head(&self, closes_connection: bool) -> String {
         let mut text = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
--- a/src/frontend/metrics.rs
+++ b/src/frontend/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics endpoint: the counters of the frontend for signed URLs, in Prometheus' text format.
+//! The metrics endpoint: serves the counters of the frontend for signed URLs in the Prometheus text format.
 
 use super::http::{RequestHead, Response};
 use super::serve::Frontend;
@@ -10,9 +10,9 @@
 const PATH: &str = "/metrics";
 const CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Serves the counters at `/metrics` of a listener of its own.
+/// A frontend that serves the counters at `/metrics` on a separate listener.
 pub struct MetricsFrontend(
-    /// The counters.
+    /// Counters of the frontend for signed URLs, by outcome.
     pub Arc<OutcomeCounters>,
 );
 
@@ -28,6 +28,6 @@
     }
 
     fn to_response(&self, _: ClientResponse) -> Response {
-        Response::empty(404) // no request is ever dispatched
+        Response::empty(404) // parse_request never returns a request to dispatch
     }
 }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,13 +1,13 @@
-//! The HTTP frontends for clients, and the admin endpoint for operators.
+//! The HTTP frontends that clients connect to, and the admin endpoint for operators.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
 //! | [`serve`] | the HTTP server: listeners, connection slots, connections |
-//! | [`http`] | HTTP codec |
-//! | [`platform`] | codec of the platform's HTTP |
+//! | [`http`] | the HTTP/1.1 codec, shared by all frontends |
+//! | [`platform`] | the frontend for clients that use the platform's paths and headers |
 //! | [`signed`] | the frontend for signed URLs and tokens |
-//! | [`metrics`] | the endpoint of that frontend's counters |
-//! | [`stream`] | a client's connection, shared with the dispatcher |
+//! | [`metrics`] | the Prometheus endpoint with the counters of the `signed` frontend |
+//! | [`stream`] | a client connection that the dispatcher can check for disconnection |
 //! | [`admin`] | the admin endpoint |
 
 pub mod admin;
--- a/src/frontend/platform.rs
+++ b/src/frontend/platform.rs
@@ -1,24 +1,25 @@
-//! Codec of the platform's HTTP: the one place that knows its paths, headers and statuses.
+//! Frontend for clients that use the platform's HTTP interface. All of its paths, headers and statuses are
+//! defined in this module.
 //!
-//! | platform | here |
+//! | HTTP | meaning |
 //! | --- | --- |
-//! | `GET /alive` | whether this process is ready: 200, or 503 once its dispatcher has ended |
+//! | `GET /alive` | readiness: 200, or 503 after the dispatcher has ended |
 //! | `/ops/CLASS/OBJECT` | [`ClientRequest::class`] and [`ClientRequest::object`] |
 //! | `?block=NUMBER` | [`ClientRequest::part`] |
 //! | `X-Job-Id` | [`ClientRequest::id`] |
 //! | `X-Family` | [`ClientRequest::group`] |
 //! | `X-Ram-Kb` | [`ClientRequest::size_kb`] |
-//! | `X-Again` | [`ClientRequest::is_retry`]: anything but `0` |
-//! | `X-Allow-Ms` | [`ClientRequest::timeout`]; the class's deadline where it is absent |
+//! | `X-Again` | [`ClientRequest::is_retry`]: true for any value except `0` |
+//! | `X-Allow-Ms` | [`ClientRequest::timeout`]; default: the deadline of the class |
 //! | `X-Unique` | [`ClientRequest::idempotency_key`] |
 //! | `If-None-Match` | [`ClientRequest::if_none_match`] |
-//! | `X-Wait-Ms` on a 503 | `retry_after` of [`ClientResponse::Rejected`] |
+//! | `X-Wait-Ms` in a 503 response | `retry_after` of [`ClientResponse::Rejected`] |
 //!
 //! | response | status |
 //! | --- | --- |
 //! | served, not modified | 200, 304 |
-//! | rejected: nothing ran that may not run again | 503 |
-//! | failed: duplicate id, deadline exceeded, else | 409, 504, 502 |
+//! | rejected: a retry is safe, no attempt ran that must not be repeated | 503 |
+//! | failed: duplicate id, deadline exceeded, other | 409, 504, 502 |
 
 use super::http::{BadRequest, RequestHead, Response};
 use super::serve::Frontend;
@@ -43,19 +44,23 @@
 const IF_NONE_MATCH: &str = "if-none-match";
 const RETRY_AFTER_MS: &str = "X-Wait-Ms";
 
-/// The value of [`IS_RETRY`] for a first attempt.
+/// Value of the header [`IS_RETRY`] in a request that is not a retry.
 const FIRST_ATTEMPT: &str = "0";
-/// What clients may say: how long they wait in milliseconds, an object's size in KB, and its group. What lies
-/// beyond is no figure of a client's.
+// Accepted ranges of the numeric headers. No valid client sends a number outside, so it makes the request
+// malformed.
+
+/// Accepted range of [`TIMEOUT_MS`], in milliseconds.
 const TIMEOUTS_MS: RangeInclusive<f64> = 0.0..=3_600_000.0;
+/// Accepted range of [`SIZE_KB`], in KB.
 const SIZES_KB: RangeInclusive<f64> = 0.0..=1e9;
+/// Accepted range of [`GROUP`].
 const GROUPS: RangeInclusive<f64> = 0.0..=255.0;
-/// Hex digits of an id and of an object.
+/// Number of hex digits in a request id and in an object name.
 const ID_DIGITS: usize = 16;
 
-/// The frontend for clients that speak the platform's HTTP.
+/// The frontend for clients that use the platform's HTTP interface.
 pub struct PlatformFrontend(
-    /// Where requests go.
+    /// The dispatcher that handles the requests.
     pub Dispatcher,
 );
 
@@ -74,7 +79,8 @@
         if head.method != method {
             return Err(Response::empty(405).with_header("Allow", method.into()));
         }
-        // What a server can't use would cost an attempt, and what it can't read the connection and all on it.
+        // Rejected here, because at a server a request that it cannot use takes up an attempt, and one that
+        // it cannot parse makes it close the connection, which fails all other requests on it.
         if !is_write && !body.is_empty() {
             return Err(bad_request(BadRequest::Malformed));
         }
@@ -107,7 +113,7 @@
 }
 
 impl PlatformFrontend {
-    /// The status that says whether this process is ready: it is where its dispatcher can be asked.
+    /// Returns the status for a readiness check. The process is ready while its dispatcher runs.
     fn readiness_status(&self, method: &str) -> u16 {
         match method {
             "GET" if self.0.has_ended() => 503,
@@ -116,7 +122,8 @@
         }
     }
 
-    /// The retry-after that a client is sent: no longer than clients heed, and only where they do.
+    /// Returns the retry-after sent to the client, capped at the longest that clients respect
+    /// (`max_retry_after`). Returns `None` if clients ignore it (`retry_after` is off) or if it is zero.
     fn effective_retry_after(&self, wait: Duration) -> Option<Duration> {
         let settings = self.0.settings();
         let max_retry_after = Duration::from_micros(settings.max_retry_after);
@@ -124,7 +131,7 @@
     }
 }
 
-/// The parts of a request's target.
+/// A request target `/ops/CLASS/OBJECT?QUERY`, split into its components.
 struct Target<'a> {
     class: &'a str,
     object: &'a str,
@@ -138,7 +145,7 @@
         Some(Target { class, object, query })
     }
 
-    /// The part that is asked for; none: all of the object.
+    /// Parses the number of the requested part. Returns `None` if the whole object is requested.
     fn part(&self) -> Result<Option<u32>, BadRequest> {
         if self.query.is_empty() {
             return Ok(None);
@@ -155,7 +162,7 @@
     Response::empty(error.status())
 }
 
-/// The request without its class and body.
+/// Parses all fields of the request except its class and body.
 fn parse_fields(
     head: &RequestHead,
     target: &Target<'_>,
@@ -184,7 +191,7 @@
     })
 }
 
-/// The number in a header, where that is there.
+/// Parses the number in a header. Returns `None` if the header is absent.
 fn parse_number(
     head: &RequestHead,
     name: &str,
@@ -195,7 +202,7 @@
     number.map(Some).ok_or(BadRequest::Malformed)
 }
 
-/// The idempotency key, where there is one.
+/// Parses the idempotency key. Returns `None` if the header is absent.
 fn parse_idempotency_key(head: &RequestHead) -> Result<Option<Arc<str>>, BadRequest> {
     if head.header(IDEMPOTENCY_KEY).is_none() {
         return Ok(None);
@@ -211,7 +218,7 @@
     }
 }
 
-/// Ids and objects are 16 hex digits on the platform.
+/// Returns whether a text is a valid request id or object name: 16 hex digits.
 fn is_hex_id(text: &str) -> bool {
     text.len() == ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
--- a/src/frontend/serve/connection.rs
+++ b/src/frontend/serve/connection.rs
@@ -12,41 +12,43 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 const INITIAL_BUFFER_BYTES: usize = 2048;
-/// Bytes kept that came ahead of a response. What comes beyond is read and discarded, for the client's close
-/// lies behind it, and the connection closes after the response.
+/// Maximum number of bytes buffered while a response is pending. Further bytes are read and discarded, so
+/// that a close by the client after them is detected. The connection then closes after the response.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// A client that sends this much while it awaits a response counts as gone: one that keeps to the protocol
-/// sends nothing then, and reading on for ever would hold up the others.
+/// Number of discarded bytes after which a client that waits for a response counts as disconnected. A client
+/// that follows the protocol sends nothing then, and reading without limit would delay other connections.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
-/// A connection without a request is closed after this; clients close theirs after 4 s.
+/// Time after which an idle connection is closed. Clients close idle connections after 4 s, so usually first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A request must be complete by then, counted from its first byte, or from the accept of a connection
-/// on which none has come: a client that sends nothing, or never comes to an end, is owed a close within 3 s.
+/// Time limit for receiving a request, from its first byte, or from the accept for the first request. A
+/// client that sends nothing or an incomplete request must see the connection closed within 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client must have taken a response by then.
+/// Time limit for writing a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long, how often and in what pieces a connection is read on after the response that closes it.
+/// Time limit for reading from a connection after its last response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of reads after the last response.
 const MAX_LINGER_READS: usize = 64;
+/// Maximum number of bytes per read after the last response.
 const LINGER_READ_BYTES: usize = 4096;
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A complete request.
+/// A request whose head and body have been received completely.
 pub(super) struct ReceivedRequest {
     pub(super) head: RequestHead,
     pub(super) body: Bytes,
 }
 
-/// A client's connection with what has been read of it.
+/// A client connection with its read buffer.
 pub(super) struct Connection {
     stream: ClientStream,
     buffer: BytesMut,
-    /// The head of a request whose body is not complete yet.
+    /// Head of a request whose body is not complete yet.
     head: Option<RequestHead>,
-    /// When the request that has begun must be complete.
+    /// Deadline for receiving the current request. `None` between requests on a persistent connection.
     request_deadline: Option<Instant>,
-    /// Bytes that were read and discarded: what follows them can't be told apart any more.
+    /// Number of bytes that were read and discarded. If not 0, the start of the next request is unknown.
     discarded_bytes: usize,
 }
 
@@ -61,12 +63,12 @@
         }
     }
 
-    /// By which the dispatcher sees that the client has gone.
+    /// Returns a handle that lets the dispatcher detect that the client has disconnected.
     pub(super) fn client(&self) -> impl Client {
         self.stream.client()
     }
 
-    /// Whether bytes have been discarded, so that no further request can be read.
+    /// Returns whether bytes have been discarded, so that no further request can be read.
     pub(super) fn has_discarded(&self) -> bool {
         self.discarded_bytes > 0
     }
@@ -75,18 +77,18 @@
         self.request_deadline = Some(deadline);
     }
 
-    /// Whether anything of the next request has come, even if the runtime has not been notified of it.
+    /// Returns whether any byte of the next request has arrived, even before the runtime is notified of it.
     pub(super) fn has_request_begun(&self) -> bool {
         !self.is_idle() || matches!(peek_available(self.stream.socket()), Ok(n) if n > 0)
     }
 
-    /// Whether nothing of a next request has been read.
+    /// Returns whether no byte of the next request has been read.
     fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.head.is_none()
     }
 
-    /// Reads the next request; none: the client closed the connection, left it idle or took too long. What
-    /// has been read stays when the future is dropped.
+    /// Reads the next request. Returns `None` if the client closed the connection or sent nothing in time.
+    /// Bytes already read are kept if the future is dropped.
     pub(super) async fn next_request(
         &mut self,
         max_body_bytes: usize,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Whether the client waits for leave to send the body.
+    /// Returns whether the client waits for `100 Continue` before it sends the rest of the body.
     fn awaits_continue(&self) -> bool {
         let head = self.head.as_ref();
         head.is_some_and(|head| head.expects_continue && self.buffer.len() < head.content_length)
@@ -121,7 +123,7 @@
         written.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
     }
 
-    /// Takes the request off the buffer, once it is complete.
+    /// Removes the current request from the buffer. Returns `None` if it is not complete yet.
     fn take_request(&mut self) -> Option<ReceivedRequest> {
         let head = self.head.take_if(|head| self.buffer.len() >= head.content_length)?;
         self.request_deadline = None;
@@ -129,8 +131,8 @@
         Some(ReceivedRequest { head, body })
     }
 
-    /// When the next bytes must have come. A request's time is counted from its first byte, so that one that
-    /// trickles in holds no slot for ever.
+    /// Returns the deadline for the next read. It is fixed from the first byte of a request on, so that a
+    /// request that arrives slowly cannot hold its slot without limit.
     fn read_deadline(&mut self) -> Instant {
         if self.is_idle() && self.request_deadline.is_none() {
             return Instant::now() + IDLE_TIMEOUT;
@@ -138,8 +140,7 @@
         *self.request_deadline.get_or_insert_with(|| Instant::now() + REQUEST_TIMEOUT)
     }
 
-    /// Returns once the client has closed or reset the connection, or sent far more than it has any reason
-    /// to.
+    /// Returns once the client has closed or reset the connection, or sent more than [`MAX_DISCARDED_BYTES`].
     pub(super) async fn closed_by_client(&mut self) {
         while matches!(self.stream.read_buf(&mut self.buffer).await, Ok(n) if n > 0) {
             if self.buffer.len() > MAX_READ_AHEAD_BYTES || self.has_discarded() {
@@ -152,19 +153,19 @@
         }
     }
 
-    /// Writes a response, with the header that says so where the connection closes after it.
+    /// Writes a response. If `closes` is set, its header `Connection: close` announces the close.
     pub(super) async fn write(&mut self, response: &Response, closes: bool) -> io::Result<()> {
         let mut bytes = Bytes::from(response.encode_head(closes)).chain(response.body.clone());
         let written = timeout(RESPONSE_TIMEOUT, self.stream.write_all_buf(&mut bytes)).await;
         written.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()))
     }
 
-    /// Reads on for a moment after a response that closes, as RFC 9112 (9.6) advises: closing with unread
-    /// bytes resets the connection, and the client might never see the response.
+    /// Closes the write side and reads for a short time before the connection is closed, as RFC 9112 (9.6)
+    /// recommends. Closing with unread bytes resets the connection, and the client can lose the response.
     pub(super) async fn linger(&mut self) {
         let _ = self.stream.shutdown().await;
         let mut discarded = [0; LINGER_READ_BYTES];
-        // Bounded, for what follows a rejected request may be many MB.
+        // The number of reads is limited, because many MB can follow a rejected request.
         let drain = async {
             for _ in 0..MAX_LINGER_READS {
                 if !matches!(self.stream.read(&mut discarded).await, Ok(n) if n > 0) {
--- a/src/frontend/serve/in_flight.rs
+++ b/src/frontend/serve/in_flight.rs
@@ -1,9 +1,9 @@
-//! Counts the requests that are accepted and not answered yet.
+//! Counts the requests that are accepted and not yet answered.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One request in flight; counted until it is dropped.
+/// A guard that counts one request as in flight until it is dropped.
 pub(super) struct InFlightGuard(Rc<Cell<usize>>);
 
 impl InFlightGuard {
--- a/src/frontend/serve/listener.rs
+++ b/src/frontend/serve/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, and rejects those for which no slot is free.
+//! Accepts client connections, and rejects them if no slot is free.
 
 use super::in_flight::InFlightGuard;
 use super::session;
@@ -14,34 +14,34 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Failed accepts are logged no more often than this.
+/// Minimum interval between log events about failed accepts.
 const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// A rejected connection that its client does not close is closed here after this.
+/// Time after which a rejected connection is closed if the client has not closed it.
 const REJECT_LINGER: Duration = Duration::from_secs(1);
-/// The Retry-After of a rejected client, where the frontend sends one.
+/// Retry-after for clients whose connection is rejected, if the frontend sends one.
 const REJECT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// How much is read of a request that is rejected, in bytes a read.
+/// Buffer size for reading requests that are rejected, in bytes.
 const REJECT_READ_BYTES: usize = 4096;
 
-/// Why a frontend can't listen.
+/// Error of opening a frontend's listener.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
-    /// Its address can't be opened.
+    /// The address cannot be bound.
     #[error("listen on {address}: {source}")]
     Address {
-        /// The address.
+        /// The configured address, which can be a host name with a port.
         address: String,
-        /// What the system said.
+        /// The error from the operating system.
         source: io::Error,
     },
-    /// The socket that the process was started with can't be used.
+    /// The listening socket inherited from the parent process cannot be used.
     #[error("inherited socket: {0}")]
     InheritedSocket(#[source] io::Error),
 }
 
-/// Listens on an address, and serves connections for as long as the task lives.
+/// Binds `address` and starts a task that accepts and serves connections. Returns the handle of the task.
 pub async fn listen<F: Frontend>(
     address: &str,
     context: ListenerContext,
@@ -54,7 +54,7 @@
     Ok(tokio::task::spawn_local(accept(listener, context, frontend)))
 }
 
-/// The same on a socket that was opened by whoever started the process.
+/// Starts a task as [`listen`] does, on a listening socket inherited from the parent process.
 pub fn adopt<F: Frontend>(
     listener: std::net::TcpListener,
     context: ListenerContext,
@@ -67,8 +67,8 @@
     Ok(tokio::task::spawn_local(accept(listener, context, frontend)))
 }
 
-/// Accepts connections until [`ShutdownPhase::CloseIdle`]. It waits for no slot: where connections come and
-/// send nothing, others would wait behind them.
+/// Accepts connections until [`ShutdownPhase::CloseIdle`]. A connection without a free slot is rejected
+/// instead of queued, as it would otherwise wait behind connections that send nothing.
 pub async fn accept<F: Frontend>(listener: TcpListener, context: ListenerContext, frontend: F) {
     let mut shutdown = context.shutdown.clone();
     let server = Rc::new(Server { context, frontend });
@@ -82,7 +82,7 @@
         match accepted {
             Ok((stream, _)) => server.start_connection(stream),
             Err(error) => {
-                // Out of descriptors, most likely: a connection that waits for a request makes room.
+                // The process is most likely out of descriptors. Closing a waiting connection frees one.
                 errors.record(F::NAME, &error);
                 server.slots().close_one_waiting();
                 sleep(ACCEPT_RETRY_DELAY).await;
@@ -92,7 +92,7 @@
     server.accept_backlog(listener);
 }
 
-/// Logs failed accepts, at a limited rate.
+/// A rate-limited log of failed accepts.
 #[derive(Default)]
 struct AcceptErrorLog {
     logged_at: Option<Instant>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// A frontend with what its connections need.
+/// A frontend with the state that its connections share.
 struct Server<F> {
     context: ListenerContext,
     frontend: F,
@@ -119,9 +119,9 @@
         &self.context.slots
     }
 
-    /// Accepts what the listener holds at the end, for clients may have sent complete requests there already.
+    /// Accepts the connections left in the backlog: clients may already have sent complete requests on them.
     fn accept_backlog(self: &Rc<Self>, listener: TcpListener) {
-        // The runtime may not have been notified of these yet, so the socket itself is asked.
+        // Uses the socket directly, as the runtime may not have been notified of these connections yet.
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, _)) = listener.accept() {
             let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Serves a connection in a task of its own, or rejects it where no slot is free.
+    /// Serves a connection in a separate task, or rejects it if no slot is free.
     fn start_connection(self: &Rc<Self>, stream: TcpStream) {
         let Some(slot) = self.slots().acquire() else {
             self.reject(stream);
@@ -149,32 +149,33 @@
             reason: FailureReason::Overloaded,
         });
         let Some(permit) = self.slots().acquire_linger() else {
-            reject_at_once(stream, &response);
+            reject_immediately(stream, &response);
             return;
         };
         let requests_in_flight = self.context.requests_in_flight.clone();
         tokio::task::spawn_local(async move {
-            // A shutdown waits for the response once a request has come.
-            let count = || InFlightGuard::new(&requests_in_flight);
-            reject_first_request(stream, permit, &response, count).await;
+            // Counted from the first bytes of the request on, so that a shutdown waits for the response.
+            let count_in_flight = || InFlightGuard::new(&requests_in_flight);
+            reject_first_request(stream, permit, &response, count_in_flight).await;
         });
     }
 }
 
-/// Rejects the first request of a connection, if one comes soon: a close before it has come, or over bytes
-/// that are not read, resets the connection and the response with it.
+/// Sends `response` to the first request of a connection if its bytes arrive within [`NEW_CONNECTION_GRACE`],
+/// otherwise closes without a response. Closing before the request arrives, or with unread bytes, would reset
+/// the connection, and the client would lose the response.
 async fn reject_first_request(
     mut stream: TcpStream,
     _permit: LingerPermit,
     response: &Response,
-    count: impl Fn() -> InFlightGuard,
+    count_in_flight: impl Fn() -> InFlightGuard,
 ) {
     let mut bytes = [0; REJECT_READ_BYTES];
     let first_read = timeout(NEW_CONNECTION_GRACE, stream.read(&mut bytes)).await;
     if !matches!(first_read, Ok(Ok(n)) if n > 0) {
         return;
     }
-    let _in_flight = count();
+    let _in_flight = count_in_flight();
     if stream.write_all(response.encode_head(true).as_bytes()).await.is_err() {
         return;
     }
@@ -185,10 +186,10 @@
     let _ = timeout(REJECT_LINGER, drain).await;
 }
 
-/// Rejects a connection without waiting for anything.
-fn reject_at_once(stream: TcpStream, response: &Response) {
+/// Sends `response` and closes the connection without waiting for the request.
+fn reject_immediately(stream: TcpStream, response: &Response) {
     let Ok(mut stream) = stream.into_std() else { return };
-    // Closing with unread bytes would reset the connection before the response is read.
+    // Closing with unread bytes would reset the connection before the client reads the response.
     let _ = stream.read(&mut [0; REJECT_READ_BYTES]);
     let _ = stream.write(response.encode_head(true).as_bytes());
 }
--- a/src/frontend/serve/mod.rs
+++ b/src/frontend/serve/mod.rs
@@ -1,14 +1,14 @@
-//! The HTTP server of every frontend: it accepts connections, reads requests and writes responses.
+//! The HTTP server shared by all frontends: accepts connections, reads requests and writes responses.
 //!
-//! | module | job |
+//! | module | content |
 //! | --- | --- |
-//! | [`listener`] | accepts connections, or rejects them where no slot is free |
-//! | [`slots`] | how many connections may be open, and which one closes to make room |
-//! | `session` | the requests of one connection, from its first byte to its close |
+//! | [`listener`] | accepts connections, and rejects them if no slot is free |
+//! | [`slots`] | limits the number of open connections and selects which one closes when there are too many |
+//! | `session` | handles the requests of one connection until it closes |
 //! | `connection` | reads requests from a connection and writes responses to it |
-//! | `in_flight` | counts the requests that are accepted and not answered yet |
+//! | `in_flight` | counts the requests that are accepted and not yet answered |
 //!
-//! What a request means is the business of a [`Frontend`].
+//! A [`Frontend`] interprets the requests.
 
 mod connection;
 mod in_flight;
@@ -28,41 +28,42 @@
 
 /// Translates between HTTP and the dispatcher's requests and responses.
 pub trait Frontend: 'static {
-    /// The name in the log.
+    /// Name of the frontend in log events.
     const NAME: &'static str;
 
-    /// The request for the dispatcher; the error is a response that needs no dispatcher.
+    /// Converts a request for the dispatcher. The error is a response that is sent without dispatching.
     fn parse_request(&self, head: &RequestHead, body: Bytes) -> Result<ClientRequest, Response>;
 
-    /// The largest body of a request, in bytes.
+    /// Returns the maximum length of a request body, in bytes.
     fn max_body_bytes(&self) -> usize {
         MAX_WRITE_BYTES
     }
 
-    /// The one place where this frontend maps outcomes to statuses.
+    /// Converts a response of the dispatcher. All statuses for its outcomes are set here.
     fn to_response(&self, answer: ClientResponse) -> Response;
 }
 
-/// How far the graceful shutdown has come.
+/// Phase of the graceful shutdown. The variants are in the order in which the phases occur.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// Not begun.
+    /// No shutdown has been requested.
     #[default]
     Running,
-    /// Each connection closes after its next response.
+    /// Connections are still accepted. Each one closes after its next response.
     CloseAfterResponse,
-    /// Connections without a request in flight close now.
+    /// The listeners close, and so do connections on which no request has begun. A new connection has a short
+    /// time left for its first request.
     CloseIdle,
 }
 
-/// What all listeners of a process share.
+/// State of a listener that it shares with all other listeners of the process.
 pub struct ListenerContext {
-    /// Where requests go.
+    /// The dispatcher that handles the requests.
     pub dispatcher: Dispatcher,
-    /// The slots of client connections, for all listeners together.
+    /// Connection slots, one limit for all listeners together.
     pub slots: Rc<ConnectionSlots>,
-    /// How far the graceful shutdown has come.
+    /// Phase of the graceful shutdown.
     pub shutdown: watch::Receiver<ShutdownPhase>,
-    /// Requests that are accepted and not answered yet.
+    /// Number of requests that are accepted and not yet answered.
     pub requests_in_flight: Rc<Cell<usize>>,
 }
--- a/src/frontend/serve/session.rs
+++ b/src/frontend/serve/session.rs
@@ -1,8 +1,8 @@
-//! The requests of one connection, from its first byte to its close.
+//! Handles the requests of one connection until it closes.
 
 use super::connection::{Connection, ReceivedRequest};
 use super::in_flight::InFlightGuard;
-use super::slots::{Awaited, ConnectionSlot, NEW_CONNECTION_GRACE};
+use super::slots::{AwaitedRequest, ConnectionSlot, NEW_CONNECTION_GRACE};
 use super::{Frontend, ListenerContext, ShutdownPhase};
 use crate::frontend::http::{BadRequest, Response};
 use tokio::net::TcpStream;
@@ -23,7 +23,7 @@
         context,
         frontend,
         shutdown: context.shutdown.clone(),
-        awaited: Awaited::First,
+        awaited: AwaitedRequest::First,
         in_flight: None,
     };
     session.run().await;
@@ -35,18 +35,19 @@
     context: &'a ListenerContext,
     frontend: &'a F,
     shutdown: watch::Receiver<ShutdownPhase>,
-    awaited: Awaited,
-    /// Counts a request that was not complete when idle connections were closed, so that the process waits
-    /// for it. Any other request is counted once it is complete.
+    awaited: AwaitedRequest,
+    /// Counts a request that was not complete at [`ShutdownPhase::CloseIdle`], so that the shutdown waits for
+    /// it. Other requests are counted once they are complete.
     in_flight: Option<InFlightGuard>,
 }
 
-/// What came first while a connection waited for a request.
+/// The first event while a connection waits for a request.
 enum Event {
+    /// A request was read, or reading it failed.
     Read(Result<Option<ReceivedRequest>, BadRequest>),
-    /// Idle connections are to close, for the process ends.
+    /// The shutdown reached [`ShutdownPhase::CloseIdle`].
     Shutdown,
-    /// The connection is to make room for others.
+    /// The slots selected this connection to close, in favour of a new one.
     MustClose,
 }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Waits for the next request; none: the connection is to close.
+    /// Waits for the next request. Returns `None` if the connection must close.
     async fn next_request(&mut self) -> Result<Option<ReceivedRequest>, BadRequest> {
         loop {
             let (_waiting, must_close) = self.slot.wait(self.awaited);
@@ -85,25 +86,26 @@
                     if self.in_flight.is_none() => Event::Shutdown,
                 Ok(()) = must_close => Event::MustClose,
             };
-            let stays = match event {
+            let stays_open = match event {
                 Event::Read(request) => {
-                    self.awaited = Awaited::Next;
+                    self.awaited = AwaitedRequest::Next;
                     return request;
                 }
-                Event::Shutdown => self.stays_for_shutdown(),
-                Event::MustClose => self.stays_at_close(),
+                Event::Shutdown => self.stays_open_at_shutdown(),
+                Event::MustClose => self.stays_open_for_request(),
             };
-            if !stays {
+            if !stays_open {
                 return Ok(None);
             }
         }
     }
 
-    /// Whether a request is still answered before the process ends: one that has begun to come, or the first
-    /// one of a new connection, which is on the way.
-    fn stays_for_shutdown(&mut self) -> bool {
+    /// Returns whether the connection stays open at shutdown until its next request is answered. It does if
+    /// bytes of that request have arrived, or if it is the first one of a new connection, which is expected
+    /// to arrive.
+    fn stays_open_at_shutdown(&mut self) -> bool {
         if !self.connection.has_request_begun() {
-            if self.awaited == Awaited::Next {
+            if self.awaited == AwaitedRequest::Next {
                 return false;
             }
             self.connection.set_request_deadline(Instant::now() + NEW_CONNECTION_GRACE);
@@ -112,13 +114,14 @@
         true
     }
 
-    /// Whether a request crosses the close of its connection and is read all the same; on a new connection
-    /// only a complete one.
-    fn stays_at_close(&mut self) -> bool {
+    /// Returns whether the connection stays open although the slots selected it to close. It does if bytes of
+    /// a request have arrived in the meantime. On a new connection this request is answered only if it is
+    /// complete.
+    fn stays_open_for_request(&mut self) -> bool {
         if !self.connection.has_request_begun() {
             return false;
         }
-        if self.awaited == Awaited::First {
+        if self.awaited == AwaitedRequest::First {
             self.connection.set_request_deadline(Instant::now());
         }
         true
@@ -134,18 +137,18 @@
                 let pending = self.context.dispatcher.submit_for_client(client_request, client);
                 tokio::select! {
                     answer = pending => self.frontend.to_response(answer),
-                    // Dropping the pending response tells the dispatcher that the client has gone.
+                    // Dropping the pending response notifies the dispatcher that the client has disconnected.
                     () = self.connection.closed_by_client() => return AfterResponse::Close,
                 }
             }
         };
-        let has_overrun = self.connection.has_discarded();
-        let is_ending = *self.context.shutdown.borrow() != ShutdownPhase::Running;
-        let closes = request.head.closes_connection || has_overrun || is_ending;
+        let has_discarded = self.connection.has_discarded();
+        let is_shutting_down = *self.context.shutdown.borrow() != ShutdownPhase::Running;
+        let closes = request.head.closes_connection || has_discarded || is_shutting_down;
         if self.connection.write(&response, closes).await.is_err() {
             return AfterResponse::Close;
         }
-        if has_overrun {
+        if has_discarded {
             self.connection.linger().await;
         }
         if closes {
--- a/src/frontend/serve/slots.rs
+++ b/src/frontend/serve/slots.rs
@@ -1,4 +1,5 @@
-//! Connection slots: how many client connections may be open, and which one closes to make room.
+//! Connection slots: limits the number of open client connections and selects which one closes when there are
+//! too many.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,18 +8,26 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A new connection is not closed to make room for so long, for its first request is on the way.
+/// Time after the accept during which a new connection is closed only if no other one can be: its first
+/// request is expected to arrive.
 pub(super) const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(100);
-/// Rejected connections that may linger at a time.
+/// Maximum number of rejected connections that linger. A lingering connection stays open so
+/// that the client can send its request and read the response.
 const MAX_LINGERING: usize = 8;
-/// Descriptors held beside the slots: those of lingering connections, and of one that is being rejected.
+/// Maximum number of file descriptors held in addition to the slots: those of lingering connections, and one
+/// for a connection that is being rejected.
 pub const DESCRIPTORS_BESIDE_SLOTS: usize = MAX_LINGERING + 1;
 
 /// The slots of client connections.
 ///
-/// Beyond the soft limit each new connection has another one close, if one waits for a request: first one
-/// that has sent nothing since it was accepted, then the one that has been idle for longest. A connection
-/// with a request in flight is never closed for this, and the hard limit is never passed.
+/// From the soft limit on, each new connection closes an open one that waits for a request, in this order:
+///
+/// 1. the oldest one that waits for its first request, if the grace period of new connections has passed
+/// 2. the one that has been idle for longest after a response
+/// 3. the oldest one that waits for its first request
+///
+/// A connection with a request in flight is never closed for this. At the hard limit new connections are
+/// rejected.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     soft_limit: usize,
@@ -36,12 +45,12 @@
     for_next: BTreeMap<u64, Waiting>,
 }
 
-/// Which request a connection waits for.
+/// The request that a connection waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Awaited {
-    /// Its first one.
+pub(super) enum AwaitedRequest {
+    /// The first request of a new connection.
     First,
-    /// A further one on a connection that is kept alive.
+    /// The next request on a persistent connection.
     Next,
 }
 
@@ -52,25 +61,26 @@
 }
 
 impl WaitingConnections {
-    fn awaiting(&mut self, awaited: Awaited) -> &mut BTreeMap<u64, Waiting> {
+    fn awaiting(&mut self, awaited: AwaitedRequest) -> &mut BTreeMap<u64, Waiting> {
         match awaited {
-            Awaited::First => &mut self.for_first,
-            Awaited::Next => &mut self.for_next,
+            AwaitedRequest::First => &mut self.for_first,
+            AwaitedRequest::Next => &mut self.for_next,
         }
     }
 
-    /// Takes out the connection that is to make room.
+    /// Removes and returns the connection that closes next, in the order described at [`ConnectionSlots`].
     fn pop(&mut self) -> Option<Waiting> {
         let oldest = self.for_first.first_key_value();
-        let is_silent = oldest.is_some_and(|(_, waiting)| waiting.since.elapsed() >= NEW_CONNECTION_GRACE);
-        let silent = if is_silent { self.for_first.pop_first() } else { None };
-        let chosen = silent.or_else(|| self.for_next.pop_first()).or_else(|| self.for_first.pop_first());
+        let is_past_grace =
+            oldest.is_some_and(|(_, waiting)| waiting.since.elapsed() >= NEW_CONNECTION_GRACE);
+        let past_grace = if is_past_grace { self.for_first.pop_first() } else { None };
+        let chosen = past_grace.or_else(|| self.for_next.pop_first()).or_else(|| self.for_first.pop_first());
         chosen.map(|(_, waiting)| waiting)
     }
 }
 
 impl ConnectionSlots {
-    /// Keeps to about `soft_limit` connections, and never passes `hard_limit`.
+    /// Creates slots for `hard_limit` connections. From `soft_limit` on, new connections close waiting ones.
     pub fn new(soft_limit: usize, hard_limit: usize) -> Rc<Self> {
         Rc::new(ConnectionSlots {
             soft_limit,
@@ -82,7 +92,7 @@
         })
     }
 
-    /// A slot for a new connection; none at the hard limit.
+    /// Acquires a slot for a new connection. Returns `None` at the hard limit.
     pub(super) fn acquire(self: &Rc<Self>) -> Option<ConnectionSlot> {
         if self.open.get() >= self.soft_limit {
             self.close_one_waiting();
@@ -94,7 +104,8 @@
         Some(ConnectionSlot(self.clone()))
     }
 
-    /// A permit for a rejected connection to linger; there are few, for each one holds a descriptor.
+    /// Acquires a permit for a rejected connection to linger. Returns `None` if all are in use. Their number
+    /// is small because each one holds a file descriptor.
     pub(super) fn acquire_linger(self: &Rc<Self>) -> Option<LingerPermit> {
         let lingering = self.lingering.get();
         if lingering >= MAX_LINGERING {
@@ -104,28 +115,28 @@
         Some(LingerPermit(self.clone()))
     }
 
-    /// The number of connections that wait for a request.
+    /// Returns the number of connections that wait for a request.
     pub fn waiting_connections(&self) -> usize {
         let waiting = self.waiting.borrow();
         waiting.for_first.len() + waiting.for_next.len()
     }
 
-    /// Has one connection close that waits for a request.
+    /// Closes one connection that waits for a request, if there is one.
     pub fn close_one_waiting(&self) {
         if let Some(waiting) = self.waiting.borrow_mut().pop() {
-            let _ = waiting.close.send(()); // a connection that is ending already makes room by itself
+            let _ = waiting.close.send(()); // fails if the connection is already closing
         }
     }
 }
 
-/// The slot of an open connection, free again when this is dropped.
+/// The slot of an open connection, released on drop.
 #[derive(Debug)]
 pub(super) struct ConnectionSlot(Rc<ConnectionSlots>);
 
 impl ConnectionSlot {
-    /// Lists the connection among those that wait for a request, until the guard is dropped. The receiver is
-    /// notified when the connection is to close.
-    pub(super) fn wait(&self, awaited: Awaited) -> (WaitingGuard<'_>, oneshot::Receiver<()>) {
+    /// Registers the connection as waiting for a request until the guard is dropped. The receiver is notified
+    /// when the connection must close.
+    pub(super) fn wait(&self, awaited: AwaitedRequest) -> (WaitingGuard<'_>, oneshot::Receiver<()>) {
         let (close, closed) = oneshot::channel();
         let id = self.0.next_id.replace(self.0.next_id.get() + 1);
         let waiting = Waiting { since: Instant::now(), close };
@@ -140,10 +151,10 @@
     }
 }
 
-/// A connection's entry among those that wait for a request, removed when this is dropped.
+/// Registration of a connection that waits for a request, removed on drop.
 pub(super) struct WaitingGuard<'a> {
     slot: &'a ConnectionSlot,
-    awaited: Awaited,
+    awaited: AwaitedRequest,
     id: u64,
 }
 
@@ -153,7 +164,7 @@
     }
 }
 
-/// The permit of a rejected connection to linger, free again when this is dropped.
+/// The permit of a rejected connection to linger, released on drop.
 pub(super) struct LingerPermit(Rc<ConnectionSlots>);
 
 impl Drop for LingerPermit {
--- a/src/frontend/signed.rs
+++ b/src/frontend/signed.rs
@@ -1,4 +1,4 @@
-//! The frontend for signed URLs and tokens. It listens where the operators' file says, and is off without it.
+//! The frontend for signed URLs and tokens. The operators' file sets its address; without one it is disabled.
 
 use super::http::{RequestHead, Response};
 use super::serve::Frontend;
@@ -14,13 +14,13 @@
 
 const READINESS_PATH: &str = "/alive";
 
-/// Reads a key file.
+/// Parses the text of a key file and decodes its keys.
 pub fn parse_keys(text: &str) -> Result<KeySet, KeyError> {
     let file: KeyFile = json::from_str(text).map_err(|_| KeyError::NotJson)?;
     KeySet::new(file)
 }
 
-/// Follows the key file, so that keys can be added and removed while the process runs.
+/// Publishes each valid new version of the key file, so that keys can be added and removed at run time.
 pub async fn follow_keys(mut file: WatchedFile, keys: watch::Sender<Arc<KeySet>>) {
     loop {
         let changed = file.next(parse_keys).await;
@@ -28,15 +28,15 @@
     }
 }
 
-/// Checks the credential of each request before it is dispatched, and counts every outcome.
+/// A frontend that verifies the credential of each request before dispatch and counts every outcome.
 pub struct SignedUrlFrontend {
-    /// Where requests go whose credential is good.
+    /// The dispatcher that handles requests with a valid credential.
     pub dispatcher: Dispatcher,
-    /// The keys in force.
+    /// The current keys.
     pub keys: watch::Receiver<Arc<KeySet>>,
-    /// The clock for the validity of credentials.
+    /// Clock for checking the validity period of credentials.
     pub clock: Clock,
-    /// How often each outcome came.
+    /// Number of responses for each outcome.
     pub counts: Arc<OutcomeCounters>,
 }
 
@@ -46,14 +46,14 @@
         signed::verify_credential(&self.keys.borrow(), authority, &head.target, self.clock.unix())
     }
 
-    /// Counts an outcome and makes a response of it.
+    /// Counts an outcome and converts it into a response.
     fn respond(&self, outcome: HttpOutcome) -> Response {
         self.counts.increment(outcome.outcome);
         let mut response = Response { body: outcome.body, ..Response::empty(outcome.status) };
         match outcome.status {
             200 => response = response.with_header("Content-Type", "application/octet-stream".into()),
             304 => {}
-            // So that nothing between here and the client caches a rejection for others.
+            // Keeps shared caches on the path from serving this rejection to other clients.
             _ => response = response.with_header("Cache-Control", "no-store".into()),
         }
         if let Some(etag) = outcome.etag {
@@ -65,7 +65,7 @@
         response
     }
 
-    /// Counts a request that can't be dispatched and makes a response of it.
+    /// Counts a request that cannot be dispatched and returns the response for it.
     fn respond_invalid(&self, invalid: InvalidRequest) -> Response {
         self.counts.increment("bad_request");
         let response = Response::empty(invalid.status);
--- a/src/frontend/stream.rs
+++ b/src/frontend/stream.rs
@@ -1,5 +1,5 @@
-//! A client's connection: one task reads and writes it, and the dispatcher can see whether the client has
-//! gone.
+//! A client connection. One task reads and writes it, and the dispatcher can check whether the client has
+//! disconnected.
 
 use crate::dispatch::Client;
 use crate::upstream::has_closed;
@@ -11,28 +11,28 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A client's connection. It closes when this is dropped, whatever the dispatcher still holds.
+/// A client connection. Dropping it closes the socket: the dispatcher holds only weak references.
 #[derive(Debug)]
 pub struct ClientStream(Arc<TcpStream>);
 
 impl ClientStream {
-    /// Takes over a connection.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         ClientStream(Arc::new(stream))
     }
 
-    /// The socket.
+    /// Returns the socket, for checks that do not consume data.
     pub fn socket(&self) -> &TcpStream {
         &self.0
     }
 
-    /// By which the dispatcher sees that the client has gone before this connection's task does.
+    /// Returns a handle that lets the dispatcher detect a disconnect before this connection's task does.
     pub fn client(&self) -> impl Client {
         ConnectedClient(Arc::downgrade(&self.0))
     }
 }
 
-/// The client at the other end of a connection.
+/// A weak reference to a client's socket. A closed socket counts as disconnected.
 #[derive(Debug)]
 struct ConnectedClient(Weak<TcpStream>);
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// The result of a read or write that was ready; none: the socket must be awaited again.
+/// Returns the result of a read or write. Returns `None` if it would block, so that the caller waits again.
 fn unless_would_block<T>(result: Result<T>) -> Option<Result<T>> {
     match result {
         Err(error) if error.kind() == ErrorKind::WouldBlock => None,
