--- a/src/signed/keys.rs
+++ b/src/signed/keys.rs
@@ -1,4 +1,4 @@
-//! The keys that verify credentials, by name, decoded from the key file.
+//! The keys that verify credentials, decoded from the key file and indexed by name.
 
 use crate::policy::types::Micros;
 use base64::alphabet::URL_SAFE;
@@ -9,35 +9,35 @@
 use p256::ecdsa::signature::Verifier;
 use std::collections::BTreeMap;
 
-/// The largest clock skew that may be set, in seconds: more would be a longer validity, not a clock that is
-/// off.
+/// Maximum clock skew that can be configured, in seconds. A larger value would extend the validity of
+/// credentials instead of compensating for inaccurate clocks.
 pub const MAX_CLOCK_SKEW_S: f64 = 60.0;
-/// The clock skew where none is set, in seconds.
+/// Clock skew if none is configured, in seconds.
 const DEFAULT_CLOCK_SKEW_S: f64 = 5.0;
-/// The shortest secrets, in bytes: signed URLs are issued with 128-bit keys; RFC 7518 (3.2) asks that a
-/// token's be as long as its hash.
+/// Minimum length of a secret for signed URLs, in bytes. Signed URLs are issued with 128-bit keys.
 const MIN_URL_SECRET_BYTES: usize = 16;
+/// Minimum length of a secret for tokens, in bytes. RFC 7518 (3.2) requires at least the length of the hash.
 const MIN_TOKEN_SECRET_BYTES: usize = 32;
 
-/// URL-safe base64, with padding or without; issuers differ in that.
+/// URL-safe base64. Padding is optional because only some issuers send it.
 const BASE64URL: GeneralPurpose = GeneralPurpose::new(
     &URL_SAFE,
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// Decodes URL-safe base64.
+/// Decodes URL-safe base64 with or without padding. Returns `None` if the text is invalid.
 pub(super) fn decode_base64url(text: &str) -> Option<Vec<u8>> {
     BASE64URL.decode(text).ok()
 }
 
-/// The key file: how credentials are verified.
+/// The JSON content of the key file, which configures how credentials are verified.
 #[derive(Deserialize)]
 pub struct KeyFile {
-    /// The scheme of the signed URLs, `https` by default: a proxy in front may have terminated TLS.
+    /// URL scheme that issuers sign, default `https`. Configured because a proxy in front may terminate TLS.
     scheme: Option<String>,
-    /// The clock skew that is allowed, in seconds.
+    /// Allowed clock skew in seconds.
     skew_s: Option<f64>,
-    /// The names under which this network may stand in a token's `aud`.
+    /// Names of this network. A token with an `aud` claim must contain one of them.
     audience: Option<Vec<String>>,
     keys: Vec<RawKey>,
 }
@@ -47,13 +47,13 @@
     name: String,
     /// `HMAC-SHA1` or `HMAC-SHA256` for signed URLs, `HS256` or `ES256` for tokens.
     alg: String,
-    /// base64url: a secret, or for ES256 the public point in SEC1 form.
+    /// The secret in base64url, or for ES256 the public key as a point in SEC1 form, also in base64url.
     key: String,
-    /// For tokens: the issuer that signs with it, where tokens must name one.
+    /// Required value of the `iss` claim in tokens signed with this key. Without it any issuer is accepted.
     issuer: Option<String>,
 }
 
-/// A key's secret or public key, with its algorithm.
+/// A secret or public key together with its algorithm.
 pub(super) enum Secret {
     UrlSha1(Vec<u8>),
     UrlSha256(Vec<u8>),
@@ -67,7 +67,7 @@
 }
 
 impl Key {
-    /// The algorithm that a token signed with it names; none for keys of signed URLs.
+    /// Returns the required `alg` of tokens signed with this key. Returns `None` for keys of signed URLs.
     pub(super) fn token_alg(&self) -> Option<&'static str> {
         match self.secret {
             Secret::TokenHs256(_) => Some("HS256"),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether the signature is this key's over the message. MACs are compared in constant time.
+    /// Returns whether the signature over the message is valid. MACs are compared in constant time.
     pub(super) fn verifies(&self, message: &[u8], signature: &[u8]) -> bool {
         match &self.secret {
             Secret::UrlSha1(key) => verify_mac::<Hmac<sha1::Sha1>>(key, message, signature),
@@ -95,7 +95,7 @@
     mac.verify_slice(signature).is_ok()
 }
 
-/// The keys that verify credentials, by name, and the clock skew that is allowed.
+/// The keys that verify credentials, indexed by name, and the settings from the key file.
 pub struct KeySet {
     pub(super) scheme: String,
     pub(super) audience: Vec<String>,
@@ -110,56 +110,58 @@
     }
 }
 
-/// Why a key file can't be used. It names the key, never its content.
+/// Error of a key file. The text contains the name of the key, never its content.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyError {
-    /// It is not JSON of this form.
-    #[error("not keys in JSON")]
+    /// The file is not valid JSON, or a field is missing or has the wrong type.
+    #[error(
+        "not a JSON key file, expected an object with 'keys', a list of objects with 'name', 'alg' and 'key'"
+    )]
     NotJson,
     /// The clock skew is out of range.
-    #[error("skew_s: not from 0 to {MAX_CLOCK_SKEW_S}")]
+    #[error("skew_s: out of range, expected 0 to {MAX_CLOCK_SKEW_S} seconds")]
     ClockSkew,
-    /// There is no key.
-    #[error("keys: none")]
+    /// The list of keys is empty.
+    #[error("keys: list is empty, expected at least one key")]
     NoKeys,
     /// Two keys have the same name.
-    #[error("key '{name}': named twice")]
+    #[error("key '{name}': defined more than once, expected unique names")]
     DuplicateName {
-        /// Their name.
+        /// The name that occurs more than once.
         name: String,
     },
-    /// A key can't be used.
+    /// A key cannot be used.
     #[error("key '{name}': {source}")]
     InvalidKey {
-        /// Its name.
+        /// Name of the unusable key.
         name: String,
-        /// Why.
+        /// The reason.
         source: SecretError,
     },
 }
 
-/// Why a key's secret or public key can't be used.
+/// Reason for which a secret or public key cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SecretError {
-    /// It is not URL-safe base64.
-    #[error("not base64url")]
+    /// The text is not URL-safe base64.
+    #[error("invalid encoding, expected base64url")]
     NotBase64,
-    /// It is not the public key of ES256.
-    #[error("not a P-256 point")]
+    /// The bytes are not a public key for ES256.
+    #[error("invalid public key, expected a P-256 point in SEC1 form")]
     NotP256Point,
-    /// It is a secret that could be guessed.
-    #[error("shorter than {min_bytes} bytes")]
+    /// The secret is so short that it could be guessed.
+    #[error("secret too short, expected at least {min_bytes} bytes")]
     TooShort {
-        /// The shortest secret of its algorithm.
+        /// Minimum length of a secret for the algorithm, in bytes.
         min_bytes: usize,
     },
-    /// Its algorithm is not known.
-    #[error("alg is not HMAC-SHA1, HMAC-SHA256, HS256 or ES256")]
+    /// The algorithm is not supported.
+    #[error("unknown alg, expected HMAC-SHA1, HMAC-SHA256, HS256 or ES256")]
     UnknownAlgorithm,
 }
 
 impl KeySet {
-    /// Decodes the keys of a file.
+    /// Validates the settings of a key file and decodes its keys.
     pub fn new(file: KeyFile) -> Result<KeySet, KeyError> {
         let clock_skew_s = file.skew_s.unwrap_or(DEFAULT_CLOCK_SKEW_S);
         if !(0.0..=MAX_CLOCK_SKEW_S).contains(&clock_skew_s) {
@@ -177,7 +179,7 @@
         })
     }
 
-    /// The clock skew that is allowed, in microseconds.
+    /// Returns the allowed clock skew in microseconds.
     pub fn clock_skew(&self) -> Micros {
         self.clock_skew
     }
--- a/src/signed/mod.rs
+++ b/src/signed/mod.rs
@@ -1,9 +1,10 @@
-//! Signed URLs and tokens, as content networks issue them: pure checks, with no clock and no I/O.
+//! Verification of signed URLs and tokens, as issued by content delivery networks. The functions are pure:
+//! they use no clock and no I/O.
 //!
-//! There are two forms. A signed URL ends in `Expires`, `KeyName` and `Signature`, an HMAC over all that
-//! stands before. A URI Signing token (RFC 9246) is a JWT in the attribute `URISigningPackage`. Either is
-//! verified over the octets that came, and stripped before the object is named. Nothing here logs a
-//! target, and keys never show in `Debug`.
+//! There are two forms of credential. A signed URL ends in the parameters `Expires`, `KeyName` and
+//! `Signature`, where the signature is an HMAC over everything before it. A URI Signing token (RFC 9246) is a
+//! JWT in the attribute `URISigningPackage`. Both are verified over the bytes as received, and removed before
+//! the object name is parsed. This module logs no targets, and `Debug` output contains no key material.
 
 mod keys;
 mod outcome;
@@ -17,22 +18,23 @@
 
 use crate::policy::types::Micros;
 
-/// Why a credential is denied.
+/// Reason for which a credential is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
 pub enum CredentialError {
-    /// It is not signed by a key of ours, or not for this URI.
+    /// The signature is invalid, its key is unknown, or the credential is for another URI, issuer or
+    /// audience.
     InvalidSignature,
-    /// Its validity is over.
+    /// The validity period has ended.
     Expired,
-    /// Its validity has not begun.
+    /// The validity period has not begun.
     NotYetValid,
-    /// There is none, or none that can be read.
+    /// The credential is missing, ambiguous, cannot be parsed or contains unsupported claims.
     Malformed,
 }
 
 impl CredentialError {
-    /// The name under which it is counted.
+    /// Returns the label of this reason in [`OutcomeCounters`].
     pub fn reason(self) -> &'static str {
         match self {
             CredentialError::InvalidSignature => "forged",
@@ -43,17 +45,20 @@
     }
 }
 
-/// What a good credential grants.
+/// The access that a valid credential grants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The target without the credential.
+    /// The request target without the credential.
     pub target: String,
-    /// The Unix time in microseconds from which no response may begin, clock skew included; none: no end.
+    /// Unix time in microseconds from which no response may begin, with the clock skew added. `None` if the
+    /// credential does not expire.
     pub expires_at: Option<Micros>,
 }
 
-/// Checks the credential in `target`, the request's target octet for octet, as sent to `authority`, the value
-/// of its `Host`, at this Unix time in microseconds.
+/// Verifies the credential in a request target.
+///
+/// `target` is the target byte for byte as received, `authority` the value of the `Host` header, and `unix`
+/// the current Unix time in microseconds.
 pub fn verify_credential(
     keys: &KeySet,
     authority: &str,
@@ -66,13 +71,13 @@
     match (url::is_signed(target), token::has_token(target)) {
         (true, false) => url::verify(keys, authority, target, unix),
         (false, true) => token::verify(keys, authority, target, unix),
-        // None, or two that might say different things.
+        // There is no credential, or there are two that could contradict each other.
         _ => Err(CredentialError::Malformed),
     }
 }
 
-/// Checks a span of validity in Unix seconds. The bounds are those of RFC 7519: valid before `exp` and not
-/// before `nbf`, each widened by the skew. Returns when it ends.
+/// Checks a validity period given in Unix seconds and returns its end in Unix microseconds. As in RFC 7519, a
+/// credential is valid from `nbf` on and before `exp`. Both bounds are extended by the clock skew.
 fn check_validity(
     keys: &KeySet,
     not_before: Option<f64>,
--- a/src/signed/request.rs
+++ b/src/signed/request.rs
@@ -1,4 +1,4 @@
-//! Reads a request whose credential is good: `/CLASS/OBJECT?block=PART&family=GROUP`.
+//! Parses the target of a request with a valid credential: `/CLASS/OBJECT?block=PART&family=GROUP`.
 
 use super::Grant;
 use crate::dispatch::request::{is_name, ClientRequest};
@@ -10,13 +10,13 @@
 const PART_PARAMETER: &str = "block";
 const GROUP_PARAMETER: &str = "family";
 
-/// Why a request can't be dispatched although its credential is good.
+/// Error of a request that cannot be dispatched although its credential is valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("status {status}")]
+#[error("request cannot be dispatched: HTTP status {status}")]
 pub struct InvalidRequest {
-    /// The status of the response.
+    /// HTTP status of the response: 400, 404 or 405.
     pub status: u16,
-    /// With 405: the method that is allowed.
+    /// Value of the `Allow` header. Set with status 405 only.
     pub allowed_method: Option<&'static str>,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Reads the target that a credential grants, as a request with this id. An object's name may hold slashes.
+/// Converts the granted target to a request with this id. Object names can contain slashes.
 pub fn parse_request(
     settings: &Settings,
     method: &str,
@@ -62,13 +62,13 @@
     })
 }
 
-/// The object's name as servers are given it.
+/// Returns the object name in the form in which it is sent to servers.
 fn parse_object(path: &str) -> Result<String, InvalidRequest> {
-    // An object has one name: no other path leads to it.
+    // Each object has exactly one path. Paths that could be normalized to another path are rejected.
     if path.split('/').any(|segment| matches!(segment, "" | "." | "..")) {
         return Err(InvalidRequest::BAD_REQUEST);
     }
-    // The line protocol separates its fields by these.
+    // The line protocol uses these characters as separators.
     let object = path.replace(',', "%2C").replace('=', "%3D");
     if !is_name(&object) {
         return Err(InvalidRequest::BAD_REQUEST);
@@ -83,7 +83,7 @@
 }
 
 impl Parameters {
-    /// Each parameter may stand once, and no other may.
+    /// Parses the query. Unknown and repeated parameters are errors.
     fn parse(query: &str) -> Result<Parameters, InvalidRequest> {
         let mut parameters = Parameters::default();
         for parameter in query.split('&').filter(|parameter| !parameter.is_empty()) {
--- a/src/signed/token.rs
+++ b/src/signed/token.rs
@@ -1,4 +1,4 @@
-//! URI Signing tokens (RFC 9246): a signed JWT in the attribute `URISigningPackage`.
+//! Verifies URI Signing tokens (RFC 9246): signed JWTs in the attribute `URISigningPackage`.
 
 use super::keys::{decode_base64url, Key, KeySet};
 use super::{check_validity, CredentialError, Grant};
@@ -10,27 +10,29 @@
 use sha2::{Digest, Sha256};
 
 const ATTRIBUTE: &str = "URISigningPackage=";
-/// The longest token that is read, in bytes.
+/// Maximum length of a token in bytes.
 const MAX_TOKEN_BYTES: usize = 8 * 1024;
-/// The largest compiled pattern of a URI container, in bytes: its issuer writes the pattern.
+/// Maximum size of the compiled pattern of a URI container, in bytes. Limited because the pattern is written
+/// by the issuer of the token.
 const MAX_PATTERN_BYTES: usize = 256 * 1024;
-/// Claims that are verified here, or whose meaning demands nothing of a cache.
+/// Claims that are verified here or that require no action of a cache.
 const SUPPORTED_CLAIMS: [&str; 9] = ["iss", "sub", "aud", "exp", "nbf", "iat", "cdniv", "cdniuc", "cdnicrit"];
-/// Claims that limit a token in ways that are not verified here, so that it must be denied.
+/// Claims that restrict a token in a way that is not implemented. Tokens with such a claim are denied.
 const UNSUPPORTED_LIMITS: [&str; 1] = ["cdniip"];
 
-/// Where the attribute stands: after a delimiter, in the query or as a parameter of the path.
+/// Returns all positions of the attribute: after a delimiter, in the query or as a path parameter.
 fn attribute_positions(target: &str) -> Vec<usize> {
-    let at = |(n, _): &(usize, &str)| *n > 0 && matches!(target.as_bytes()[*n - 1], b'?' | b'&' | b';');
-    target.match_indices(ATTRIBUTE).filter(at).map(|(n, _)| n).collect()
+    let follows_delimiter =
+        |(n, _): &(usize, &str)| *n > 0 && matches!(target.as_bytes()[*n - 1], b'?' | b'&' | b';');
+    target.match_indices(ATTRIBUTE).filter(follows_delimiter).map(|(n, _)| n).collect()
 }
 
-/// Whether the target carries a token.
+/// Returns whether the target contains a token.
 pub(super) fn has_token(target: &str) -> bool {
     !attribute_positions(target).is_empty()
 }
 
-/// The token, and the target without the attribute and its delimiter.
+/// Returns the token, and the target without the attribute and its delimiter.
 fn split_token(target: &str) -> Result<(&str, String), CredentialError> {
     let [start] = attribute_positions(target)[..] else { return Err(CredentialError::Malformed) };
     let (before, rest) = target.split_at(start);
@@ -39,7 +41,7 @@
     let (token, after) = value.split_at(end);
     let (kept, delimiter) = before.split_at(before.len() - 1);
     let stripped = match after.strip_prefix('&') {
-        // It stood first in the query, and another parameter follows.
+        // The attribute was the first parameter of the query, and another one follows.
         Some(more) if delimiter == "?" => format!("{kept}?{more}"),
         _ => format!("{kept}{after}"),
     };
@@ -58,18 +60,18 @@
     }
 }
 
-/// A claim that must be a text, where it is there.
+/// Returns a string claim. Returns `None` if it is absent, and an error if it has another type.
 fn text_claim<'a>(claims: &'a Object, name: &str) -> Result<Option<&'a str>, CredentialError> {
     claims.get(name).map(|v| text(v).ok_or(CredentialError::Malformed)).transpose()
 }
 
-/// A claim that must be a date, where it is there.
+/// Returns a date claim in Unix seconds. Returns `None` if it is absent, and an error if it is not finite.
 fn date_claim(claims: &Object, name: &str) -> Result<Option<f64>, CredentialError> {
-    let one = |v: &Value| real(v).filter(|d| d.is_finite()).ok_or(CredentialError::Malformed);
-    claims.get(name).map(one).transpose()
+    let parse_date = |v: &Value| real(v).filter(|d| d.is_finite()).ok_or(CredentialError::Malformed);
+    claims.get(name).map(parse_date).transpose()
 }
 
-/// Verifies a token.
+/// Verifies the token in a target: its signature, claims, URI container and validity period, in this order.
 pub(super) fn verify(
     keys: &KeySet,
     authority: &str,
@@ -94,12 +96,12 @@
     Ok(Grant { target: stripped, expires_at })
 }
 
-/// A signed JWT whose claims are not decoded yet, for they count only once its signature is verified.
+/// A signed JWT. Its claims are decoded only after its signature is verified.
 struct Token<'a> {
     header: Object,
     payload: &'a str,
     signature: Vec<u8>,
-    /// What the signature is over.
+    /// The part of the token that the signature covers.
     signed_part: &'a str,
 }
 
@@ -111,23 +113,23 @@
         let header = decode_object(header)?;
         let signature = decode_base64url(signature).ok_or(CredentialError::Malformed)?;
         if header.contains_key("crit") {
-            return Err(CredentialError::Malformed); // no extension of JWS is supported
+            return Err(CredentialError::Malformed); // JWS extensions are not supported
         }
         Ok(Token { header, payload, signature, signed_part })
     }
 }
 
-/// The key that a token names, or the only one there is.
+/// Returns the key that the token names in `kid`. Without `kid`, returns the only key for tokens.
 fn select_key<'a>(keys: &'a KeySet, header: &Object) -> Result<&'a Key, CredentialError> {
     let algorithm = text_claim(header, "alg")?.ok_or(CredentialError::Malformed)?;
     let mut token_keys = keys.keys.iter().filter(|(_, key)| key.token_alg().is_some());
     let key = match text_claim(header, "kid")? {
         Some(key_id) => token_keys.find(|(name, _)| *name == key_id),
-        // Without a name there must be no choice.
+        // Without `kid` the key is known only if there is exactly one.
         None => token_keys.next().filter(|_| token_keys.next().is_none()),
     };
     let (_, key) = key.ok_or(CredentialError::InvalidSignature)?;
-    // The key says which algorithm it is used with, never the token: this denies 'none' as well.
+    // The configured key determines the algorithm, never the token. This also denies the algorithm 'none'.
     if key.token_alg() != Some(algorithm) {
         return Err(CredentialError::InvalidSignature);
     }
@@ -139,8 +141,8 @@
         return Err(CredentialError::Malformed);
     }
     if let Some(critical) = text_claim(claims, "cdnicrit")? {
-        let known = |name: &str| SUPPORTED_CLAIMS.contains(&name) && claims.contains_key(name);
-        if !critical.split(',').all(|name| known(name.trim())) {
+        let is_supported = |name: &str| SUPPORTED_CLAIMS.contains(&name) && claims.contains_key(name);
+        if !critical.split(',').all(|name| is_supported(name.trim())) {
             return Err(CredentialError::Malformed);
         }
     }
@@ -150,20 +152,20 @@
     if issuer.is_some() && text_claim(claims, "iss")? != issuer {
         return Err(CredentialError::InvalidSignature);
     }
-    let ours = |v: &Value| text(v).is_some_and(|name| keys.audience.iter().any(|a| a == name));
+    let names_this_network = |v: &Value| text(v).is_some_and(|name| keys.audience.iter().any(|a| a == name));
     match claims.get("aud") {
         None => Ok(()),
-        Some(Value::Array(list)) if list.iter().any(ours) => Ok(()),
-        Some(one) if ours(one) => Ok(()),
+        Some(Value::Array(list)) if list.iter().any(names_this_network) => Ok(()),
+        Some(single) if names_this_network(single) => Ok(()),
         Some(_) => Err(CredentialError::InvalidSignature),
     }
 }
 
-/// Whether a URI container (RFC 9246, 2.1.15) is for this URI.
+/// Returns whether a URI container (RFC 9246, 2.1.15) matches this URI.
 fn container_matches(container: &str, uri: &str) -> Result<bool, CredentialError> {
     if let Some(pattern) = container.strip_prefix("regex:") {
-        let whole = format!("^(?:{pattern})$");
-        let pattern = regex::RegexBuilder::new(&whole).size_limit(MAX_PATTERN_BYTES).build();
+        let anchored = format!("^(?:{pattern})$");
+        let pattern = regex::RegexBuilder::new(&anchored).size_limit(MAX_PATTERN_BYTES).build();
         return pattern.map(|p| p.is_match(uri)).map_err(|_| CredentialError::Malformed);
     }
     if let Some(hash) = container.strip_prefix("hash:sha-256;") {
--- a/src/signed/url.rs
+++ b/src/signed/url.rs
@@ -1,28 +1,28 @@
-//! HMAC-signed URLs: `...?Expires=UNIX&KeyName=NAME&Signature=BASE64URL`, the signature over the whole URL
-//! up to `&Signature=`.
+//! Verifies HMAC-signed URLs: `...?Expires=UNIX&KeyName=NAME&Signature=BASE64URL`. The signature covers the
+//! whole URL up to, but not including, `&Signature=`.
 
 use super::keys::{decode_base64url, KeySet};
 use super::{check_validity, CredentialError, Grant};
 use crate::policy::types::Micros;
 
 const PARAMETERS: [&str; 3] = ["Expires", "KeyName", "Signature"];
-/// Digits of a Unix time in seconds at most.
+/// Maximum number of digits of `Expires`.
 const MAX_EXPIRES_DIGITS: usize = 12;
 
-/// How often a parameter stands in a query.
+/// Returns how often a parameter occurs in a query.
 fn occurrences(query: &str, name: &str) -> usize {
     let names =
         query.split('&').map(|parameter| parameter.split_once('=').map_or(parameter, |(name, _)| name));
     names.filter(|given| *given == name).count()
 }
 
-/// Whether the target carries any of the parameters.
+/// Returns whether the query contains any of the parameters of a signed URL.
 pub(super) fn is_signed(target: &str) -> bool {
     let query = target.split_once('?').map_or("", |(_, q)| q);
     PARAMETERS.iter().any(|name| occurrences(query, name) > 0)
 }
 
-/// Verifies a signed URL.
+/// Verifies the signature of a signed URL, then its expiry.
 pub(super) fn verify(
     keys: &KeySet,
     authority: &str,
@@ -47,11 +47,11 @@
     Ok(Grant { target, expires_at })
 }
 
-/// The parts of a signed URL's query.
+/// The query of a signed URL, split into its components.
 struct SignedQuery<'a> {
-    /// What the signature is over.
+    /// The part of the query that the signature covers.
     signed_part: &'a str,
-    /// What stands before the three parameters.
+    /// The query before the three parameters, without the separator. Empty if there are no others.
     other_parameters: &'a str,
     expires: &'a str,
     key_name: &'a str,
@@ -60,11 +60,11 @@
 
 impl<'a> SignedQuery<'a> {
     fn parse(query: &'a str) -> Option<Self> {
-        // A repeated parameter could be read one way here and another way elsewhere.
+        // Other software could use a different occurrence of a repeated parameter than this code.
         if PARAMETERS.iter().any(|name| occurrences(query, name) != 1) {
             return None;
         }
-        // The three stand last and in this order; all that is before them is signed as well.
+        // The three parameters come last, in this order. Everything before them is signed as well.
         let (signed_part, signature) = query.rsplit_once("&Signature=")?;
         let (rest, key_name) = signed_part.rsplit_once("&KeyName=")?;
         let (other_parameters, expires) = match rest.strip_prefix("Expires=") {
@@ -79,7 +79,7 @@
     }
 }
 
-/// A Unix time in seconds.
+/// Parses a Unix time in seconds. Returns `None` unless it consists of at most [`MAX_EXPIRES_DIGITS`] digits.
 fn parse_expires(text: &str) -> Option<f64> {
     if text.len() > MAX_EXPIRES_DIGITS || !text.bytes().all(|b| b.is_ascii_digit()) {
         return None;
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -262,11 +262,14 @@
     };
     let key =
         |alg: &str, key: &str| error(&format!(r#"{{"keys":[{{"name":"k","alg":"{alg}","key":"{key}"}}]}}"#));
-    assert_eq!(key("HS256", "c2hvcnQ"), "key 'k': shorter than 16 bytes");
-    assert_eq!(key("HS256", "MDEyMzQ1Njc4OWFiY2RlZg"), "key 'k': shorter than 32 bytes");
-    assert_eq!(key("ES256", "c2hvcnQ"), "key 'k': not a P-256 point");
+    assert_eq!(key("HS256", "c2hvcnQ"), "key 'k': secret too short, expected at least 16 bytes");
+    assert_eq!(
+        key("HS256", "MDEyMzQ1Njc4OWFiY2RlZg"),
+        "key 'k': secret too short, expected at least 32 bytes"
+    );
+    assert_eq!(key("ES256", "c2hvcnQ"), "key 'k': invalid public key, expected a P-256 point in SEC1 form");
     assert!(key("none", "MDEyMzQ1Njc4OWFiY2RlZg").contains("alg"));
-    assert_eq!(error(r#"{"skew_s":61,"keys":[]}"#), "skew_s: not from 0 to 60");
-    assert_eq!(error(r#"{"keys":[]}"#), "keys: none");
+    assert_eq!(error(r#"{"skew_s":61,"keys":[]}"#), "skew_s: out of range, expected 0 to 60 seconds");
+    assert_eq!(error(r#"{"keys":[]}"#), "keys: list is empty, expected at least one key");
     assert!(!format!("{:?}", keys_with(5.0)).contains(&URL_SAFE.encode(SECRET)));
 }
