--- a/src/daemon/descriptors.rs
+++ b/src/daemon/descriptors.rs
@@ -1,53 +1,61 @@
-//! Descriptor budget: what a process may hold is divided into a reserve for what must always have a
-//! descriptor, connections of clients, and connections to servers.
+//! The descriptor budget of the process. A reserve covers what must always get a descriptor; client
+//! connections and connections to servers share the rest.
 
 use crate::frontend::{admin, serve};
 
-/// The discovery service's connection.
-const DISCOVERY: usize = 1;
-/// Files are read one at a time: the configuration and those that are watched.
-const FILES: usize = 1;
-/// The socket for gossip among directors, and the store on the disk.
+/// The connection to the discovery service.
+const DISCOVERY_DESCRIPTORS: usize = 1;
+/// One is enough: the configuration and the watched files are read one at a time.
+const FILE_DESCRIPTORS: usize = 1;
+/// The socket for gossip among directors, and the store on disk.
 #[cfg(feature = "peers")]
-const CLUSTER: usize = 2;
-/// Descriptors that are open already where the system does not say: standard streams, the runtime, signals.
+const CLUSTER_DESCRIPTORS: usize = 2;
+/// Assumed number of open descriptors if the system does not report it: standard streams, the runtime,
+/// signals.
 const DEFAULT_ALREADY_OPEN: usize = 10;
-/// A process gets this many for connections, however low its limit is.
-const MIN_FREE: usize = 9;
-/// Of nine parts of what is free servers get four, and clients four, or five where none can make room.
-const PARTS: usize = 9;
-const UPSTREAM_PARTS: usize = 4;
-const CLIENT_SOFT_LIMIT_PARTS: usize = 4;
-/// Processes that serve one inherited socket during a handover.
+/// Minimum number of descriptors for connections, one per share, even if the limit leaves fewer.
+const MIN_CONNECTIONS: usize = 9;
+/// The descriptors for connections are divided into nine equal shares. Connections to servers get four, and
+/// client connections four, or five while no idle one can be closed for a new one.
+const TOTAL_SHARES: usize = 9;
+const UPSTREAM_SHARES: usize = 4;
+const CLIENT_SOFT_LIMIT_SHARES: usize = 4;
+/// Processes that serve one inherited socket, within one limit, during a handover.
 const PROCESSES_DURING_HANDOVER: usize = 2;
 
-/// What a process opens beside connections of clients and to servers.
+/// The descriptors that a process needs besides those of client connections and connections to servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DescriptorNeeds {
-    /// Descriptors that are open when the budget is made.
+    /// Descriptors that are already open when the budget is computed.
     pub already_open: usize,
-    /// Listeners that are still to be opened, the admin endpoint's among them.
+    /// Listeners still to be opened, including that of the admin endpoint.
     pub listeners: usize,
     /// Whether there is an admin endpoint.
     pub admin: bool,
-    /// Whether directors gossip.
+    /// Whether this director gossips with others.
     pub cluster: bool,
     /// Whether another process may serve the same socket at the same time, within the same limit.
     pub handover: bool,
 }
 
 impl DescriptorNeeds {
-    /// Descriptors for what must always have one.
+    /// Returns the number of descriptors to reserve.
     pub fn reserve(&self) -> usize {
         let admin = if self.admin { admin::MAX_DESCRIPTORS } else { 0 };
-        let beside_slots = serve::slots::DESCRIPTORS_BESIDE_SLOTS;
-        self.already_open + self.listeners + DISCOVERY + FILES + admin + self.cluster_reserve() + beside_slots
+        let non_slot = serve::slots::DESCRIPTORS_BESIDE_SLOTS;
+        self.already_open
+            + self.listeners
+            + DISCOVERY_DESCRIPTORS
+            + FILE_DESCRIPTORS
+            + admin
+            + self.cluster_reserve()
+            + non_slot
     }
 
     #[cfg(feature = "peers")]
     fn cluster_reserve(&self) -> usize {
         if self.cluster {
-            CLUSTER
+            CLUSTER_DESCRIPTORS
         } else {
             0
         }
@@ -59,33 +67,33 @@
     }
 }
 
-/// How many connections there may be.
+/// Limits on the number of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Client connections beyond which each new one has an idle one close.
+    /// Number of client connections at which a new one first closes an idle one.
     pub client_soft_limit: usize,
-    /// Client connections at most.
+    /// Maximum number of client connections.
     pub client_hard_limit: usize,
-    /// Connections to all servers together at most.
+    /// Maximum number of connections to all servers together.
     pub upstream_limit: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides what `limit` leaves beside the reserve.
+    /// Divides the descriptors that `limit` leaves after the reserve among clients and servers.
     pub fn allocate(limit: usize, needs: &DescriptorNeeds) -> DescriptorBudget {
         let limit = if needs.handover { limit / PROCESSES_DURING_HANDOVER } else { limit };
-        let free = limit.saturating_sub(needs.reserve()).max(MIN_FREE);
-        let upstream_limit = free * UPSTREAM_PARTS / PARTS;
+        let free = limit.saturating_sub(needs.reserve()).max(MIN_CONNECTIONS);
+        let upstream_limit = free * UPSTREAM_SHARES / TOTAL_SHARES;
         DescriptorBudget {
-            client_soft_limit: free * CLIENT_SOFT_LIMIT_PARTS / PARTS,
+            client_soft_limit: free * CLIENT_SOFT_LIMIT_SHARES / TOTAL_SHARES,
             client_hard_limit: free - upstream_limit,
             upstream_limit,
         }
     }
 }
 
-/// The descriptors that this process holds now.
+/// Counts the open descriptors of this process.
 pub fn count_open() -> usize {
-    // The folder is one of them while it is read.
+    // Less one: the descriptor that reads this directory.
     std::fs::read_dir("/proc/self/fd").map_or(DEFAULT_ALREADY_OPEN, |open| open.count().saturating_sub(1))
 }
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon can't start, or ended by itself.
+//! Errors that prevent the daemon from starting or end it.
 
 #[cfg(feature = "peers")]
 use crate::cluster;
@@ -8,30 +8,30 @@
 use crate::frontend::serve::ListenError;
 use tokio::task::JoinError;
 
-/// Why the daemon can't start, or ended by itself. Its text is one line.
+/// An error that prevents the daemon from starting or ends it, displayed on one line.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum DaemonError {
-    /// A frontend can't listen.
+    /// A frontend can't open its listening socket.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The admin endpoint can't listen.
+    /// The admin endpoint can't open its listening socket.
     #[error(transparent)]
     AdminListen(#[from] AdminListenError),
-    /// The key file of the signed frontend can't be used.
+    /// The signed frontend's key file can't be read or is invalid.
     #[error(transparent)]
     KeyFile(#[from] WatchedFileError),
-    /// The settings or a source of endpoints can't be used.
+    /// The settings are invalid, or a source of endpoints failed.
     #[error(transparent)]
     Dispatcher(#[from] director::StartError),
-    /// The gossip among directors can't start.
+    /// Gossip among directors failed to start.
     #[cfg(feature = "peers")]
     #[error(transparent)]
     Cluster(#[from] cluster::StartError),
-    /// The operators' file asks for gossip, and the program was built without it.
-    #[error("peers: this program was built without talk among directors")]
+    /// The operator's file has a section `peers`, but the program was built without the feature `peers`.
+    #[error("peers: gossip among directors needs a build with the feature 'peers'")]
     ClusterNotSupported,
-    /// The dispatcher ended by itself.
-    #[error("the core ended: {0:?}")]
+    /// The dispatcher's task ended before a shutdown was requested.
+    #[error("dispatcher ended unexpectedly: {0:?}")]
     DispatcherEnded(Result<(), JoinError>),
 }
--- a/src/daemon/frontends.rs
+++ b/src/daemon/frontends.rs
@@ -1,4 +1,4 @@
-//! Opens the frontends of the process.
+//! Opens the frontends and the admin endpoint.
 
 use super::error::DaemonError;
 use super::startup::OptionalCluster;
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// The section of the signed frontend, with its key file as it was read first.
+/// The signed frontend's section of the operator's file, with the keys read at startup.
 pub(super) struct SignedConfig {
     section: SignedSection,
     key_file: WatchedFile,
@@ -32,7 +32,7 @@
     }
 }
 
-/// What the frontends of the process share.
+/// Opens the frontends, and holds what they share.
 pub(super) struct Frontends {
     pub(super) dispatcher: Dispatcher,
     pub(super) slots: Rc<ConnectionSlots>,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Opens the platform's frontend, on the inherited socket where there is one.
+    /// Opens the platform's frontend, on the inherited socket if there is one and otherwise on `address`.
     pub(super) async fn open_platform(
         &self,
         address: &str,
@@ -64,8 +64,8 @@
         Ok(task)
     }
 
-    /// Opens the admin endpoint, where there is an address for it. It stays open until the process ends, for
-    /// the metrics of what is still under way.
+    /// Opens the admin endpoint unless `address` is empty. It stays open until the process exits, so that
+    /// metrics remain available while the last requests are answered.
     pub(super) async fn open_admin(
         &self,
         address: &str,
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Opens the signed frontend, and its metrics where the operators' file says so.
+    /// Opens the signed frontend, and its metrics frontend if the operator's file gives an address for it.
     pub(super) async fn open_signed(&self, config: SignedConfig) -> Result<Vec<JoinHandle<()>>, DaemonError> {
         let SignedConfig { section, key_file, keys } = config;
         let (sender, keys) = watch::channel(Arc::new(keys));
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,13 +1,14 @@
-//! The daemon: a configuration, the dispatcher, its sources of endpoints and its frontends, put together.
+//! The daemon: starts the dispatcher, its sources of endpoints and the frontends from a configuration, and
+//! stops them.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | [`descriptors`] | divides the descriptors that the process may hold |
-//! | `startup` | starts the dispatcher, its sources, and the gossip among directors |
-//! | `frontends` | opens the frontends |
-//! | `reload` | applies configurations that come while the process runs |
-//! | `shutdown` | the graceful shutdown |
-//! | `error` | why the daemon can't start, or ended by itself |
+//! | [`descriptors`] | the descriptor budget of the process |
+//! | `startup` | startup of the dispatcher, its sources of endpoints, and gossip among directors |
+//! | `frontends` | startup of the frontends and the admin endpoint |
+//! | `reload` | configuration reloads |
+//! | `shutdown` | graceful shutdown |
+//! | `error` | errors that prevent the daemon from starting or end it |
 
 pub mod descriptors;
 mod error;
@@ -33,11 +34,13 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// Runs a director until `terminated` is done and every request accepted by then is answered.
+/// Runs a director until `terminated` completes, then shuts down gracefully: accepted requests are answered
+/// first.
 ///
-/// The signed frontend runs beside the platform's where the operators' file says so. Of a configuration that
-/// comes later the discovery service's address and the settings are applied; what is under way is left alone.
-/// Clients connect to the inherited socket, where there is one: another process serves it too, or will.
+/// The signed frontend runs beside the platform's if the operator's file configures it. A configuration
+/// received from `configs` replaces the settings and the discovery service's address; requests in progress
+/// are unaffected. If `inherited` is set, clients connect to that socket, which another process serves too,
+/// now or after this one.
 pub async fn run(
     config: PlatformConfig,
     operator: OperatorConfig,
@@ -82,7 +85,7 @@
     Ok(())
 }
 
-/// Divides the descriptors, before the director opens any.
+/// Computes the descriptor budget. Called before the director opens any descriptor.
 fn allocate_descriptors(
     config: &PlatformConfig,
     operator: &OperatorConfig,
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,4 +1,4 @@
-//! Applies configurations that come while the process runs.
+//! Applies configurations that are reloaded while the process runs.
 
 use crate::config::platform::{PlatformConfig, PlatformConfigError};
 use crate::dispatch::{DispatcherMessage, DispatcherSender};
@@ -6,12 +6,13 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// A configuration that was read again, or why it can't be used.
+/// A configuration that was read again, or the error that makes it unusable.
 pub type ReloadedConfig = Result<PlatformConfig, PlatformConfigError>;
 
-/// Applies what can change while the process runs: the settings, and the discovery service's address. Its
-/// revisions carry on, so the events that a later configuration holds will come from there. A configuration
-/// that can't be used is rejected whole, and the one in force stays.
+/// Applies the parts of a new configuration that can change at runtime: the settings and the discovery
+/// service's address. The watch continues from its present revision, so the events that a new configuration
+/// contains are not read from it: the discovery service sends them. An invalid configuration is rejected as a
+/// whole, and the current one stays in force.
 pub(super) struct Reloader {
     pub(super) current: PlatformConfig,
     pub(super) discovery_address: watch::Sender<String>,
@@ -28,7 +29,7 @@
                     self.apply(config).await;
                 }
                 Err(error) => {
-                    tracing::warn!(reason = %error, "configuration rejected; the one in force stays");
+                    tracing::warn!(reason = %error, "configuration rejected; keeping the current one");
                     self.counters.failed.set(self.counters.failed.get() + 1);
                 }
             }
@@ -44,22 +45,24 @@
     async fn apply(&mut self, config: PlatformConfig) {
         tracing::info!("configuration reloaded");
         if needs_restart(&self.current, &config) {
-            tracing::info!("changes of addresses, limits, connections, zones and kinds wait for a restart");
+            tracing::info!(
+                "changes to listen addresses, limits, connections, zones and kinds require a restart"
+            );
         }
         if config.settings != self.current.settings {
             let settings = Box::new(config.settings.clone());
             self.dispatcher.send(DispatcherMessage::Settings(settings)).await;
         }
         self.discovery_address.send_if_modified(|address| {
-            let is_new = *address != config.discovery_address;
+            let is_changed = *address != config.discovery_address;
             address.clone_from(&config.discovery_address);
-            is_new
+            is_changed
         });
         self.current = config;
     }
 }
 
-/// Whether a new configuration differs in what is fixed when the process starts.
+/// Returns whether a new configuration differs in values that are fixed at startup.
 fn needs_restart(current: &PlatformConfig, new: &PlatformConfig) -> bool {
     let (old_settings, new_settings) = (&current.settings, &new.settings);
     current.listen != new.listen
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown: requests that were accepted are answered before the process ends.
+//! Graceful shutdown: accepted requests are answered before the process exits.
 
 use super::startup::OptionalCluster;
 #[cfg(feature = "peers")]
@@ -14,19 +14,19 @@
 use tokio::time::timeout;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// After SIGTERM connections and requests keep coming for this long, and are served.
+/// Period after SIGTERM in which clients may still open connections and send requests, which are served.
 const GRACE_PERIOD: Duration = Duration::from_millis(700);
-/// The other directors are notified of the end, and the disk has the last changes, within this.
+/// Time limit for notifying the other directors and writing the last changes to disk.
 #[cfg(feature = "peers")]
 const CLUSTER_LEAVE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The longest deadline of all classes counts as this at least.
+/// Lower bound of [`longest_deadline`].
 const MIN_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// How often it is looked whether requests are in flight.
+/// Interval between checks for requests in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Time for clients to read the last responses.
-const LAST_RESPONSES: Duration = Duration::from_millis(20);
+/// Time for clients to read the last responses before their connections close.
+const FINAL_RESPONSE_DELAY: Duration = Duration::from_millis(20);
 
-/// Whether another process goes on with the clients' socket.
+/// Whether another process continues to serve the clients' socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Successor {
     /// The socket was inherited, and a successor serves it.
@@ -35,20 +35,21 @@
     None,
 }
 
-/// What a graceful shutdown ends.
+/// A graceful shutdown, with the state that it needs.
 pub(super) struct GracefulShutdown {
-    /// The tasks that accept connections.
+    /// The tasks that accept client connections.
     pub(super) listeners: Vec<JoinHandle<()>>,
     pub(super) successor: Successor,
     pub(super) phase: watch::Sender<ShutdownPhase>,
-    /// Requests that are accepted and not answered yet.
+    /// Requests that are accepted but not yet answered.
     pub(super) requests_in_flight: Rc<Cell<usize>>,
     #[cfg_attr(not(feature = "peers"), allow(dead_code))]
     pub(super) cluster: OptionalCluster,
 }
 
 impl GracefulShutdown {
-    /// Returns once every accepted request is answered, or the longest deadline is over.
+    /// Waits until every accepted request is answered, at most for the longest deadline plus
+    /// [`GRACE_PERIOD`].
     pub(super) async fn run(self, dispatcher: &Dispatcher) {
         let started = Instant::now();
         let deadline = started + longest_deadline(dispatcher) + GRACE_PERIOD;
@@ -57,24 +58,25 @@
         }
         #[cfg(feature = "peers")]
         if let Some(cluster) = &self.cluster {
-            // The others hear at once that this one goes, and the disk has all changes; what comes is served.
+            // Notifies the other directors and writes all changes to disk now; requests are still served.
             let _ = timeout(CLUSTER_LEAVE_TIMEOUT, cluster.send(ClusterCommand::Leave)).await;
         }
         sleep_until(started + GRACE_PERIOD).await;
         let _ = self.phase.send(ShutdownPhase::CloseIdle);
         self.wait_for_requests(deadline).await;
-        sleep(LAST_RESPONSES).await;
+        sleep(FINAL_RESPONSE_DELAY).await;
     }
 
-    /// Guards against accepting connections that the successor should: clients that are served here once more
-    /// are told to connect anew, and reach the successor.
+    /// Stops accepting connections, so that the successor accepts them. Each open connection closes after its
+    /// next response, and its client reconnects to the successor.
     fn leave_socket_to_successor(&self) {
         self.listeners.iter().for_each(JoinHandle::abort);
         let _ = self.phase.send(ShutdownPhase::CloseAfterResponse);
     }
 
     async fn wait_for_requests(&self, deadline: Instant) {
-        // Slept first: connections with a request that has begun to come are counted once they are notified.
+        // Sleeps before the first check: a connection that has received part of a request counts it only once
+        // the phase change reaches its task.
         loop {
             sleep(POLL_INTERVAL).await;
             if self.requests_in_flight.get() == 0 || Instant::now() >= deadline {
@@ -84,7 +86,7 @@
     }
 }
 
-/// The longest deadline of all classes.
+/// Returns the longest deadline of all classes, at least [`MIN_LONGEST_DEADLINE`].
 fn longest_deadline(dispatcher: &Dispatcher) -> Duration {
     let settings = dispatcher.settings();
     let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
--- a/src/daemon/startup.rs
+++ b/src/daemon/startup.rs
@@ -1,4 +1,4 @@
-//! Starts the dispatcher, its sources of endpoints, and the gossip among directors.
+//! Starts the dispatcher, its sources of endpoints, and gossip among directors.
 
 use super::error::DaemonError;
 #[cfg(feature = "peers")]
@@ -14,25 +14,25 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Discovery events that may wait for the gossip among directors. Where more come, they are lost here, and
-/// the other directors pass them on.
-const EVENT_QUEUE: usize = 1024;
+/// Maximum number of discovery events queued for gossip. Events beyond it are dropped here; this director
+/// then receives them from the other directors.
+const EVENT_QUEUE_LEN: usize = 1024;
 
-/// The handle of the gossip among directors, where the operators' file has a section for it.
+/// The handle of gossip among directors; `None` if the operator's file has no section `peers`.
 #[cfg(feature = "peers")]
 pub(super) type OptionalCluster = Option<ClusterHandle>;
-/// There is none in a program that was built without it.
+/// Always `None`: the program was built without gossip among directors.
 #[cfg(not(feature = "peers"))]
 pub(super) type OptionalCluster = Option<std::convert::Infallible>;
 
-/// Where endpoints and purges come from.
+/// The configured sources of endpoints and purges.
 pub(super) struct Sources {
     pub(super) discovery_address: watch::Receiver<String>,
     pub(super) xds_file: Option<PathBuf>,
     pub(super) peers: Option<PeersSection>,
 }
 
-/// What serves requests.
+/// The running dispatcher, which frontends submit requests to, and gossip among directors.
 pub(super) struct Backend {
     pub(super) dispatcher: Dispatcher,
     pub(super) dispatcher_task: JoinHandle<()>,
@@ -40,8 +40,8 @@
 }
 
 impl Sources {
-    /// Opens the sources and starts the dispatcher, and the gossip among directors where the operators' file
-    /// has a section for it.
+    /// Opens the sources and starts the dispatcher. Starts gossip among directors if the operator's file has
+    /// a section `peers`.
     pub(super) async fn start(
         self,
         config: &PlatformConfig,
@@ -52,7 +52,7 @@
             return Err(DaemonError::ClusterNotSupported);
         }
         let clock = Clock::system();
-        let (subscriber, events) = self.peers.as_ref().map(|_| mpsc::channel(EVENT_QUEUE)).unzip();
+        let (subscriber, events) = self.peers.as_ref().map(|_| mpsc::channel(EVENT_QUEUE_LEN)).unzip();
         let sources = endpoint_sources(self.discovery_address, self.xds_file, config, subscriber);
         let connector = Box::new(UpstreamConnector::new(config.connections.clone(), upstream_limit));
         let RunningDispatcher { dispatcher, task: dispatcher_task } =
@@ -66,21 +66,22 @@
         };
         #[cfg(not(feature = "peers"))]
         let cluster = {
-            drop(events); // nobody reads them
+            drop(events); // not read without the feature `peers`
             None
         };
         Ok(Backend { dispatcher, dispatcher_task, cluster })
     }
 }
 
-/// The discovery service, and a file in xDS form before it where there is one.
+/// Returns the sources in the order in which they are read: the file in xDS form, if there is one, then the
+/// discovery service.
 fn endpoint_sources(
     discovery_address: watch::Receiver<String>,
     xds_file: Option<PathBuf>,
     config: &PlatformConfig,
     subscriber: Option<mpsc::Sender<WatchEvent>>,
 ) -> Vec<Box<dyn EndpointSource>> {
-    // Where the endpoints come from a file, the discovery service gives only purges.
+    // With endpoints from a file, only purges are taken from the discovery service.
     let scope = if xds_file.is_some() { WatchScope::PurgesOnly } else { WatchScope::MembersAndPurges };
     let mut sources: Vec<Box<dyn EndpointSource>> = Vec::new();
     if let Some(path) = xds_file {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,23 +1,27 @@
-//! A director for cache networks: the decisions, the actor round them, and what speaks with the world.
+//! A director for cache networks: the routing policy, the dispatcher that runs it, and the network
+//! interfaces.
 //!
-//! | module | holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`policy`] | the decisions, with their interface and their estimators; pure |
-//! | [`dispatch`] | the actor that owns them, which knows no wire |
-//! | [`signed`] | checks of signed URLs and tokens, without I/O |
-//! | [`upstream`] | how servers are reached |
-//! | [`discovery`] | where members and purges come from: the discovery service, files in xDS form |
-//! | `replication` | state that directors share, merged without I/O; feature `peers` |
-//! | `cluster` | gossip among directors: members, datagrams, what lasts on a disk; feature `peers` |
-//! | [`frontend`] | what clients and operators speak with |
-//! | [`daemon`] | all of it put together |
-//! | `middleware` | a tower layer and service, behind the feature of that name |
-//! | [`config`], [`simulator`] | the configuration's decoders; the simulator's wire |
+//! | [`policy`] | the routing policy: its interface, decisions and estimators; no clock, no I/O |
+//! | [`dispatch`] | the dispatcher: the actor that runs the policy, independent of any wire format |
+//! | [`signed`] | verification of signed URLs and tokens, without I/O |
+//! | [`upstream`] | connections to servers |
+//! | [`discovery`] | sources of members and purges: the discovery service and files in xDS form |
+//! | `replication` | merging of the state that directors share, without I/O; feature `peers` |
+//! | `cluster` | gossip among directors: membership, datagrams, storage on disk; feature `peers` |
+//! | [`frontend`] | HTTP frontends for clients, and the admin endpoint for operators |
+//! | [`director`] | the director as a library, on its own thread |
+//! | [`daemon`] | the director as a daemon |
+//! | `middleware` | a tower layer and service; feature `middleware` |
+//! | `log` | the daemon's log; feature `cli` |
+//! | [`config`] | decoders of the configuration files |
+//! | [`simulator`] | the simulator's text protocol |
 //!
-//! # The decisions
+//! # The routing policy
 //!
-//! A [`Router`] decides for one director. It holds no clock, does no I/O and shares nothing: its host tells
-//! it what happened ([`Event`]) and when, and carries out what it answers ([`Action`]).
+//! A [`Router`] decides for one director. It reads no clock, does no I/O and shares no state. Its host passes
+//! it each [`Event`] with the time, and carries out the [`Action`]s that it returns.
 //!
 //! ```
 //! use foxhold::{Action, Class, Event, Member, MemberState, ObjectId, MemberUpdate, Request, RequestId};
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! The daemon's log: its filter, and a writer to standard error that never blocks.
+//! The daemon's log: its filter, and a non-blocking writer to standard error.
 
 use crate::config::operator::{LogForm, LogSection};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -9,14 +9,15 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{fmt, Layer};
 
-/// The variable that overrides the level in the operators' file.
+/// Environment variable that overrides the level in the operator's file.
 const LEVEL_VARIABLE: &str = "FOXHOLD_LOG";
-/// The longest line, in bytes: a pipe that has room for anything takes that much without blocking (PIPE_BUF).
+/// The longest write, in bytes: a pipe that polls as writable accepts this many without blocking
+/// (`PIPE_BUF`).
 const MAX_LINE_BYTES: usize = 4096;
-/// Bytes of a line for what is added to the message.
+/// Bytes of [`MAX_LINE_BYTES`] that are reserved for the count of dropped lines and a final newline.
 const RESERVED_LINE_BYTES: usize = 64;
 
-/// Modules by the names of earlier versions, which filters may still use, and what they are called now.
+/// Module names of earlier versions, which filters may still use, with the present names.
 const MODULE_ALIASES: [(&str, &str); 11] = [
     ("foxhold::core", "foxhold::dispatch"),
     ("foxhold::decide", "foxhold::policy"),
@@ -31,27 +32,27 @@
     ("foxhold::wire", "foxhold::simulator"),
 ];
 
-/// Why the log can't begin.
+/// An error that prevents logging from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// The level can't be read.
+    /// The filter is invalid.
     #[error("log level '{level}': {source}")]
     Level {
-        /// The level as it was given.
+        /// The filter as given, in the operator's file or in `FOXHOLD_LOG`.
         level: String,
-        /// Why.
+        /// The parser's error.
         source: ParseError,
     },
-    /// A log has begun already.
+    /// A global tracing subscriber is already set.
     #[error(transparent)]
     AlreadyInitialized(#[from] TryInitError),
 }
 
-/// Lines that were dropped since the last one that was written.
+/// Lines dropped since the last line that was written.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Standard error for a program that must not wait for its readers: a line that would block is dropped and
-/// counted, and the count is written ahead of the next line that does not.
+/// A writer to standard error that never blocks: a line that would block is dropped and counted, and the
+/// count is written before the next line that would not.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LossyStderr;
 
@@ -65,13 +66,13 @@
         let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
         let mut out = Vec::with_capacity(line.len().min(MAX_LINE_BYTES) + RESERVED_LINE_BYTES);
         if dropped > 0 {
-            let _ = writeln!(out, "{dropped} lines of the log found no room");
+            let _ = writeln!(out, "{dropped} log lines dropped: stderr was full");
         }
         out.extend_from_slice(&line[..line.len().min(MAX_LINE_BYTES - RESERVED_LINE_BYTES)]);
         if out.last() != Some(&b'\n') {
             out.push(b'\n');
         }
-        let _ = stderr.lock().write_all(&out); // nobody may read it any more
+        let _ = stderr.lock().write_all(&out); // fails if the reader has closed the pipe
         Ok(line.len())
     }
 
@@ -80,16 +81,16 @@
     }
 }
 
-/// Whether a line can be written without blocking.
+/// Returns whether a line can be written without blocking.
 fn is_writable(stderr: &io::Stderr) -> bool {
     let mut polled = [PollFd::new(stderr, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    matches!(poll(&mut polled, Some(&at_once)), Ok(n) if n > 0)
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    matches!(poll(&mut polled, Some(&no_wait)), Ok(n) if n > 0)
         && polled[0].revents().contains(PollFlags::OUT)
 }
 
-/// Reads a filter: a level, or levels of modules as in `info,foxhold::dispatch=debug`. Modules may be given
-/// by the names of earlier versions.
+/// Parses a filter: a level, or levels of modules as in `info,foxhold::dispatch=debug`. Module names of
+/// earlier versions are accepted.
 pub fn parse_filter(level: &str) -> Result<Targets, LogError> {
     let parsed: Result<Targets, ParseError> = level.parse();
     let given = parsed.map_err(|source| LogError::Level { level: level.to_owned(), source })?;
@@ -100,7 +101,7 @@
     Ok(filter.with_targets(given.iter().map(|(module, level)| (resolve_alias(module), level))))
 }
 
-/// A module's present name.
+/// Returns a module's present name, or the name unchanged if it is not an alias.
 fn resolve_alias(module: &str) -> String {
     for (alias, name) in MODULE_ALIASES {
         match module.strip_prefix(alias) {
@@ -113,7 +114,7 @@
     module.to_owned()
 }
 
-/// Begins the log. The variable `FOXHOLD_LOG` overrides the level of the section.
+/// Starts logging. The environment variable `FOXHOLD_LOG` overrides the section's level.
 pub fn init(section: &LogSection) -> Result<(), LogError> {
     let level = std::env::var(LEVEL_VARIABLE).unwrap_or_else(|_| section.level.clone());
     let filter = parse_filter(&level)?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -9,6 +9,7 @@
 use foxhold::log::{self, LogError};
 use rustix::process::{getrlimit, Resource};
 use std::error::Error;
+use std::ffi::OsString;
 use std::io;
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 use std::path::{Path, PathBuf};
@@ -16,16 +17,17 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Where the operators' file is, unless [`OPERATOR_FILE_VARIABLE`] names another: the first that exists.
-const OPERATOR_FILES: [&str; 2] = ["deploy/foxhold.yaml", "deploy/front.json"];
+/// Default paths of the operator's file, used when [`OPERATOR_FILE_VARIABLE`] is not set. The first that
+/// exists is read.
+const DEFAULT_OPERATOR_FILES: [&str; 2] = ["deploy/foxhold.yaml", "deploy/front.json"];
 const OPERATOR_FILE_VARIABLE: &str = "FOXHOLD_FRONT";
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 const INHERITED_SOCKET_VARIABLE: &str = "ROUTER_FD";
-/// Descriptors up to this one are the standard streams.
+/// The highest descriptor number of the standard streams.
 const MAX_STANDARD_STREAM: RawFd = 2;
-/// The exit code where a file can't be used, or no admin endpoint answers.
+/// Exit code if a file is invalid or the admin endpoint does not reply.
 const EXIT_UNUSABLE: u8 = 2;
-/// How long an admin endpoint may take to answer.
+/// Read timeout for the admin endpoint's reply.
 #[cfg(feature = "peers")]
 const ADMIN_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
@@ -34,8 +36,9 @@
 #[command(
     version,
     about,
-    after_help = "ROUTER_CONFIG names the platform's configuration, FOXHOLD_FRONT the \
-    operator's own file (else deploy/foxhold.yaml), FOXHOLD_LOG the level of the log. See README.md."
+    after_help = "Environment: ROUTER_CONFIG names the platform's configuration file, FOXHOLD_FRONT the \
+    operator's file (default: deploy/foxhold.yaml, else deploy/front.json), FOXHOLD_LOG the log level. \
+    See README.md."
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -44,14 +47,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM; the default
+    /// Serve requests until SIGTERM (default)
     Serve,
-    /// Show the other directors, and how far each is behind
+    /// List the other directors, and when each was last heard from and last in sync
     #[cfg(feature = "peers")]
     Peers {
         #[command(flatten)]
         admin: AdminAddress,
-        /// As the admin endpoint gives it, in JSON
+        /// Print the admin endpoint's JSON reply unchanged
         #[arg(long)]
         json: bool,
     },
@@ -61,35 +64,35 @@
         #[command(subcommand)]
         command: StateCommand,
     },
-    /// Drain a server at all directors, as an operator's override
+    /// Set a drain override: all directors drain the server
     #[cfg(feature = "peers")]
     Drain {
-        /// Its name in the endpoint list
+        /// Server name in the endpoint list
         server: String,
         #[command(flatten)]
         admin: AdminAddress,
     },
-    /// Withdraw that override
+    /// Remove a server's drain override
     #[cfg(feature = "peers")]
     Undrain {
-        /// Its name in the endpoint list
+        /// Server name in the endpoint list
         server: String,
         #[command(flatten)]
         admin: AdminAddress,
     },
-    /// Have no director serve copies of an object or a group that are older than now
+    /// Purge an object or a group: no director serves copies older than now
     #[cfg(feature = "peers")]
     Purge {
         /// `object` or `group`
         kind: String,
-        /// The object's name or the group's number
+        /// Object name or group number
         target: String,
         #[command(flatten)]
         admin: AdminAddress,
     },
-    /// Validate files, and say what is wrong with them; exit 2 where one can't be used
+    /// Validate files and report errors; exits with status 2 if any file is invalid
     Check {
-        /// Platform configurations in JSON, and operators' files in YAML
+        /// Platform configurations (JSON) and operator's files (YAML)
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
@@ -98,36 +101,36 @@
 #[cfg(feature = "peers")]
 #[derive(Subcommand)]
 enum StateCommand {
-    /// All entries of a kind: purges, drains or members
+    /// List all entries of one kind
     Show {
-        /// The kind
+        /// `purges`, `drains` or `members`
         kind: String,
         #[command(flatten)]
         admin: AdminAddress,
     },
 }
 
-/// Which director is asked.
+/// The director that a command is sent to.
 #[cfg(feature = "peers")]
 #[derive(clap::Args)]
 struct AdminAddress {
-    /// The address of its admin endpoint; else that of the configuration in ROUTER_CONFIG
+    /// Address of the director's admin endpoint (default: from the configuration named by ROUTER_CONFIG)
     #[arg(long = "admin", alias = "door", value_name = "ADDRESS")]
     address: Option<String>,
 }
 
-/// Why a command failed. Its text is one line.
+/// An error that ends a command, displayed on one line.
 #[derive(Debug, thiserror::Error)]
 enum CliError {
-    #[error("ROUTER_CONFIG does not name a configuration")]
+    #[error("ROUTER_CONFIG is not set: expected the path of the platform configuration")]
     NoConfig,
-    #[error("ROUTER_FD is not the number of a descriptor")]
-    InvalidInheritedSocket,
+    #[error("ROUTER_FD is {value:?}, expected a descriptor number greater than 2")]
+    InvalidInheritedSocket { value: OsString },
     #[cfg(feature = "peers")]
-    #[error("neither --admin nor ROUTER_CONFIG says where the door is")]
+    #[error("no admin endpoint address: --admin is not given and ROUTER_CONFIG is not set")]
     NoAdminAddress,
     #[cfg(feature = "peers")]
-    #[error("the door at {address}: {source}")]
+    #[error("admin endpoint at {address}: {source}")]
     AdminEndpoint { address: String, source: io::Error },
     #[error(transparent)]
     PlatformConfig(#[from] PlatformConfigError),
@@ -138,7 +141,7 @@
     #[error("{}: {}: {source}", .file.display(), .named.display())]
     NamedFile { file: PathBuf, named: PathBuf, source: Box<dyn Error + Send + Sync> },
     #[cfg(feature = "peers")]
-    #[error("{}: peers.folder: {} is no folder", .file.display(), .folder.display())]
+    #[error("{}: peers.folder: {} is not a directory", .file.display(), .folder.display())]
     NotAFolder { file: PathBuf, folder: PathBuf },
     #[error(transparent)]
     Log(#[from] LogError),
@@ -177,19 +180,19 @@
 
 #[cfg(feature = "peers")]
 impl AdminAddress {
-    /// Shows the other directors as a table.
+    /// Prints the other directors as a table.
     fn show_peers(&self) -> ExitCode {
-        let answer = self.send("peers");
-        print_answer(answer, |answer| {
-            let json = answer.lines().next().unwrap_or_default();
+        let reply = self.send("peers");
+        print_reply(reply, |reply| {
+            let json = reply.lines().next().unwrap_or_default();
             let status = miniserde::json::from_str::<foxhold::cluster::Status>(json).ok();
             status.map(|status| status.to_string())
         })
     }
 
-    /// Sends a command and prints the answer as it comes.
+    /// Sends a command and prints the reply unchanged, without the line `END`.
     fn run(&self, command: &str) -> ExitCode {
-        print_answer(self.send(command), |_| None)
+        print_reply(self.send(command), |_| None)
     }
 
     fn send(&self, command: &str) -> Result<String, CliError> {
@@ -199,9 +202,9 @@
         let mut stream = std::net::TcpStream::connect(&address).map_err(failed)?;
         stream.set_read_timeout(Some(ADMIN_TIMEOUT)).map_err(failed)?;
         stream.write_all(format!("{command}\n").as_bytes()).map_err(failed)?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).map_err(failed)?;
-        Ok(answer)
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply).map_err(failed)?;
+        Ok(reply)
     }
 
     fn resolve(&self) -> Result<String, CliError> {
@@ -214,29 +217,30 @@
     }
 }
 
-/// Prints an answer, in another form where `render` knows one: 0 unless it is `NO`, 2 where nobody answers.
+/// Prints a reply of the admin endpoint, as `render` formats it unless that returns `None`. The exit code is
+/// 1 if the reply is `NO`, [`EXIT_UNUSABLE`] if there is no reply, and otherwise 0.
 #[cfg(feature = "peers")]
-fn print_answer(answer: Result<String, CliError>, render: impl Fn(&str) -> Option<String>) -> ExitCode {
-    let answer = match answer {
-        Ok(answer) => answer,
+fn print_reply(reply: Result<String, CliError>, render: impl Fn(&str) -> Option<String>) -> ExitCode {
+    let reply = match reply {
+        Ok(reply) => reply,
         Err(error) => {
             eprintln!("foxhold: {error}");
             return EXIT_UNUSABLE.into();
         }
     };
-    if let Some(rendered) = render(&answer) {
+    if let Some(rendered) = render(&reply) {
         print!("{rendered}");
         return ExitCode::SUCCESS;
     }
-    print!("{}", answer.strip_suffix("END\n").unwrap_or(&answer));
-    if answer.starts_with("NO") {
+    print!("{}", reply.strip_suffix("END\n").unwrap_or(&reply));
+    if reply.starts_with("NO") {
         ExitCode::FAILURE
     } else {
         ExitCode::SUCCESS
     }
 }
 
-/// Says of each file what it is, or why it can't be used.
+/// Prints a description of each valid file, and the error of each invalid one.
 fn check_all(files: &[PathBuf]) -> ExitCode {
     let mut exit_code = ExitCode::SUCCESS;
     for file in files {
@@ -251,7 +255,7 @@
     exit_code
 }
 
-/// What a file is, where it and the files that it names can be used.
+/// Validates a file and the files that it names, and returns a description of the file.
 fn check(file: &Path) -> Result<String, CliError> {
     let failed = |source| CliError::File { file: file.to_owned(), source };
     let text = std::fs::read_to_string(file).map_err(|error| failed(error.into()))?;
@@ -271,7 +275,7 @@
     ))
 }
 
-/// Validates the files that an operators' file names.
+/// Validates the files that an operator's file names.
 fn check_named_files(file: &Path, operator: &OperatorConfig) -> Result<(), CliError> {
     if let Some(signed) = &operator.signed {
         check_named_file(file, &signed.keys_file, parse_keys)?;
@@ -309,7 +313,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut terminate = signal(SignalKind::terminate())?;
-        // Registered before anything is served: by default this signal ends a process.
+        // Registered before the daemon serves: without a handler, SIGHUP terminates the process.
         let hangup = signal(SignalKind::hangup())?;
         let (sender, configs) = mpsc::channel(1);
         tokio::task::spawn_local(reload_on_hangup(path, hangup, sender));
@@ -321,38 +325,39 @@
     })
 }
 
-/// The operators' file; everything in it is off where there is none.
+/// Reads the operator's file. Without one, everything that it configures is off.
 fn read_operator_file() -> Result<OperatorConfig, CliError> {
     let named = std::env::var_os(OPERATOR_FILE_VARIABLE).map(PathBuf::from);
-    let path = named.or_else(|| OPERATOR_FILES.iter().map(PathBuf::from).find(|path| path.exists()));
+    let path = named.or_else(|| DEFAULT_OPERATOR_FILES.iter().map(PathBuf::from).find(|path| path.exists()));
     match path {
         Some(path) => Ok(OperatorConfig::read(&path)?),
         None => Ok(OperatorConfig::default()),
     }
 }
 
-/// The listening socket that whoever started the process holds for it.
+/// Returns the listening socket that the parent process passed on, or `None` if it passed none.
 fn inherited_socket() -> Result<Option<std::net::TcpListener>, CliError> {
-    let Some(number) = std::env::var_os(INHERITED_SOCKET_VARIABLE) else { return Ok(None) };
-    let number = number.to_str().and_then(|number| number.parse::<RawFd>().ok());
+    let Some(value) = std::env::var_os(INHERITED_SOCKET_VARIABLE) else { return Ok(None) };
+    let number = value.to_str().and_then(|number| number.parse::<RawFd>().ok());
     let number = number.filter(|number| *number > MAX_STANDARD_STREAM);
-    let number = number.ok_or(CliError::InvalidInheritedSocket)?;
-    // SAFETY: called once, before anything else is opened; by the platform's contract the descriptor belongs
-    // to this process, and nothing else here uses it. A wrong one shows at the first use of the socket, as an
+    let number = number.ok_or(CliError::InvalidInheritedSocket { value })?;
+    // SAFETY: called once, before this process opens anything else. By the platform's contract the descriptor
+    // belongs to this process, and nothing else here uses it. If it is not a socket, its first use returns an
     // error.
-    #[allow(unsafe_code, reason = "the platform hands the socket over by the number of its descriptor")]
+    #[allow(unsafe_code, reason = "the platform passes the socket by its descriptor number")]
     let socket = unsafe { OwnedFd::from_raw_fd(number) };
     Ok(Some(socket.into()))
 }
 
-/// Reads the configuration at each SIGHUP. The signals that come while one is under way count as one more.
+/// Reads the configuration again at each SIGHUP. Signals received during a reload cause one further reload.
 async fn reload_on_hangup(path: PathBuf, mut hangup: Signal, configs: mpsc::Sender<ReloadedConfig>) {
     while hangup.recv().await.is_some() {
         let _ = configs.send(read_config(&path)).await;
     }
 }
 
-/// Reads the configuration. Its limit on descriptors is no higher than the system's for this process.
+/// Reads the configuration, with its descriptor limit lowered to that of this process (`RLIMIT_NOFILE`) if it
+/// is higher.
 fn read_config(path: &Path) -> ReloadedConfig {
     let mut config = PlatformConfig::read(path)?;
     let limit = getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok());
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -180,7 +180,7 @@
             "{text}"
         );
         let (code, _, error) = foxhold(&["drain", "cache-1", "--door", &address]);
-        assert!(code == Some(2) && error.contains(&format!("the door at {address}")), "{error}");
+        assert!(code == Some(2) && error.contains(&format!("admin endpoint at {address}")), "{error}");
     }
 
     #[test]
