--- a/src/director/builder.rs
+++ b/src/director/builder.rs
@@ -1,4 +1,4 @@
-//! The builder of a director, and the director's thread.
+//! The builder of a director, and the thread that runs it.
 
 use super::{BuildError, Control, Director, Shutdown, StartError};
 use crate::config::operator::LibrarySection;
@@ -13,10 +13,10 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::LocalSet;
 
-/// How often a shutdown checks whether all requests are answered.
+/// Interval at which a shutdown checks whether all requests are answered.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The parts of a director before it runs.
+/// Builds a director from settings, sources of endpoints and a connector.
 pub struct Builder {
     settings: Settings,
     seed: u64,
@@ -43,7 +43,7 @@
         let connector = config.upstream_connector();
         let PlatformConfig { discovery_address, seed, settings, discovery_revision, initial_events, .. } =
             config;
-        // The address stays: nobody else holds the sender.
+        // The sender is dropped: without reloads the address never changes.
         let address = watch::channel(discovery_address).1;
         Builder::new(settings).seed(seed).connector(connector).endpoint_source(DiscoveryService {
             address,
@@ -54,33 +54,34 @@
         })
     }
 
-    /// Where endpoints come from; called again it adds a further source. Without one there are only those of
-    /// [`Director::members`].
+    /// Adds a source of endpoints. Without one, the only endpoints are those given to [`Director::members`].
     pub fn endpoint_source(mut self, source: impl EndpointSource) -> Self {
         self.sources.push(Box::new(source));
         self
     }
 
-    /// How servers are reached; the line protocol unless set otherwise.
+    /// Sets the connector that reaches servers. The default is [`UpstreamConnector`], which speaks the line
+    /// protocol.
     pub fn connector(mut self, connector: impl EndpointConnector + Send + 'static) -> Self {
         self.connector = Box::new(connector);
         self
     }
 
-    /// The clock; the system's unless set otherwise.
+    /// Sets the clock. The default is the system's.
     pub fn clock(mut self, clock: Clock) -> Self {
         self.clock = clock;
         self
     }
 
-    /// The seed of random numbers; two directors in one process should differ in it.
+    /// Sets the seed of random numbers. The default is the process id, so a second director in one process
+    /// should get another seed.
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Starts the director's thread and waits until it serves, some milliseconds. Settings, sources and files
-    /// that can't be used are errors that say why.
+    /// Starts the director's thread and blocks until it serves, which takes some milliseconds. Returns an
+    /// error if the settings, a source or a file is invalid.
     pub fn start(self) -> Result<Director, BuildError> {
         let (ready, started) = sync_channel(1);
         let (control, commands) = mpsc::unbounded_channel();
@@ -89,7 +90,7 @@
         Ok(Director::new(dispatcher, control))
     }
 
-    /// The director's thread: runs until a shutdown, a panic, or the end of all handles.
+    /// Runs the director's thread until a shutdown, a panic, or the last handle is dropped.
     fn run(
         self,
         ready: SyncSender<Result<Dispatcher, BuildError>>,
@@ -101,11 +102,11 @@
         };
         let tasks = LocalSet::new();
         let finished = tasks.block_on(&runtime, self.serve(ready, commands));
-        // Tasks go first, each on this thread, and with them every connection.
+        // Dropping the tasks on this thread closes every connection before the shutdown is reported.
         drop(tasks);
         drop(runtime);
         if let Some(FinishedShutdown { result, reply }) = finished {
-            let _ = reply.send(result); // whoever asked may have gone
+            let _ = reply.send(result); // fails if the caller no longer waits
         }
     }
 
@@ -138,13 +139,13 @@
     }
 }
 
-/// A shutdown whose result is reported once the thread's connections are closed.
+/// A shutdown whose result is reported after the thread's connections are closed.
 struct FinishedShutdown {
     result: Shutdown,
     reply: oneshot::Sender<Shutdown>,
 }
 
-/// Waits until all requests are answered or the deadline has passed.
+/// Waits until all requests are answered or `deadline` has passed since the call.
 async fn drain_requests(dispatcher: &Dispatcher, deadline: Duration) -> Shutdown {
     let started = Instant::now();
     let count_pending = || async { dispatcher.metrics().await.map_or(0, |m| m.tables.pending_requests) };
@@ -157,8 +158,8 @@
     Shutdown { pending, aborted: remaining, elapsed: started.elapsed() }
 }
 
-/// Starts the dispatcher on the present `LocalSet` with what the sources know, and follows them: the same for
-/// the daemon and the library.
+/// Starts the dispatcher on the current `LocalSet` with the initial endpoints of all sources, then follows
+/// the sources. Used by both the daemon and the library.
 pub fn start_dispatcher(
     settings: Settings,
     seed: u64,
--- a/src/director/error.rs
+++ b/src/director/error.rs
@@ -1,88 +1,92 @@
-//! Errors of a director's start, of requests and of calls, and the result of a shutdown.
+//! Errors of building a director, of requests and of calls, and the result of a shutdown.
 
 use crate::config::platform::PlatformConfigError;
 use crate::discovery::SourceError;
 use crate::policy::types::SettingsError;
 use std::time::Duration;
 
-/// Why the dispatcher did not start.
+/// An error that prevents the dispatcher from starting.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum StartError {
-    /// A source of the endpoint list can't be used.
+    /// A source of endpoints failed to provide its initial list.
     #[error(transparent)]
     Source(#[from] SourceError),
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// Why a director did not start. Nothing was sent anywhere.
+/// An error that prevents a director from starting. No request was sent.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum BuildError {
-    /// The configuration file can't be used.
+    /// The configuration file can't be read or is invalid.
     #[error(transparent)]
     Config(#[from] PlatformConfigError),
-    /// The settings or a source can't be used.
+    /// The settings are invalid, or a source of endpoints failed.
     #[error(transparent)]
     Start(#[from] StartError),
     /// The thread or its runtime did not start.
-    #[error("the director's thread: {0}")]
+    #[error("could not start the director's thread: {0}")]
     Thread(#[from] std::io::Error),
-    /// The thread ended before it was ready.
-    #[error("the director's thread ended while it started")]
+    /// The thread ended before it was ready to serve.
+    #[error("the director's thread ended during startup")]
     Ended,
 }
 
-/// Why a request has no response.
+/// An error returned instead of a response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SendError {
-    /// No class of this name is configured at present. Nothing was sent.
-    #[error("no class named '{0}'")]
+    /// The settings in force have no class of this name. Nothing was sent.
+    #[error("no class named '{0}' in the settings")]
     UnknownClass(String),
-    /// The object's name can't be forwarded to servers unchanged. Nothing was sent.
-    #[error("an object's name is 1 to 256 visible characters without ',' and '='")]
+    /// The object's name, the entity tag or the idempotency key can't be forwarded to servers unchanged.
+    /// Nothing was sent.
+    #[error(
+        "invalid object name, entity tag or idempotency key: expected 1 to 256 visible ASCII characters \
+        without ',' and '='"
+    )]
     BadName,
     /// The body is larger than servers accept. Nothing was sent.
-    #[error("a body of {len} bytes, {max} at most")]
+    #[error("body is {len} bytes, expected at most {max}")]
     TooLarge {
-        /// Its length in bytes.
+        /// The body's length in bytes.
         len: usize,
-        /// The largest that servers accept, in bytes.
+        /// The longest body that servers accept, in bytes.
         max: usize,
     },
-    /// A body for a class that reads. Nothing was sent.
-    #[error("a body for a class that reads")]
+    /// The request has a body, but its class only reads. Nothing was sent.
+    #[error("request has a body, but its class does not write")]
     UnwantedBody,
-    /// The director has ended or is about to.
-    #[error("the director has ended{}", if *.may_have_run { "; what was asked may have run" } else { "" })]
+    /// The director has ended or is shutting down.
+    #[error("the director has ended{}", if *.may_have_run { "; the request may have run" } else { "" })]
     Stopped {
-        /// Whether the request had been accepted, so that it may have run.
+        /// Whether the request was accepted before the director ended, and so may have run.
         may_have_run: bool,
     },
 }
 
 impl SendError {
-    /// Whether the request may have run. Where not, it can be sent again, whatever its class.
+    /// Returns whether the request may have run. If not, it is safe to send again for any class.
     pub fn may_have_run(&self) -> bool {
         matches!(self, SendError::Stopped { may_have_run: true })
     }
 }
 
-/// The director has ended: the call did not reach it.
+/// The error of a call that did not reach the director because it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the director has ended")]
 pub struct Stopped;
 
-/// How a shutdown went.
+/// The result of a shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Shutdown {
-    /// Requests that were pending when it began.
+    /// Requests that were pending when the shutdown began.
     pub pending: usize,
-    /// Those that were aborted at the deadline; each ends with [`SendError::Stopped`].
+    /// Requests aborted at the deadline. Each returns [`SendError::Stopped`].
     pub aborted: usize,
-    /// How long it took.
+    /// Time that the shutdown took.
     pub elapsed: Duration,
 }
--- a/src/director/mod.rs
+++ b/src/director/mod.rs
@@ -1,4 +1,4 @@
-//! The director as a library: a thread of its own and a handle that may go anywhere.
+//! The director as a library: it runs on a separate thread, and a handle to it can be used from any thread.
 //!
 //! ```
 //! use foxhold::director::{Director, CacheRequest};
@@ -7,8 +7,8 @@
 //! # use foxhold::dispatch::{UpstreamRequest, UpstreamResponse};
 //! # use foxhold::upstream::host::{BoxFuture, Exchange, HostTransport};
 //! # use foxhold::{Class, MemberState, CacheStatus, Settings};
-//! # struct Mine;
-//! # impl Exchange for Mine {
+//! # struct ExampleTransport;
+//! # impl Exchange for ExampleTransport {
 //! #     fn exchange(&self, _: &Endpoint, _: UpstreamRequest) -> BoxFuture<AttemptResult> {
 //! #         let status = ResponseStatus::Ok(Representation { etag: None, body: "bytes".into() });
 //! #         let cache_status = CacheStatus::Hit;
@@ -28,10 +28,9 @@
 //! # let cache = Endpoint {
 //! #     name: "c-1".into(), address: "".into(), zone: "edge".into(), kind: "cache".into(),
 //! #     cell: 0, state: MemberState::Running, size: 8.0, started_at: 0 };
-//! let director =
-//! Director::builder(settings)
+//! let director = Director::builder(settings)
 //!     .endpoint_source(StaticEndpoints(vec![cache]))
-//!     .connector(HostTransport::new(Mine))
+//!     .connector(HostTransport::new(ExampleTransport))
 //!     .start()?;
 //! # tokio::runtime::Builder::new_multi_thread().build()?.block_on(async {
 //! let response = director.send(CacheRequest::new("pages", "index.html")).await?;
@@ -61,11 +60,11 @@
 
 /// A command to the director's thread.
 pub(crate) enum Control {
-    /// Shut down.
+    /// Shuts the director down.
     Shutdown {
-        /// Requests that are pending after this time are aborted.
+        /// Requests still pending after this time are aborted.
         deadline: Duration,
-        /// Takes how it went.
+        /// Receives the result.
         reply: oneshot::Sender<Shutdown>,
     },
 }
@@ -73,12 +72,12 @@
 struct Inner {
     dispatcher: Dispatcher,
     is_shutting_down: AtomicBool,
-    /// Dropped with the last handle, which ends the thread.
+    /// The director's thread ends when the last handle drops this sender.
     control: mpsc::UnboundedSender<Control>,
 }
 
-/// A handle to a running director. Any clone may be used from any thread and any runtime; the last one
-/// dropped ends the director's thread and closes all its connections.
+/// A handle to a running director. Clones may be used from any thread and any runtime. Dropping the last one
+/// ends the director's thread and closes all its connections.
 #[derive(Clone)]
 pub struct Director(Arc<Inner>);
 
@@ -89,13 +88,13 @@
 }
 
 impl Director {
-    /// A builder of a director with these settings.
+    /// Creates a builder with these settings.
     pub fn builder(settings: Settings) -> Builder {
         Builder::new(settings)
     }
 
-    /// A director as the platform's configuration file describes it: settings, discovery service, seed and
-    /// connections.
+    /// Creates a builder from the platform's configuration file, with its settings, discovery service, seed
+    /// and connections.
     pub fn from_file(path: impl AsRef<std::path::Path>) -> Result<Builder, BuildError> {
         Ok(Builder::from_config(PlatformConfig::read(path.as_ref())?))
     }
@@ -104,14 +103,14 @@
         Director(Arc::new(Inner { dispatcher, is_shutting_down: AtomicBool::new(false), control }))
     }
 
-    /// Sends a request. Dropping the future cancels it: nothing new is sent for it. The future holds a handle
-    /// of its own.
+    /// Sends a request. Dropping the future cancels it: no further attempts are sent for it. The future holds
+    /// its own handle to the director.
     pub fn send(
         &self,
         request: CacheRequest,
     ) -> impl Future<Output = Result<ClientResponse, SendError>> + Send + 'static {
         let director = self.clone();
-        // Submitted now, not at the first poll: requests keep the order in which they were sent.
+        // Submitted here rather than at the first poll, so that requests keep the order of the calls.
         let pending = match self.is_stopped() {
             true => Err(SendError::Stopped { may_have_run: false }),
             false => request
@@ -132,53 +131,53 @@
         }
     }
 
-    /// Updates the endpoint list: all of it, or the entries that changed. A drain is in force within 1 s of
-    /// this call's return.
+    /// Replaces the endpoint list if `full`, else updates the given entries. A drain takes effect at most 1 s
+    /// after this call returns.
     pub async fn members(&self, full: bool, members: Vec<Endpoint>) -> Result<(), Stopped> {
         self.send_message(DispatcherMessage::Members { full, members }).await
     }
 
-    /// Purges one object, or else all of a group, as of this Unix time in microseconds. From 1 s after this
-    /// call's return nothing is served from an older copy.
+    /// Purges one object, or all objects of `group` if `object` is `None`, as of the Unix time `at` in
+    /// microseconds. From 1 s after this call returns, no older copy is served.
     pub async fn purge(&self, object: Option<Arc<str>>, group: u32, at: Micros) -> Result<(), Stopped> {
         self.send_message(DispatcherMessage::Purged { object, group, at, retention: 0 }).await
     }
 
-    /// Drains a server, whatever its source says, until another process runs under its name; returns whether
-    /// it is listed. No new request is sent there and no fill names it as its source, from 1 s after the call
-    /// at the latest.
+    /// Sets a drain override for a server: it drains regardless of the state that its source reports, until
+    /// another process runs under its name. At most 1 s after the call, no new request is sent to it and no
+    /// fill uses it as fill source. Returns whether the server is listed.
     pub async fn drain(&self, name: &str) -> Result<bool, Stopped> {
         self.0.dispatcher.drain(name, DrainCommand::Drain).await.ok_or(Stopped)
     }
 
-    /// Ends a drain; returns whether the server is listed.
+    /// Removes a server's drain override. Returns whether the server is listed.
     pub async fn undrain(&self, name: &str) -> Result<bool, Stopped> {
         self.0.dispatcher.drain(name, DrainCommand::Undrain).await.ok_or(Stopped)
     }
 
-    /// Puts other settings in force, for requests to come; pending ones keep theirs. Zones and kinds stay as
-    /// they were.
+    /// Replaces the settings for new requests; pending ones keep theirs. Changes to zones and kinds are
+    /// ignored.
     pub async fn reload(&self, settings: Settings) -> Result<(), Stopped> {
         self.send_message(DispatcherMessage::Settings(Box::new(settings))).await
     }
 
-    /// The metrics at this moment.
+    /// Returns the current metrics.
     pub async fn metrics(&self) -> Result<DispatcherMetrics, Stopped> {
         self.0.dispatcher.metrics().await.ok_or(Stopped)
     }
 
-    /// The settings at this moment.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Arc<Settings> {
         self.0.dispatcher.settings()
     }
 
-    /// The handle by which frontends and middleware submit requests.
+    /// Returns the handle by which frontends and middleware submit requests.
     pub fn dispatcher(&self) -> Dispatcher {
         self.0.dispatcher.clone()
     }
 
-    /// Accepts no more requests, waits for those that are pending, and ends the thread at the deadline at the
-    /// latest. Every handle gives [`SendError::Stopped`] from the call on.
+    /// Stops accepting requests, waits for pending ones until `deadline` has passed, and ends the director's
+    /// thread. From the call on, every handle returns [`SendError::Stopped`].
     pub async fn shutdown(&self, deadline: Duration) -> Result<Shutdown, Stopped> {
         self.0.is_shutting_down.store(true, Ordering::Release);
         let (reply, done) = oneshot::channel();
--- a/src/middleware/budget.rs
+++ b/src/middleware/budget.rs
@@ -1,9 +1,9 @@
-//! How many bytes of request bodies are reserved at a time: a count without clock or I/O.
+//! A limit on the bytes of request bodies held at a time. It uses no clock and no I/O.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Bytes that the bodies of all requests together may occupy. A clone is the same budget.
+/// A byte budget for the bodies of all requests together. Clones share the budget.
 #[derive(Clone, Debug)]
 pub struct BodyBudget(Arc<Inner>);
 
@@ -13,9 +13,9 @@
     reserved: AtomicUsize,
 }
 
-/// There is no capacity for so many bytes now. Nothing was reserved.
+/// The budget has fewer bytes available than requested. Nothing was reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{requested} bytes wanted, {available} of the budget free")]
+#[error("body budget exhausted: {requested} bytes requested, {available} available")]
 pub struct BudgetExhausted {
     /// Bytes requested.
     pub requested: usize,
@@ -23,7 +23,7 @@
     pub available: usize,
 }
 
-/// Bytes reserved of the budget, given back when this is dropped.
+/// Bytes reserved from a [`BodyBudget`], released on drop.
 #[derive(Debug)]
 pub struct Reservation {
     budget: Arc<Inner>,
@@ -31,12 +31,12 @@
 }
 
 impl BodyBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `capacity` bytes.
     pub fn new(capacity: usize) -> Self {
         BodyBudget(Arc::new(Inner { capacity, reserved: AtomicUsize::new(0) }))
     }
 
-    /// Reserves bytes at once, or none. A request larger than the whole budget never fits.
+    /// Reserves all of `bytes` or none, without waiting. More than the budget's capacity always fails.
     pub fn reserve(&self, bytes: usize) -> Result<Reservation, BudgetExhausted> {
         let capacity = self.0.capacity;
         let fits = |reserved: usize| reserved.checked_add(bytes).filter(|sum| *sum <= capacity);
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Bytes reserved now.
+    /// Returns the number of bytes currently reserved.
     pub fn reserved(&self) -> usize {
         self.0.reserved.load(Ordering::Acquire)
     }
 }
 
 impl Reservation {
-    /// Gives back what is reserved beyond so many bytes.
+    /// Releases all but `bytes` of the reservation.
     pub fn shrink(&mut self, bytes: usize) {
         let surplus = self.bytes.saturating_sub(bytes);
         self.bytes -= surplus;
--- a/src/middleware/director.rs
+++ b/src/middleware/director.rs
@@ -1,4 +1,4 @@
-//! The tower service and layer that serve requests by way of the director.
+//! The tower service and layer that serve requests through the director.
 
 use super::handler::RequestHandler;
 use super::{BodyBudget, Routes};
@@ -15,8 +15,8 @@
 use tokio_util::sync::PollSemaphore;
 use tower::{Layer, Service};
 
-/// The dispatcher to which requests are submitted. Of a [`Director`] it keeps a handle, so that it lives as
-/// long as the middleware does.
+/// The dispatcher that requests are submitted to. If created from a [`Director`], it keeps a handle to it, so
+/// that the director runs as long as the middleware exists.
 #[derive(Clone, Debug)]
 pub struct DirectorHandle {
     pub(super) dispatcher: Dispatcher,
@@ -35,9 +35,10 @@
     }
 }
 
-/// Serves every request by way of the director, as `/CLASS/OBJECT` or by its routes.
+/// Serves every request through the director. The path is `/CLASS/OBJECT`, or is matched against the routes.
 ///
-/// It is ready while it may have one more request pending; each call takes the slot that readiness reserved.
+/// The service is ready while the limit allows one more pending request. `poll_ready` reserves a slot, and
+/// `call` uses it.
 #[derive(Debug)]
 pub struct DirectorService {
     handler: Arc<RequestHandler>,
@@ -47,18 +48,18 @@
 
 impl Clone for DirectorService {
     fn clone(&self) -> Self {
-        // A slot that was reserved for one is not reserved for its clone.
+        // A reserved slot belongs to one service and is not cloned.
         DirectorService { handler: self.handler.clone(), slots: self.slots.clone(), reserved_slot: None }
     }
 }
 
 impl DirectorService {
-    /// A service that counts outcomes here, within the default limits.
+    /// Creates a service with the default limits, which counts outcomes in `counts`.
     pub fn new(handle: impl Into<DirectorHandle>, counts: Arc<OutcomeCounters>) -> Self {
         Self::with(handle, counts, None, &LibrarySection::default())
     }
 
-    /// The same by routes and within the limits of the operator's file.
+    /// Creates a service with routes and with limits from the operator's file.
     pub fn with(
         handle: impl Into<DirectorHandle>,
         counts: Arc<OutcomeCounters>,
@@ -94,19 +95,18 @@
     fn call(&mut self, request: Request<B>) -> Self::Future {
         let handler = self.handler.clone();
         let target = handler.target(request.uri());
-        // Called without a check of readiness: a slot may be free all the same.
+        // Without a preceding `poll_ready` no slot is reserved, but one may be free.
         let slot = self.reserved_slot.take().or_else(|| handler.try_acquire_slot());
         Box::pin(async move { Ok(handler.serve(request, target, slot).await) })
     }
 }
 
-/// Serves the requests that match its routes by way of the director, and hands all others to the inner
-/// service.
+/// Serves requests that match its routes through the director, and passes all others to the inner service.
 #[derive(Clone, Debug)]
 pub struct DirectorLayer(Arc<RequestHandler>);
 
 impl DirectorLayer {
-    /// A layer for these routes, within the limits of the operator's file.
+    /// Creates a layer with these routes and with limits from the operator's file.
     pub fn new(
         handle: impl Into<DirectorHandle>,
         counts: Arc<OutcomeCounters>,
@@ -125,8 +125,9 @@
     }
 }
 
-/// A service behind a [`DirectorLayer`]. It is ready when the inner one is: which of the two a request is for
-/// shows only when it comes, so a director without capacity answers 503 instead of holding up other requests.
+/// The service that a [`DirectorLayer`] creates. It is ready when the inner service is, because only the
+/// request shows which of the two it is for. A director without capacity responds with 503, so that it does
+/// not block requests for the inner service.
 #[derive(Clone, Debug)]
 pub struct RoutedService<S> {
     handler: Arc<RequestHandler>,
@@ -161,8 +162,8 @@
     }
 }
 
-/// The grant that [`SignedLayer`](super::SignedLayer) left; without it a handler is not called, and the
-/// client gets a 403.
+/// Extracts the grant that [`SignedLayer`](super::SignedLayer) added to the request. Without one the handler
+/// is not called, and the client gets status 403.
 #[cfg(feature = "axum")]
 impl<S: Sync> axum_core::extract::FromRequestParts<S> for Grant {
     type Rejection = http::StatusCode;
--- a/src/middleware/handler.rs
+++ b/src/middleware/handler.rs
@@ -1,4 +1,4 @@
-//! The handler of one HTTP request: from its target and body to the director's response.
+//! Handling of one HTTP request: from its target and body to the director's response.
 
 use super::{empty_response, single_header, to_response, BodyBudget, DirectorHandle, Routes};
 use crate::dispatch::{
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// When a client that found no capacity should come back.
+/// `Retry-After` of a request rejected for lack of capacity.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Handles requests by way of the director, within limits on their number and on the bytes of their bodies.
+/// Handles requests through the director, with limits on their number and on the bytes of their bodies.
 #[derive(Debug)]
 pub(super) struct RequestHandler {
     pub(super) handle: DirectorHandle,
@@ -27,7 +27,7 @@
 }
 
 impl RequestHandler {
-    /// What is requested of the director, as `/CLASS/OBJECT` with the query; none: no route matches.
+    /// Returns the target for the director, `/CLASS/OBJECT` with the query, or `None` if no route matches.
     pub(super) fn target(&self, uri: &Uri) -> Option<String> {
         let Some(routes) = &self.routes else {
             return Some(uri.path_and_query().map_or("/", |p| p.as_str()).to_owned());
@@ -37,12 +37,12 @@
         Some(format!("/{class}/{object}{query}"))
     }
 
-    /// A slot for a pending request, where one is free.
+    /// Acquires a slot for a pending request, or returns `None` if none is free.
     pub(super) fn try_acquire_slot(&self) -> Option<OwnedSemaphorePermit> {
         self.slots.clone().try_acquire_owned().ok()
     }
 
-    /// Serves one request. Dropping the future cancels it, wherever it is.
+    /// Serves one request. Dropping the future cancels the request at any stage.
     pub(super) async fn serve<B, R>(
         &self,
         request: Request<B>,
@@ -81,7 +81,7 @@
         target: Option<String>,
     ) -> Result<ClientRequest, InvalidRequest> {
         let target = target.ok_or(InvalidRequest { status: 404, allowed_method: None })?;
-        // Without the layer that checks credentials nothing expires.
+        // Without the signed layer there is no grant, and the request has no expiry.
         let expires_at = parts.extensions.get::<Grant>().and_then(|grant| grant.expires_at);
         let grant = Grant { target, expires_at };
         let etag = single_header(&parts.headers, &IF_NONE_MATCH).map(bare_tag);
@@ -111,7 +111,7 @@
     }
 }
 
-/// The largest that a body can turn out to be, in bytes; one of unknown length may be as large as any.
+/// Returns the bytes to reserve for a body: its maximum length if known, otherwise [`MAX_WRITE_BYTES`].
 fn max_body_bytes(body: &impl http_body::Body) -> usize {
     body.size_hint().upper().map_or(MAX_WRITE_BYTES, |bytes| bytes.min(MAX_WRITE_BYTES as u64) as usize)
 }
--- a/src/middleware/mod.rs
+++ b/src/middleware/mod.rs
@@ -1,22 +1,24 @@
-//! Middleware for tower and axum: checks signed URLs and tokens, and serves by way of the director.
+//! Middleware for tower and axum that verifies signed URLs and tokens, and serves requests through the
+//! director.
 //!
-//! | type | does |
+//! | type | job |
 //! | --- | --- |
-//! | [`SignedLayer`] | answers 403 to an invalid credential, else strips it and hands the request on |
-//! | [`DirectorLayer`] | serves what matches its [`Routes`], and hands all else to the inner service |
-//! | [`DirectorService`] | serves every request by way of the director |
+//! | [`SignedLayer`] | strips valid credentials and passes the request on; responds 403 to invalid ones |
+//! | [`DirectorLayer`] | serves requests that match its [`Routes`], and passes others to the inner service |
+//! | [`DirectorService`] | serves every request through the director |
 //!
-//! A request that passes the first has a [`Grant`](crate::signed::Grant) among its extensions, with the
-//! feature `axum` an extractor. All keep the rules of the daemon's frontends.
+//! [`SignedLayer`] adds a [`Grant`](crate::signed::Grant) to the extensions of each request that it passes
+//! on. With the feature `axum`, the grant is also an extractor. All three follow the rules of the daemon's
+//! frontends.
 //!
-//! A request is cancelled when its future is dropped. A server that may be late to do so, such as one that
-//! does not look while bytes of a next request are unread, leaves a
-//! [`ClientHandle`](crate::dispatch::ClientHandle) among the request's extensions: the client is looked at
-//! before anything is sent for it.
+//! A request is cancelled when its future is dropped. Some servers drop it late, for example one that does
+//! not check the connection while bytes of a next request are unread. Such a server should add a
+//! [`ClientHandle`](crate::dispatch::ClientHandle) to the request's extensions: the director then checks
+//! whether the client has disconnected before it sends anything for the request.
 //!
 //! A body is read completely before it is forwarded, up to
-//! [`MAX_WRITE_BYTES`](crate::dispatch::MAX_WRITE_BYTES), within a [`BodyBudget`] in bytes for all requests
-//! together. A request that finds no capacity is answered 503 with `Retry-After`, at once.
+//! [`MAX_WRITE_BYTES`](crate::dispatch::MAX_WRITE_BYTES) and within a [`BodyBudget`] shared by all requests.
+//! Without capacity, a request gets status 503 with `Retry-After` immediately.
 
 mod budget;
 mod director;
@@ -34,7 +36,7 @@
 use http::header::{CACHE_CONTROL, CONTENT_TYPE, ETAG, RETRY_AFTER};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
 
-/// The value of a header that is there exactly once.
+/// Returns the value of a header, or `None` unless it occurs exactly once and is visible ASCII.
 fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?.to_str().ok()?;
@@ -47,7 +49,7 @@
     response
 }
 
-/// Counts an outcome and puts it into a response.
+/// Counts an outcome and converts it to a response.
 fn to_response<R: From<Bytes>>(counts: &OutcomeCounters, outcome: HttpOutcome) -> Response<R> {
     counts.increment(outcome.outcome);
     let mut response = empty_response(outcome.status);
--- a/src/middleware/routes.rs
+++ b/src/middleware/routes.rs
@@ -1,36 +1,36 @@
-//! Routes: from the prefix of a path to the class of the objects below it.
+//! Routes that map path prefixes to classes.
 
 use serde::Deserialize;
 
-/// A prefix of paths and the class of the objects below it.
+/// A path prefix and the class of the objects below it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// As in `/media/videos`; the rest of the path names the object.
+    /// The path prefix, for example `/media/videos`. The rest of the path is the object's name.
     pub prefix: String,
     /// The class's name in the settings.
     pub class: String,
 }
 
-/// Why routes are invalid.
+/// An error in a list of routes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RoutesError {
-    /// A prefix that no path begins with, or that leaves open where the object's name begins.
+    /// A prefix that no path can begin with, or after which the start of the object's name is ambiguous.
     #[error(
-        "route '{0}': a prefix begins with '/', does not end with it, and has no '?', '#' or empty segment"
+        "route '{0}': expected a prefix with a leading '/', no trailing '/', and no '?', '#' or empty segment"
     )]
     InvalidPrefix(String),
-    /// Two routes for one prefix.
-    #[error("route '{0}': there twice")]
+    /// Two routes have the same prefix.
+    #[error("route '{0}': duplicate prefix")]
     DuplicatePrefix(String),
 }
 
-/// The director's routes; the longest matching prefix decides.
+/// The director's routes. If several match a path, the one with the longest prefix applies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Routes(Vec<Route>);
 
 impl Routes {
-    /// Routes from a list in any order.
+    /// Creates routes from a list in any order. Returns an error if a prefix is invalid or occurs twice.
     pub fn new(mut routes: Vec<Route>) -> Result<Routes, RoutesError> {
         if let Some(route) = routes.iter().find(|route| !is_valid_prefix(&route.prefix)) {
             return Err(RoutesError::InvalidPrefix(route.prefix.clone()));
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The class and the object's name in a path; none: no route matches.
+    /// Returns the class and the object's name for a path, or `None` if no route matches.
     pub fn find<'a>(&self, path: &'a str) -> Option<(&str, &'a str)> {
         self.0.iter().find_map(|route| {
             let object = path.strip_prefix(route.prefix.as_str())?.strip_prefix('/')?;
--- a/src/middleware/signed.rs
+++ b/src/middleware/signed.rs
@@ -1,4 +1,4 @@
-//! The tower layer that checks signed URLs and tokens before a service.
+//! The tower layer that verifies signed URLs and tokens before the inner service is called.
 
 use super::{single_header, to_response};
 use crate::dispatch::Clock;
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll};
 use tower::{Layer, Service};
 
-/// Checks the credential of each request before the service that it wraps.
+/// Verifies the credential of each request before it calls the inner service.
 #[derive(Clone, Debug)]
 pub struct SignedLayer {
     keys: Arc<KeySet>,
@@ -21,7 +21,8 @@
 }
 
 impl SignedLayer {
-    /// A layer that checks with these keys by this clock, and counts the requests that it denies.
+    /// Creates a layer that verifies credentials with `keys` at the time of `clock`, and counts denied
+    /// requests in `counts`.
     pub fn new(keys: Arc<KeySet>, clock: Clock, counts: Arc<OutcomeCounters>) -> Self {
         SignedLayer { keys, clock, counts }
     }
@@ -35,7 +36,7 @@
     }
 }
 
-/// A service behind a [`SignedLayer`].
+/// The service that a [`SignedLayer`] creates.
 #[derive(Clone, Debug)]
 pub struct SignedService<S> {
     layer: SignedLayer,
@@ -79,7 +80,8 @@
     }
 }
 
-/// The host that the request was sent to: HTTP/2 has it in the URI, HTTP/1 in a single `Host` header.
+/// Returns the host that the request was sent to: with HTTP/2 it is in the URI, with HTTP/1 in the `Host`
+/// header, which must occur exactly once.
 fn authority<B>(request: &Request<B>) -> Result<&str, CredentialError> {
     if let Some(authority) = request.uri().authority() {
         return Ok(authority.as_str());
