--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Client of the discovery service: keeps one watch connection up and reports its events.
+//! Client of the discovery service. It keeps a watch connection open and sends the events to the dispatcher.
 
 use super::codec::{self, WatchLine, WatchLineError};
 use super::event::{Subscriber, WatchEvent, WatchScope};
@@ -15,38 +15,39 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// The service sends a heartbeat at least once a second; a connection without a byte for this long is dead.
+/// Longest time without a byte before a connection is closed. The service sends a heartbeat at least once a
+/// second.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Limit on the time to connect. Together with [`MAX_RECONNECT_DELAY`] it is well under the second within
-/// which a service that returns has to be followed again, even if its machine did not answer at all.
+/// Limit on the time to connect. A service that is available again has to be watched within a second, even if
+/// its machine did not answer before. The sum of this limit and [`MAX_RECONNECT_DELAY`] is below that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Delay before the first reconnect; it doubles with each failure up to [`MAX_RECONNECT_DELAY`].
+/// Delay before the first reconnect; it doubles with each failure, up to [`MAX_RECONNECT_DELAY`].
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Longest delay before a reconnect.
+/// Maximum delay before a reconnect.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(400);
-/// Bytes that the read buffer holds at first.
+/// Initial capacity of the read buffer.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why a watch connection ended.
+/// The reason for the end of a watch connection.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    #[error("no connection within the time limit")]
+    #[error("no connection within {} ms", CONNECT_TIMEOUT.as_millis())]
     ConnectTimeout,
     #[error("connection lost: {0}")]
     Lost(#[source] io::Error),
     #[error("closed by the service")]
     Closed,
-    #[error("no heartbeat")]
+    #[error("no data within {} ms, expected a heartbeat every second", HEARTBEAT_TIMEOUT.as_millis())]
     HeartbeatMissing,
-    #[error("events up to {revision} were missed")]
-    EventsMissed { revision: u64 },
-    #[error("unreadable line: {0}")]
-    Unreadable(#[from] WatchLineError),
+    #[error("events were missed: heartbeat has revision {reported}, latest event received has {received}")]
+    EventsMissed { reported: u64, received: u64 },
+    #[error("line can't be decoded: {0}")]
+    Undecodable(#[from] WatchLineError),
 }
 
-/// Follows the discovery service for as long as the process runs.
+/// A client that watches the discovery service for as long as the process runs.
 #[derive(Debug)]
 pub struct DiscoveryClient {
     address: watch::Receiver<String>,
@@ -54,11 +55,11 @@
 }
 
 impl DiscoveryClient {
-    /// Reports the events after the service's `revision` to the dispatcher.
+    /// Creates a client that sends the events after `service.revision` to the dispatcher.
     pub fn new(service: DiscoveryService, dispatcher: DispatcherSender) -> Self {
         let events = EventReceiver {
             revision: service.revision,
-            unreadable_after: None,
+            undecodable_after: None,
             heartbeat_received: false,
             event_skipped: false,
             scope: service.scope,
@@ -68,23 +69,23 @@
         DiscoveryClient { address: service.address, events }
     }
 
-    /// Watches the service and reconnects with backoff. A new address is watched at once, from the latest
-    /// event on: the old one reports nothing more. Ends if there is no address and nobody can set one any
-    /// more.
+    /// Watches the service and reconnects with backoff. If the address changes, closes the connection to the
+    /// old one and requests the events after the latest revision from the new one. Returns if there is no
+    /// address and the sender of addresses was dropped.
     pub async fn run(mut self) {
         let mut backoff = Backoff::default();
         loop {
             let address = self.address.borrow_and_update().clone();
             if address.is_empty() {
-                // Nothing to watch until a new configuration names an address.
+                // Wait until a new configuration sets an address.
                 if self.address.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
             let revision_before = self.events.revision;
-            // Cancelling a connection loses no event: its revision is taken only once the dispatcher's queue
-            // has it.
+            // Cancelling a connection loses no event: the revision advances only after the event is in the
+            // dispatcher's queue.
             let error = tokio::select! {
                 error = self.events.watch(&address) => error,
                 Ok(()) = self.address.changed() => {
@@ -99,7 +100,7 @@
                 revision = self.events.revision,
                 "discovery connection ended, reconnecting"
             );
-            // A connection that brought anything, be it only a heartbeat, was a good one.
+            // A connection that delivered an event or just a heartbeat counts as successful.
             if self.events.heartbeat_received || self.events.revision > revision_before {
                 backoff.reset();
             } else {
@@ -133,26 +134,26 @@
         self.delay = (self.delay * 2).min(MAX_RECONNECT_DELAY);
     }
 
-    /// The delay reduced by a random part of up to half, so that hundreds of clients that lose their service
-    /// at once do not all return at once, and none returns later than without the jitter.
+    /// Returns the delay, reduced by a random share of up to half. Hundreds of clients that lose the service
+    /// at the same time then don't reconnect at the same time, and none reconnects later than without jitter.
     fn jittered(&self) -> Duration {
         let random = RandomState::new().build_hasher().finish();
         self.delay.mul_f64(0.5 + 0.5 * unit_interval(random))
     }
 }
 
-/// Receives events and reports each once, over any number of connections.
+/// The state of the watch across connections. Each event is sent to the dispatcher once.
 #[derive(Debug)]
 struct EventReceiver {
-    /// Revision of the latest event that was reported or skipped.
+    /// Revision of the latest event that was received or skipped.
     revision: u64,
-    /// The revision after which a line could not be decoded. The line is requested once more, since it may
-    /// have been damaged on the way; if it can't be decoded then either it is skipped, for otherwise nothing
-    /// after it would ever be received.
-    unreadable_after: Option<u64>,
-    /// Whether the present connection brought a heartbeat.
+    /// The revision after which a line could not be decoded. The line is requested a second time, since it
+    /// may have been damaged in transit. If the second decoding fails too, the line is skipped; otherwise no
+    /// later event would ever be received.
+    undecodable_after: Option<u64>,
+    /// `true` if a heartbeat arrived on the current connection.
     heartbeat_received: bool,
-    /// Whether the present connection skipped an event whose revision is not known yet.
+    /// `true` if an event was skipped on the current connection and its revision is not known yet.
     event_skipped: bool,
     scope: WatchScope,
     dispatcher: DispatcherSender,
@@ -160,7 +161,7 @@
 }
 
 impl EventReceiver {
-    /// Watches over one connection until it ends, and returns the reason.
+    /// Watches the service over one connection and returns the reason for its end.
     async fn watch(&mut self, address: &str) -> WatchError {
         (self.heartbeat_received, self.event_skipped) = (false, false);
         let Err(error) = self.read_lines(address).await;
@@ -189,19 +190,19 @@
                 self.handle_event(event).await;
                 Ok(())
             }
-            Err(error) => self.handle_unreadable(error),
+            Err(error) => self.handle_undecodable(error),
         }
     }
 
     fn handle_heartbeat(&mut self, revision: u64) -> Result<(), WatchError> {
         if std::mem::take(&mut self.event_skipped) {
-            // It is the revision of the skipped event.
+            // The heartbeat gives the revision of the skipped event.
             self.revision = self.revision.max(revision);
             return Ok(());
         }
-        // Events come in order, so a revision ahead of ours means that some were lost on the way.
+        // Events arrive in the order of their revisions, so a higher revision means that events were lost.
         if revision > self.revision {
-            return Err(WatchError::EventsMissed { revision });
+            return Err(WatchError::EventsMissed { reported: revision, received: self.revision });
         }
         self.heartbeat_received = true;
         Ok(())
@@ -214,21 +215,21 @@
         let revision = event.revision;
         self.event_skipped = false;
         if let Some(subscriber) = &self.subscriber {
-            let _ = subscriber.try_send(event.clone()); // full: other directors report it
+            let _ = subscriber.try_send(event.clone()); // queue full: other directors pass the event on
         }
         if let Some(message) = event.into_message(self.scope) {
             self.dispatcher.send(message).await;
         }
-        // Only now: a new address may cancel the wait for the dispatcher's queue.
+        // Set last, because an address change may cancel the wait for the dispatcher's queue.
         self.revision = revision;
     }
 
-    fn handle_unreadable(&mut self, error: WatchLineError) -> Result<(), WatchError> {
-        if self.unreadable_after != Some(self.revision) {
-            self.unreadable_after = Some(self.revision);
+    fn handle_undecodable(&mut self, error: WatchLineError) -> Result<(), WatchError> {
+        if self.undecodable_after != Some(self.revision) {
+            self.undecodable_after = Some(self.revision);
             return Err(error.into());
         }
-        tracing::warn!(reason = %error, revision = self.revision, "unreadable discovery event skipped");
+        tracing::warn!(reason = %error, revision = self.revision, "undecodable discovery event skipped");
         self.event_skipped = true;
         Ok(())
     }
@@ -241,7 +242,8 @@
     }
 }
 
-/// Reads what comes next; an error if that is the end of the stream or comes too late.
+/// Reads more bytes into the buffer. Returns an error at the end of the stream or after
+/// [`HEARTBEAT_TIMEOUT`].
 async fn read_more(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<(), WatchError> {
     match timeout(HEARTBEAT_TIMEOUT, stream.read_buf(buffer)).await {
         Ok(Ok(0)) => Err(WatchError::Closed),
--- a/src/discovery/codec.rs
+++ b/src/discovery/codec.rs
@@ -1,28 +1,29 @@
-//! Codec of the discovery service's watch stream; no other module knows its wire names.
+//! Codec of the discovery service's watch stream. The wire names are used in this module only.
 //!
-//! A client opens a connection, asks with `watch REVISION` for the events after that revision, and then reads
-//! lines: a bare number is a heartbeat, a JSON object is an event.
+//! A client opens a connection and sends `watch REVISION` to request the events after that revision. Then it
+//! reads lines: a number is a heartbeat, a JSON object is an event.
 //!
-//! | wire | here |
+//! | wire field | decoded as |
 //! | --- | --- |
 //! | `rev` | [`WatchEvent::revision`] |
 //! | `pool` | [`WatchChange::Members`] |
-//! | `pool.complete` | its `complete`; absent: false |
+//! | `pool.complete` | its `complete`; default `false` |
 //! | `pool.members[].id` | [`Endpoint::name`] |
 //! | `host_port` | [`Endpoint::address`] |
 //! | `locality` | [`Endpoint::zone`] |
 //! | `flavor` | [`Endpoint::kind`] |
-//! | `cell` | [`Endpoint::cell`]; absent: 0 |
+//! | `cell` | [`Endpoint::cell`]; default 0 |
 //! | `phase`: `in_service`, `terminating`, `terminated` | [`Endpoint::state`]: running, draining, gone |
-//! | `size` | [`Endpoint::size`]; absent: 0 |
-//! | `up_since_ms`, Unix milliseconds | [`Endpoint::started_at`], Unix microseconds; absent: 0 |
+//! | `size` | [`Endpoint::size`]; default 0 |
+//! | `up_since_ms`, Unix milliseconds | [`Endpoint::started_at`], Unix microseconds; default 0 |
 //! | `flush` | [`WatchChange::Purge`] |
 //! | `flush.asset` | its `object` |
 //! | `flush.collection` | its `group` |
 //! | `flush.ms` | its `unix_ms` |
 //! | a line of digits | [`WatchLine::Heartbeat`] |
 //!
-//! An event with neither `pool` nor `flush` is [`WatchChange::Unknown`]; unknown fields are ignored.
+//! An event with neither `pool` nor `flush` is decoded as [`WatchChange::Unknown`]. Unknown fields are
+//! ignored.
 
 use super::event::{WatchChange, WatchEvent};
 use crate::config::settings::json::micros;
@@ -31,58 +32,58 @@
 use bytes::BytesMut;
 use miniserde::{json, Deserialize};
 
-/// Longest line that is read, in bytes: a complete list of thousands of members fits.
+/// Maximum length of a line in bytes. A complete list of thousands of members fits.
 const MAX_LINE_BYTES: usize = 4 << 20;
 
 /// A line of the watch stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchLine {
-    /// The service is alive, and this is the revision of its latest event. Sent every second.
+    /// A heartbeat with the revision of the service's latest event. The service sends one every second.
     Heartbeat(u64),
-    /// An event.
+    /// A change, in a line with a JSON object.
     Event(WatchEvent),
 }
 
-/// A line that can't be decoded.
+/// An error that prevents a line from being decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchLineError {
-    /// It is longer than any event.
-    #[error("a line is too long")]
+    /// No line end within the maximum length of a line.
+    #[error("no line end within {} bytes", MAX_LINE_BYTES)]
     TooLong,
-    /// It is not UTF-8.
-    #[error("not text")]
+    /// The line is not valid UTF-8.
+    #[error("expected UTF-8 text: {0}")]
     NotUtf8(#[source] std::str::Utf8Error),
-    /// The revision of a heartbeat does not fit 64 bits.
-    #[error("a number out of range")]
+    /// The revision of a heartbeat does not fit in 64 bits.
+    #[error("heartbeat: revision does not fit in 64 bits")]
     RevisionOutOfRange(#[source] std::num::ParseIntError),
-    /// It is not JSON of the form of an event.
-    #[error("not an event")]
+    /// The line is not valid JSON, or a field of the event is missing or has the wrong type.
+    #[error("expected a heartbeat, or a JSON object with 'rev' and, if present, a valid 'pool' or 'flush'")]
     NotAnEvent,
-    /// It is an event with content that is not allowed.
+    /// The event has a value that is not allowed.
     #[error(transparent)]
     Event(#[from] EventError),
 }
 
-/// An event with content that is not allowed.
+/// A value in an event that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// A purge names nothing to purge.
-    #[error("event {revision} purges neither an object nor a group")]
+    /// A purge names neither an object nor a group.
+    #[error("event {revision}: expected 'asset' or 'collection' in 'flush', got neither")]
     EmptyPurge {
-        /// The event's revision.
+        /// Revision of the event.
         revision: u64,
     },
-    /// A member is in a state that is not known.
-    #[error("member {name} is in phase '{phase}', which is not known")]
+    /// A member has an unknown phase.
+    #[error("member '{name}': unknown phase '{phase}', expected in_service, terminating or terminated")]
     UnknownPhase {
-        /// The member's name.
+        /// Name of the member.
         name: String,
-        /// The state as the event gives it.
+        /// Value of `phase` in the event.
         phase: String,
     },
 }
 
-/// An event in its wire form.
+/// The wire format of an event.
 #[derive(Deserialize)]
 pub(crate) struct WireEvent {
     rev: u64,
@@ -162,12 +163,13 @@
     }
 }
 
-/// The request for all events after this revision.
+/// Encodes the request for all events after `revision`.
 pub fn encode_watch_request(revision: u64) -> String {
     format!("watch {revision}\n")
 }
 
-/// Removes the next complete line from the buffer and returns it without its line end.
+/// Removes the next line from the buffer and returns it without its line end. Returns `None` if the buffer
+/// holds no complete line.
 pub fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, WatchLineError> {
     match buffer.iter().position(|byte| *byte == b'\n') {
         Some(end) => {
@@ -180,7 +182,7 @@
     }
 }
 
-/// Decodes one line.
+/// Decodes a line of the watch stream, without its line end.
 pub fn decode_line(line: &[u8]) -> Result<WatchLine, WatchLineError> {
     let text = std::str::from_utf8(line).map_err(WatchLineError::NotUtf8)?.trim();
     if !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/src/discovery/event.rs
+++ b/src/discovery/event.rs
@@ -1,57 +1,58 @@
-//! Watch events: the changes of members and the purges that the discovery service reports.
+//! Watch events: member changes and purges that the discovery service reports.
 
 use crate::config::settings::json::micros;
 use crate::dispatch::{DispatcherMessage, Endpoint};
 use tokio::sync::mpsc;
 
-/// A change that the discovery service reports, with its place in the order of all changes.
+/// A change that the discovery service reports, with the revision that orders it among all changes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchEvent {
-    /// Revision of the service's state after this change; each event has a higher one than the event before.
+    /// Revision of the service's state after this change. It increases with every event.
     pub revision: u64,
-    /// What changed.
+    /// Content of the event.
     pub change: WatchChange,
 }
 
-/// What an event reports.
+/// The content of a watch event.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchChange {
-    /// Members that changed, or all of them.
+    /// A change of members, or the complete member list.
     Members {
-        /// Whether `members` is the complete list, which replaces what was known before.
+        /// `true` if `members` is the complete list, which replaces the previous one.
         complete: bool,
-        /// The members.
+        /// The changed members, or all members if `complete`.
         members: Vec<Endpoint>,
     },
     /// A purge of one object or of a group of objects.
     Purge {
-        /// Name of the object; `None` purges the group.
+        /// Name of the object; `None` to purge the whole group.
         object: Option<String>,
-        /// The group.
+        /// Number of the group, which is purged if `object` is `None`; 0 if the event gives none.
         group: u32,
         /// Time of the purge in Unix milliseconds.
         unix_ms: f64,
     },
-    /// A kind of change that this version does not know; only its revision counts.
+    /// A kind of change that this version does not know. Only its revision is used.
     Unknown,
 }
 
-/// Which events reach the dispatcher.
+/// The events that are sent to the dispatcher.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WatchScope {
-    /// Changes of members and purges.
+    /// Member changes and purges.
     #[default]
     MembersAndPurges,
-    /// Purges only: the members come from another source.
+    /// Purges only, because the members come from another source.
     PurgesOnly,
 }
 
-/// A further receiver of all events. An event that finds its queue full is dropped there; the client never
-/// waits for it.
+/// An additional receiver of all events. If its queue is full, the event is dropped: the client never waits
+/// for the receiver.
 pub type Subscriber = Option<mpsc::Sender<WatchEvent>>;
 
 impl WatchEvent {
-    /// The message that reports this event to the dispatcher, if it concerns the dispatcher.
+    /// Returns the dispatcher message for this event, or `None` if the scope excludes the event or its kind
+    /// is unknown.
     pub fn into_message(self, scope: WatchScope) -> Option<DispatcherMessage> {
         match self.change {
             WatchChange::Members { .. } if scope == WatchScope::PurgesOnly => None,
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,11 +1,11 @@
-//! Where the director learns of its endpoints and of purges.
+//! Sources of endpoint lists and of purges.
 //!
-//! | module | holds |
+//! | module | content |
 //! | --- | --- |
-//! | [`client`] | the client of the platform's discovery service |
-//! | [`codec`] | the wire form of its watch stream |
-//! | [`event`] | its events |
-//! | [`xds`] | endpoint lists in xDS form |
+//! | [`client`] | client of the platform's discovery service |
+//! | [`codec`] | wire format of the service's watch stream |
+//! | [`event`] | watch events |
+//! | [`xds`] | endpoint lists in xDS format |
 //! | [`watched_file`] | files that are polled for changes |
 
 pub mod client;
@@ -27,28 +27,30 @@
 /// A future that runs on the director's thread.
 pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// Why an endpoint source can't be opened; one line.
+/// An error that prevents an endpoint source from being opened. Its message is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum SourceError {
-    /// Its file can't be used.
+    /// The source's file can't be read or decoded.
     #[error(transparent)]
     File(#[from] WatchedFileError),
-    /// A reason of a source of the host application's own.
+    /// An error from an endpoint source that the host application implements.
     #[error(transparent)]
     Other(Box<dyn Error + Send + Sync>),
 }
 
-/// A source of endpoints, of purges, or of both. It is opened before the director serves and followed for as
-/// long as the director runs; when its future ends the endpoints stay as they are.
+/// A source of endpoints, of purges, or of both. The director opens it before it serves requests and follows
+/// it until it shuts down. If the future of [`follow`](Self::follow) ends earlier, the endpoints stay as they
+/// are.
 pub trait EndpointSource: Send + 'static {
-    /// What the source knows before the director starts. An error prevents the start.
+    /// Returns the messages that the dispatcher gets before the director starts. An error prevents the start.
     fn initial(&mut self) -> Result<Vec<DispatcherMessage>, SourceError>;
 
-    /// Reports changes to the dispatcher.
+    /// Sends later changes to the dispatcher.
     fn follow(self: Box<Self>, dispatcher: DispatcherSender) -> LocalBoxFuture<()>;
 }
 
-/// Endpoints that the host application lists once at the start. It reports changes by the director's handle.
+/// A list of endpoints that the host application gives at the start. The application reports later changes
+/// through the director's handle.
 #[derive(Debug, Default)]
 pub struct StaticEndpoints(pub Vec<Endpoint>);
 
@@ -65,15 +67,15 @@
 /// The platform's discovery service.
 #[derive(Debug)]
 pub struct DiscoveryService {
-    /// Its present address; a later one takes effect at once. Empty: there is none.
+    /// Current address; a new one takes effect at once. Empty if there is no discovery service.
     pub address: watch::Receiver<String>,
     /// Revision of the latest event in `initial_events`.
     pub revision: u64,
-    /// Events that are known at the start.
+    /// Events known before the first connection. The dispatcher gets them before the director starts.
     pub initial_events: Vec<WatchEvent>,
-    /// Which events reach the dispatcher.
+    /// Selects the events that are sent to the dispatcher.
     pub scope: WatchScope,
-    /// A further receiver of all events.
+    /// Additional receiver, to which all events are sent; `scope` does not apply to it.
     pub subscriber: Subscriber,
 }
 
@@ -88,7 +90,7 @@
     }
 }
 
-/// A file with an endpoint list in xDS form, polled for changes.
+/// A file with an endpoint list in xDS format, polled for changes.
 #[derive(Debug)]
 pub struct XdsFile {
     path: PathBuf,
@@ -96,7 +98,7 @@
 }
 
 impl XdsFile {
-    /// Takes the endpoints from this file.
+    /// Creates a source for the file at `path`. [`initial`](EndpointSource::initial) reads it first.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         XdsFile { path: path.into(), file: None }
     }
@@ -118,7 +120,7 @@
     }
 }
 
-/// Follows an endpoint list in xDS form; each valid version replaces the one before.
+/// Sends each new valid version of an xDS file to the dispatcher as a complete list of endpoints.
 pub async fn follow_file(mut file: WatchedFile, dispatcher: DispatcherSender) {
     loop {
         let update = file.next(xds::parse).await;
--- a/src/discovery/watched_file.rs
+++ b/src/discovery/watched_file.rs
@@ -1,45 +1,46 @@
-//! Files that operators change while the process runs: polled, and a version that can't be used is rejected.
+//! Files that operators change while the process runs. They are polled, and invalid versions are rejected.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a file is read: well within the time in which a drain must take effect.
+/// Interval between two reads of a file, much shorter than the time within which a drain must take effect.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why a file can't be used.
+/// An error that prevents a file from being used.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchedFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {source}", .path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The reason.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// Its content is not valid.
+    /// The content of the file is invalid.
     #[error("{}: {source}", .path.display())]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The reason.
+        /// The error of the file's parser.
         source: Box<dyn Error + Send + Sync>,
     },
 }
 
-/// A file and its version that is in force.
+/// A file that is polled for changes, with its last valid version.
 #[derive(Debug)]
 pub struct WatchedFile {
     path: PathBuf,
     text: String,
-    /// The last reason for which a version was rejected, so that it is logged once.
+    /// Reason of the last rejection. It is logged once, not at every poll.
     last_rejection: Option<String>,
 }
 
 impl WatchedFile {
-    /// Reads the file for the first time; there is no earlier version to fall back on.
+    /// Reads the file for the first time. Returns an error if it is invalid, since there is no earlier
+    /// version to keep.
     pub fn open<T, E>(
         path: PathBuf,
         parse: impl Fn(&str) -> Result<T, E>,
@@ -51,7 +52,7 @@
         Ok((WatchedFile { path, text, last_rejection: None }, content))
     }
 
-    /// Waits for the next valid version. One that is not valid is logged, and the version in force stays.
+    /// Waits for the next valid version. Logs an invalid version and keeps the last valid one.
     pub async fn next<T, E>(&mut self, parse: impl Fn(&str) -> Result<T, E>) -> T
     where
         E: Into<Box<dyn Error + Send + Sync>>,
@@ -73,7 +74,7 @@
     fn reject(&mut self, error: &WatchedFileError) {
         let reason = error.to_string();
         if self.last_rejection.as_ref() != Some(&reason) {
-            tracing::warn!(%reason, "watched file rejected, the version in force stays");
+            tracing::warn!(%reason, "watched file rejected, keeping its last valid version");
             self.last_rejection = Some(reason);
         }
     }
--- a/src/discovery/xds/decode.rs
+++ b/src/discovery/xds/decode.rs
@@ -1,4 +1,5 @@
-//! Decodes a response. Any fault rejects all of it, so that nobody acts on half of a list.
+//! Decodes a response. An error anywhere rejects the whole response, so that the director never uses an
+//! incomplete list.
 
 use super::error::{FieldFault, XdsError};
 use super::message::Message;
@@ -9,10 +10,10 @@
 use miniserde::json::{self, Value};
 use std::collections::{BTreeMap, HashSet};
 
-/// Values of `HealthStatus`, by their number.
+/// Names of the values of Envoy's `HealthStatus` enum, by number.
 const HEALTH_STATUSES: [&str; 6] = ["UNKNOWN", "HEALTHY", "UNHEALTHY", "DRAINING", "TIMEOUT", "DEGRADED"];
 
-/// Decodes a response.
+/// Decodes a `DiscoveryResponse` in JSON.
 pub fn parse(response: &str) -> Result<Update, XdsError> {
     let json: Value = json::from_str(response).map_err(|_| XdsError::NotJson)?;
     let response = Message::new(&json, "response")?;
@@ -29,13 +30,13 @@
 struct Resources<'a> {
     /// The service name of each cluster, by the cluster's name.
     clusters: BTreeMap<&'a str, &'a str>,
-    /// By the name of their cluster or service.
+    /// Load assignments by the name of their cluster or service.
     assignments: BTreeMap<&'a str, LoadAssignment<'a>>,
 }
 
 struct LoadAssignment<'a> {
     message: Message<'a>,
-    /// Whether it stands within its cluster; one beside it takes its place.
+    /// `true` if it is part of its cluster. A separate resource with the same name replaces it.
     inline: bool,
 }
 
@@ -66,14 +67,14 @@
 
     fn add_assignment(&mut self, message: Message<'a>) -> Result<(), XdsError> {
         let name = message.string("cluster_name")?;
-        let before = self.assignments.insert(name, LoadAssignment { message, inline: false });
-        if name.is_empty() || before.is_some_and(|before| !before.inline) {
+        let previous = self.assignments.insert(name, LoadAssignment { message, inline: false });
+        if name.is_empty() || previous.is_some_and(|previous| !previous.inline) {
             return Err(XdsError::LoadAssignmentName { name: name.to_owned() });
         }
         Ok(())
     }
 
-    /// All endpoints, sorted by name.
+    /// Decodes the endpoints of all load assignments and returns them sorted by name.
     fn endpoints(&self) -> Result<Vec<Endpoint>, XdsError> {
         let mut endpoints = Vec::new();
         for (name, assignment) in &self.assignments {
@@ -88,7 +89,8 @@
         Ok(endpoints)
     }
 
-    /// The cluster of a load assignment: that of an EDS cluster goes by its service name, if it has one.
+    /// Returns the cluster name of a load assignment. The load assignment of an EDS cluster is found by the
+    /// cluster's service name, if it has one.
     fn cluster_of(&self, assignment: &'a str) -> &'a str {
         let cluster = self.clusters.iter().find(|(_, service)| **service == assignment);
         cluster.map_or(assignment, |(cluster, _)| *cluster)
@@ -119,7 +121,8 @@
 }
 
 fn decode_endpoint(kind: &str, zone: &str, entry: Message<'_>) -> Result<Endpoint, XdsError> {
-    let endpoint = entry.message("endpoint")?.ok_or(XdsError::Incomplete("an entry without an endpoint"))?;
+    let endpoint =
+        entry.message("endpoint")?.ok_or(XdsError::Incomplete("lb_endpoints: an entry has no 'endpoint'"))?;
     let address = decode_address(endpoint)?;
     let size = match entry.integer("load_balancing_weight")? {
         Some(0) => return Err(XdsError::ZeroWeight { address }),
@@ -146,25 +149,25 @@
     })
 }
 
-/// Host and port of an endpoint, an IPv6 address in brackets.
+/// Returns the host and port of an endpoint, with an IPv6 address in brackets.
 fn decode_address(endpoint: Message<'_>) -> Result<String, XdsError> {
     let address =
-        endpoint.message("address")?.ok_or(XdsError::Incomplete("an endpoint without an address"))?;
+        endpoint.message("address")?.ok_or(XdsError::Incomplete("endpoint: 'address' is missing"))?;
     let socket = address
         .message("socket_address")?
-        .ok_or(XdsError::Incomplete("an address that is not a socket's"))?;
+        .ok_or(XdsError::Incomplete("address: expected a 'socket_address', got none"))?;
     let (host, port) = (socket.string("address")?, socket.integer("port_value")?);
     let port = port
         .filter(|port| (1..=65_535).contains(port))
-        .ok_or(XdsError::Incomplete("an address without a port"))?;
+        .ok_or(XdsError::Incomplete("socket_address: 'port_value' is missing or not within 1 and 65535"))?;
     if host.is_empty() {
-        return Err(XdsError::Incomplete("an address without a host"));
+        return Err(XdsError::Incomplete("socket_address: 'address' is missing or empty"));
     }
     Ok(if host.contains(':') { format!("[{host}]:{port}") } else { format!("{host}:{port}") })
 }
 
-/// The state that a health status stands for: Envoy sends nothing new to an endpoint that is not healthy, and
-/// leaves what is in flight there alone.
+/// Maps a health status to a state. An endpoint that is not healthy drains, as in Envoy: it gets no new
+/// requests, and requests in flight continue.
 fn decode_state(entry: Message<'_>) -> Result<MemberState, XdsError> {
     const FIELD: &str = "health_status";
     let status = match entry.get(FIELD)? {
--- a/src/discovery/xds/encode.rs
+++ b/src/discovery/xds/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes endpoints as a response: for each kind a cluster with its load assignment inline.
+//! Encodes endpoints as a response with one cluster per kind. Each cluster contains its load assignment.
 
 use super::{Update, CLUSTER_TYPE, METADATA_KEY};
 use crate::dispatch::Endpoint;
@@ -6,10 +6,10 @@
 use miniserde::json::{self, Array, Number, Value};
 use std::collections::BTreeMap;
 
-/// Entries of the endpoints of one kind, by zone.
+/// Encoded endpoints of one kind, by zone.
 type Zones<'a> = BTreeMap<&'a str, Array>;
 
-/// Encodes an update.
+/// Encodes an update as a `DiscoveryResponse` in JSON. Endpoints in the state `Gone` are left out.
 pub fn format(update: &Update) -> String {
     let mut kinds: BTreeMap<&str, Zones> = BTreeMap::new();
     for endpoint in update.members.iter().filter(|endpoint| endpoint.state != MemberState::Gone) {
@@ -52,7 +52,7 @@
     message([
         ("endpoint", message([("address", message([("socket_address", socket)]))])),
         ("health_status", string(status)),
-        // Envoy has integer weights from 1 on.
+        // Envoy accepts integer weights of at least 1.
         ("load_balancing_weight", integer(endpoint.size.round().max(1.0) as u64)),
         ("metadata", message([("filter_metadata", message([(METADATA_KEY, metadata)]))])),
     ])
--- a/src/discovery/xds/error.rs
+++ b/src/discovery/xds/error.rs
@@ -1,70 +1,72 @@
-//! Faults of an xDS response, each with the place at which it was found.
+//! Errors of the xDS decoder, each with the field or resource that is invalid.
 
-/// Why a response is rejected.
+/// The reason why a response is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum XdsError {
-    /// It is not JSON.
-    #[error("not JSON")]
+    /// The text can't be parsed as JSON.
+    #[error("expected a DiscoveryResponse, but the text is not valid JSON")]
     NotJson,
-    /// A field has a value that it can't have.
+    /// A field has an invalid value.
     #[error("{field}: {fault}")]
     Field {
         /// Name of the field.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with its value.
         fault: FieldFault,
     },
-    /// A wrapper of a resource holds none.
-    #[error("resources: a wrapper without a resource")]
+    /// An entry of type `Resource` does not contain a resource.
+    #[error("resources: an entry of type Resource has no 'resource'")]
     EmptyResource,
     /// A resource has no type.
-    #[error("resources: one without '@type'")]
+    #[error(
+        "resources: an entry has no '@type', expected the type URL of a Cluster or ClusterLoadAssignment"
+    )]
     UntypedResource,
-    /// A resource is of a type that is not known.
-    #[error("resources: '{type_url}' is neither a cluster nor endpoints")]
+    /// A resource has an unknown type.
+    #[error("resources: unknown type '{type_url}', expected a Cluster or ClusterLoadAssignment")]
     UnknownResource {
-        /// The type.
+        /// Type URL of the resource.
         type_url: String,
     },
-    /// A cluster's name is empty or taken.
-    #[error("cluster '{name}': without a name of its own")]
+    /// The name of a cluster is empty or not unique.
+    #[error("cluster '{name}': the name is empty or used by another cluster")]
     ClusterName {
-        /// The name.
+        /// Name of the cluster.
         name: String,
     },
-    /// The name of a load assignment's cluster is empty or taken.
-    #[error("load assignment '{name}': without a name of its own")]
+    /// The cluster name of a load assignment is empty or not unique.
+    #[error("load assignment '{name}': 'cluster_name' is empty or used by another load assignment")]
     LoadAssignmentName {
-        /// The name.
+        /// Value of `cluster_name`.
         name: String,
     },
-    /// An endpoint of a load assignment has a fault.
+    /// An endpoint of a load assignment is invalid.
     #[error("load assignment '{name}': {source}")]
     LoadAssignment {
-        /// Name of its cluster.
+        /// Value of `cluster_name`.
         name: String,
-        /// The fault.
+        /// The error in the endpoint.
         source: Box<XdsError>,
     },
-    /// A part of an endpoint's entry is missing.
+    /// A required field of an endpoint is missing or empty.
     #[error("{0}")]
     Incomplete(&'static str),
     /// An endpoint has a weight of 0.
-    #[error("endpoint {address}: a weight of 0")]
+    #[error("endpoint {address}: load_balancing_weight is 0, expected at least 1")]
     ZeroWeight {
-        /// The endpoint's address.
+        /// Address of the endpoint.
         address: String,
     },
-    /// An endpoint's name has characters that the line protocol can't carry.
-    #[error("endpoint {address}: its name can't be passed on")]
+    /// The name of an endpoint can't be sent in the line protocol.
+    #[error("endpoint {address}: expected a name of 1 to 256 visible ASCII characters without ',' and '='")]
     InvalidName {
-        /// The endpoint's address.
+        /// Address of the endpoint.
         address: String,
     },
     /// Two endpoints have the same name.
-    #[error("endpoint '{name}': there twice")]
+    #[error("endpoint '{name}': the name is used by more than one endpoint")]
     DuplicateEndpoint {
-        /// The name.
+        /// Name that both endpoints have.
         name: String,
     },
 }
@@ -73,26 +75,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs, reason = "the fields are the parts of the messages")]
 pub enum FieldFault {
-    #[error("not an object")]
+    #[error("expected an object")]
     NotAnObject,
-    #[error("not a list")]
+    #[error("expected a list")]
     NotAList,
-    #[error("not a text")]
+    #[error("expected a string")]
     NotAText,
-    #[error("not a whole number")]
+    #[error("expected a whole number within 0 and 4294967295")]
     NotAnInteger,
-    #[error("not a number")]
+    #[error("expected a number")]
     NotANumber,
-    #[error("there in both spellings")]
+    #[error("given in both snake_case and lowerCamelCase")]
     BothSpellings,
-    #[error("not one that is known")]
+    #[error("expected a name or a number from 0 to 5")]
     NotAnEnumValue,
-    #[error("'{0}' is not known")]
+    #[error("unknown value '{0}'")]
     UnknownName(String),
 }
 
 impl FieldFault {
-    /// The error that names the field.
+    /// Returns the error for a field with this fault.
     pub(super) fn in_field(self, field: &str) -> XdsError {
         XdsError::Field { field: field.to_owned(), fault: self }
     }
--- a/src/discovery/xds/message.rs
+++ b/src/discovery/xds/message.rs
@@ -9,7 +9,7 @@
 pub(super) struct Message<'a>(&'a Object);
 
 impl<'a> Message<'a> {
-    /// Views a JSON value as a message; `field` names its place.
+    /// Returns the JSON value as a message. `field` is the name that the error gives if it is no object.
     pub(super) fn new(value: &'a Value, field: &str) -> Result<Self, XdsError> {
         match value {
             Value::Object(object) => Ok(Message(object)),
@@ -17,12 +17,13 @@
         }
     }
 
-    /// The type of a resource.
+    /// Returns the type URL of a resource (`@type`), or `None` if it is missing or not a string.
     pub(super) fn type_url(self) -> Option<&'a str> {
         self.0.get("@type").and_then(text)
     }
 
-    /// A field in snake_case or lowerCamelCase. Null counts as absent; both spellings at once are a fault.
+    /// Returns a field by its name in snake_case or lowerCamelCase. Null counts as absent. Returns an error
+    /// if both spellings are present.
     pub(super) fn get(self, name: &str) -> Result<Option<&'a Value>, XdsError> {
         let camel_name = lower_camel_case(name);
         let snake = self.0.get(name);
@@ -33,12 +34,12 @@
         Ok(snake.or(camel).filter(|value| !matches!(value, Value::Null)))
     }
 
-    /// A field that is a message.
+    /// Returns a field that is a message.
     pub(super) fn message(self, name: &str) -> Result<Option<Message<'a>>, XdsError> {
         self.get(name)?.map(|value| Message::new(value, name)).transpose()
     }
 
-    /// A repeated field; absent: empty.
+    /// Returns a repeated field, which is empty if absent.
     pub(super) fn list(self, name: &str) -> Result<&'a [Value], XdsError> {
         match self.get(name)? {
             None => Ok(&[]),
@@ -47,13 +48,13 @@
         }
     }
 
-    /// A string; absent: empty.
+    /// Returns a string field, which is empty if absent.
     pub(super) fn string(self, name: &str) -> Result<&'a str, XdsError> {
         let string = |value| text(value).ok_or_else(|| FieldFault::NotAText.in_field(name));
         self.get(name)?.map_or(Ok(""), string)
     }
 
-    /// An unsigned integer, which proto3 JSON may also write as a string.
+    /// Returns a field of type `uint32`, which proto3 JSON allows as a number or as a string.
     pub(super) fn integer(self, name: &str) -> Result<Option<u32>, XdsError> {
         let Some(value) = self.get(name)? else { return Ok(None) };
         let number = real(value).or_else(|| text(value).and_then(|text| text.parse().ok()));
@@ -62,7 +63,7 @@
         Ok(Some(integer as u32))
     }
 
-    /// A number; absent: 0.
+    /// Returns a number field, which is 0 if absent.
     pub(super) fn number(self, name: &str) -> Result<f64, XdsError> {
         let number = |value| real(value).ok_or_else(|| FieldFault::NotANumber.in_field(name));
         self.get(name)?.map_or(Ok(0.0), number)
