--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,10 +1,10 @@
-//! Configuration: the platform's file with its settings, and the operator's own file.
+//! Configuration: the platform's configuration file, which contains the settings, and the operator's file.
 //!
-//! | module | holds |
+//! | module | content |
 //! | --- | --- |
-//! | [`settings`] | the settings of a router and of its connections |
-//! | [`operator`] | the operator's own file |
-//! | [`platform`] | the file that the platform writes for a director |
+//! | [`settings`] | settings of a router and of its connections to servers |
+//! | [`operator`] | the operator's file |
+//! | [`platform`] | the configuration file that the platform writes for a director |
 
 pub mod operator;
 pub mod platform;
--- a/src/config/operator/codec.rs
+++ b/src/config/operator/codec.rs
@@ -1,8 +1,9 @@
-//! Codec of the operator's file; its keys are known here and in [`peers_codec`](super::peers_codec) only.
+//! Codec of the operator's file. Its keys are used only in this module and in
+//! [`peers_codec`](super::peers_codec).
 //!
-//! | key | here |
+//! | key | decoded as |
 //! | --- | --- |
-//! | `signed.listen`; empty: off | [`SignedSection::listen`] |
+//! | `signed.listen`; empty turns the frontend off | [`SignedSection::listen`] |
 //! | `signed.metrics` | [`SignedSection::metrics_listen`] |
 //! | `signed.keys` | [`SignedSection::keys_file`] |
 //! | `members.xds` | [`OperatorConfig::xds_file`] |
@@ -10,7 +11,7 @@
 //! | `library.body_budget_kb` | [`LibrarySection::body_budget_kb`] |
 //! | `library.open` | [`LibrarySection::max_open_requests`] |
 //! | `log.level`, `log.form` | [`LogSection`] |
-//! | `peers` | [`PeersSection`](super::PeersSection), by [`peers_codec`](super::peers_codec) |
+//! | `peers` | [`PeersSection`](super::PeersSection), decoded by [`peers_codec`](super::peers_codec) |
 
 use super::error::{Location, OperatorParseError};
 use super::peers_codec::WirePeers;
@@ -19,7 +20,7 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// Largest value of a limit in `library`.
+/// Maximum value of the limits in the section `library`.
 const MAX_LIBRARY_LIMIT: u64 = 1 << 24;
 
 #[derive(Deserialize)]
@@ -30,7 +31,7 @@
     library: Option<WireLibrary>,
     log: Option<WireLog>,
     peers: Option<WirePeers>,
-    // The flat form.
+    // Keys of the flat form.
     listen: Option<String>,
     metrics: Option<String>,
     keys: Option<String>,
@@ -86,7 +87,7 @@
     Json,
 }
 
-/// Decodes a text whose relative paths are taken from this folder.
+/// Decodes the text of a file. Relative paths in it are resolved against `folder`.
 pub(super) fn decode(text: &str, folder: &Path) -> Result<OperatorConfig, OperatorParseError> {
     let file: Option<WireFile> = serde_saphyr::from_str(text).map_err(|error| syntax_error(&error))?;
     let Some(file) = file else { return Ok(OperatorConfig::default()) };
@@ -101,7 +102,7 @@
 }
 
 impl WireFile {
-    /// Moves the keys of the flat form into their sections.
+    /// Moves the keys of the flat form into their sections. Returns an error if the file has both.
     fn without_flat_form(mut self) -> Result<WireFile, OperatorParseError> {
         let is_flat =
             self.listen.is_some() || self.metrics.is_some() || self.keys.is_some() || self.xds.is_some();
@@ -111,7 +112,7 @@
         if self.has_sections() {
             return Err(OperatorParseError::MixedForms);
         }
-        // In the flat form everything was off without a frontend.
+        // In the flat form, the xDS file is ignored too if no frontend is configured.
         let is_on = self.listen.as_ref().is_some_and(|listen| !listen.is_empty());
         self.members = Some(WireMembers { xds: self.xds.take().filter(|_| is_on) });
         self.signed = Some(WireSigned {
@@ -163,7 +164,7 @@
     }
 }
 
-/// The value, if it is within the range.
+/// Returns the value, or an error if it is not within the range.
 pub(super) fn check_range(
     key: String,
     value: u64,
@@ -175,10 +176,10 @@
     Err(OperatorParseError::OutOfRange { key, value, min: *range.start(), max: *range.end() })
 }
 
-/// The first line of a parser's message, with the place if the line does not name it.
+/// Returns the first line of the parser's message, with the position if that line does not contain it.
 fn syntax_error(error: &serde_saphyr::Error) -> OperatorParseError {
     let text = error.to_string();
-    let first = text.lines().find(|line| !line.trim().is_empty()).unwrap_or("not YAML").trim();
+    let first = text.lines().find(|line| !line.trim().is_empty()).unwrap_or("not valid YAML").trim();
     let message = first.strip_prefix("error: ").unwrap_or(first).to_owned();
     let location = error.location().filter(|_| !message.contains("line "));
     let location = location.map(|at| Location { line: at.line(), column: at.column() });
--- a/src/config/operator/error.rs
+++ b/src/config/operator/error.rs
@@ -1,36 +1,36 @@
-//! Faults of the operator's file, each one line with the place at which it was found.
+//! Errors in the operator's file. Each message is a single line that gives the key, or the line and column.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the file can't be used.
+/// An error that prevents the file from being used.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum OperatorConfigError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {source}", .file.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The reason.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// Its content is not valid.
+    /// The content of the file is invalid.
     #[error("{}: {source}", .file.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         file: PathBuf,
-        /// The reason.
+        /// The error in the content.
         source: OperatorParseError,
     },
 }
 
-/// A place in the file, counted from 1.
+/// A position in the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The line.
+    /// Number of the line, from 1.
     pub line: u64,
-    /// The column.
+    /// Number of the column, from 1.
     pub column: u64,
 }
 
@@ -40,59 +40,63 @@
     }
 }
 
-/// Why the content of the file is not valid.
+/// The reason why the content of the file is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum OperatorParseError {
-    /// It is not YAML of the expected form.
+    /// The text is not valid YAML, or a key is unknown, missing or of the wrong type.
     #[error("{}{message}", .location.map(|at| format!("{at}: ")).unwrap_or_default())]
     Syntax {
-        /// The place, if it is known and the message does not name it.
+        /// Position of the error, if it is known and the message does not contain it.
         location: Option<Location>,
-        /// What is wrong there.
+        /// The parser's description of the error.
         message: String,
     },
-    /// It has both sections and keys of the flat form.
-    #[error("sections and the flat form of earlier versions in one file")]
+    /// The file has both sections and keys of the flat form.
+    #[error(
+        "expected either sections or the flat form (listen, metrics, keys, xds at the top level), got both"
+    )]
     MixedForms,
-    /// The frontend for signed URLs has no keys.
-    #[error("signed.keys: names no file")]
+    /// The frontend for signed URLs has no file of keys.
+    #[error("signed.keys: missing, expected a path because signed.listen is set")]
     MissingKeysFile,
-    /// A number is out of range.
+    /// A number is outside its allowed range.
     #[error("{key}: {value} is not within {min} and {max}")]
     OutOfRange {
-        /// The key, with its section.
+        /// The key with its section, such as `library.open`.
         key: String,
-        /// Its value.
+        /// Value of the key.
         value: u64,
-        /// The lowest value that is allowed.
+        /// Minimum allowed value.
         min: u64,
-        /// The highest value that is allowed.
+        /// Maximum allowed value.
         max: u64,
     },
-    /// A text is no socket address.
-    #[error("peers.{key}: '{text}' is no address and port")]
+    /// A string is not a socket address.
+    #[error("peers.{key}: '{text}' is not an IP address with a port")]
     InvalidAddress {
-        /// The key.
+        /// The key within the section `peers`.
         key: String,
-        /// Its value.
+        /// Value of the key.
         text: String,
     },
-    /// The advertised address is one that nobody can connect to.
-    #[error("peers.advertise: nobody can reach a director at {address}")]
+    /// The advertised address has port 0 or is the unspecified address (`0.0.0.0` or `::`).
+    #[error(
+        "peers.advertise: {address} can't be reached by others, expected a specific IP address and port"
+    )]
     UnreachableAddress {
-        /// The address.
+        /// The advertised address.
         address: SocketAddr,
     },
-    /// A name has characters or a length that names can't have.
-    #[error("peers.{key}: '{name}' is not 1 to 64 characters without spaces")]
+    /// A name has a character or a length that is not allowed.
+    #[error("peers.{key}: '{name}' is not 1 to 64 visible ASCII characters without spaces")]
     InvalidName {
-        /// The key.
+        /// The key within the section `peers`.
         key: &'static str,
-        /// Its value.
+        /// Value of the key.
         name: String,
     },
-    /// A limit on catching up is given in a mode without catching up.
-    #[error("peers.careful_ms: goes with mode: careful")]
+    /// A time limit for fresh-only mode is set, but the mode is off.
+    #[error("peers.careful_ms: only allowed with mode: careful")]
     CatchUpWithoutMode,
 }
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's own file: YAML, of which JSON is a subset, read by the daemon and by hosts that embed the
-//! director.
+//! The operator's configuration file in YAML, of which JSON is a subset. The daemon and host applications
+//! that embed the director read it.
 //!
 //! ```yaml
 //! signed: {listen: "127.0.0.1:7101", metrics: "127.0.0.1:7102", keys: keys.json}
@@ -9,9 +9,10 @@
 //! peers: {listen: "127.0.0.1:7300", name: director-1, fleet: toy, key: peers.key, seeds: ["127.0.0.1:7301"]}
 //! ```
 //!
-//! Every section is optional, and off or at its defaults without it. Unknown keys are rejected with their
-//! place, `${ENV}` is not expanded, and relative paths are taken from the file's own folder. The flat form of
-//! earlier versions (`listen`, `metrics`, `keys`, `xds` at the top) is still read.
+//! Every section is optional. Without its section, a feature is off or has its default settings. An unknown
+//! key is an error that gives its line and column. `${ENV}` is not expanded. Relative paths are resolved
+//! against the folder of the file. The flat form of earlier versions (`listen`, `metrics`, `keys` and `xds`
+//! at the top level) is still accepted.
 
 mod codec;
 mod error;
@@ -25,37 +26,39 @@
 /// The content of the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorConfig {
-    /// The frontend for signed URLs; `None`: off.
+    /// The frontend for signed URLs; `None` turns it off.
     pub signed: Option<SignedSection>,
-    /// A file in xDS form to take the endpoints from in place of the discovery service; `None`: off.
+    /// A file in xDS format that replaces the discovery service as the source of endpoints. `None` if the
+    /// discovery service is the source.
     pub xds_file: Option<PathBuf>,
     /// Limits for a host application that embeds the director.
     pub library: LibrarySection,
-    /// How the log is written.
+    /// Level and format of the log.
     pub log: LogSection,
-    /// Gossip among directors; `None`: off.
+    /// Gossip among directors; `None` turns it off.
     pub peers: Option<PeersSection>,
 }
 
 /// The frontend for signed URLs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SignedSection {
-    /// Address at which clients connect.
+    /// Address on which the frontend accepts connections of clients.
     pub listen: String,
-    /// Address at which the metrics can be read; `None`: nowhere.
+    /// Address at which the metrics are served; `None` if they are not served.
     pub metrics_listen: Option<String>,
-    /// The file with the keys that check credentials.
+    /// The file with the keys that verify credentials.
     pub keys_file: PathBuf,
 }
 
 /// Limits for a host application that embeds the director.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LibrarySection {
-    /// Descriptors that connections to servers may hold.
+    /// Maximum number of descriptors that connections to servers may use.
     pub max_descriptors: usize,
-    /// Kilobytes of request bodies that the middleware holds at a time, of all requests together.
+    /// Maximum size of the request bodies that the middleware holds at a time, of all requests together, in
+    /// kilobytes.
     pub body_budget_kb: usize,
-    /// Requests that the middleware has open at a time.
+    /// Maximum number of requests that the middleware has open at a time.
     pub max_open_requests: usize,
 }
 
@@ -65,43 +68,46 @@
     }
 }
 
-/// Gossip among directors.
+/// Settings of the gossip among directors.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeersSection {
-    /// UDP address of this director.
+    /// UDP address on which this director listens.
     pub listen: SocketAddr,
-    /// Address at which the others reach it, if that is another.
+    /// Address at which the other directors reach this one; `listen` unless the file gives another.
     pub advertise: SocketAddr,
-    /// Its name, which no other director has.
+    /// Name of this director, unique in the fleet.
     pub name: String,
-    /// Name of the fleet: directors of another fleet are ignored.
+    /// Name of the fleet. Directors of other fleets are ignored.
     pub fleet: String,
     /// The file with the fleet's keys.
     pub key_file: PathBuf,
-    /// Addresses of some other directors, by which it joins.
+    /// Addresses of other directors that this one contacts to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Rough number of directors in the fleet, which decides how often an update is forwarded.
+    /// Approximate number of directors in the fleet, from which the number of times that an update is
+    /// forwarded is derived.
     pub expected_directors: u32,
-    /// `None`: it serves at once. Otherwise, until it has caught up and for this long at most, it serves no
-    /// copy that is older than its own start.
+    /// Longest time in fresh-only mode: until this director has caught up, or for this time if that is
+    /// shorter, it serves no copy that is older than its start. `None` turns the mode off: it serves all
+    /// copies from the start.
     pub catch_up_timeout: Option<Duration>,
-    /// The folder in which its state is stored; `None`: in memory only.
+    /// The folder in which the replicated state is stored; `None` to hold it in memory only.
     pub state_folder: Option<PathBuf>,
-    /// Purges are retained for this long.
+    /// Time for which purges are retained.
     pub purge_retention: Duration,
-    /// A director that was away for longer forgets its endpoints and fetches them anew.
+    /// Time for which removed entries are remembered. A director that was away for longer discards its
+    /// endpoint list and fetches it again.
     pub tombstone_retention: Duration,
-    /// Most replicated entries that are held.
+    /// Maximum number of replicated entries that a director holds.
     pub max_entries: usize,
 }
 
-/// How the log is written.
+/// Level and format of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSection {
-    /// `error`, `warn`, `info`, `debug` or `trace`, also by module: `info,foxhold::dispatch=debug`. The
-    /// variable `FOXHOLD_LOG` overrides it.
+    /// `error`, `warn`, `info`, `debug` or `trace`. Modules can have their own level:
+    /// `info,foxhold::dispatch=debug`. The environment variable `FOXHOLD_LOG` overrides this setting.
     pub level: String,
-    /// Form of its lines.
+    /// Format of the log lines.
     pub form: LogForm,
 }
 
@@ -111,18 +117,18 @@
     }
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogForm {
-    /// For people.
+    /// Text for human readers.
     #[default]
     Text,
-    /// For programs: one object per line.
+    /// JSON for programs, one object per line.
     Json,
 }
 
 impl OperatorConfig {
-    /// Reads the file.
+    /// Reads and decodes a file. Relative paths in it are resolved against its folder.
     pub fn read(file: &Path) -> Result<OperatorConfig, OperatorConfigError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| OperatorConfigError::Read { file: file.to_owned(), source })?;
@@ -131,7 +137,7 @@
             .map_err(|source| OperatorConfigError::Invalid { file: file.to_owned(), source })
     }
 
-    /// Decodes a text whose relative paths are taken from this folder.
+    /// Decodes the text of a file. Relative paths in it are resolved against `folder`.
     pub fn parse(text: &str, folder: &Path) -> Result<OperatorConfig, OperatorParseError> {
         codec::decode(text, folder)
     }
--- a/src/config/operator/peers_codec.rs
+++ b/src/config/operator/peers_codec.rs
@@ -1,8 +1,8 @@
-//! Codec of the section on gossip among directors in the operator's file.
+//! Codec of the section `peers` in the operator's file, which configures the gossip among directors.
 //!
-//! | key | here |
+//! | key | decoded as |
 //! | --- | --- |
-//! | `listen`, `advertise`, `name`, `fleet`, `seeds` | the same |
+//! | `listen`, `advertise`, `name`, `fleet`, `seeds` | the field of the same name |
 //! | `key` | [`PeersSection::key_file`] |
 //! | `about`; default 100 | [`PeersSection::expected_directors`] |
 //! | `mode: careful`, `careful_ms`; default 10 s | [`PeersSection::catch_up_timeout`] |
@@ -57,8 +57,8 @@
 }
 
 impl WirePeers {
-    /// The section, its relative paths taken from this folder. Values are checked in a fixed order: the first
-    /// fault is the one reported.
+    /// Decodes the section and resolves relative paths against `folder`. Values are checked in a fixed order,
+    /// and the first error is returned.
     pub(super) fn decode(self, folder: &Path) -> Result<PeersSection, OperatorParseError> {
         let listen = parse_address("listen", &self.listen)?;
         let advertise = self.decode_advertise(listen)?;
@@ -83,7 +83,8 @@
         })
     }
 
-    /// The advertised address, which must be one that others can connect to.
+    /// Returns the advertised address, which defaults to `listen`. Returns an error if other directors can't
+    /// send to it: if its port is 0 or its IP address is unspecified.
     fn decode_advertise(&self, listen: SocketAddr) -> Result<SocketAddr, OperatorParseError> {
         let address = match &self.advertise {
             Some(text) => parse_address("advertise", text)?,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The configuration that the platform gives a director in a file.
+//! The configuration file that the platform writes for a director.
 
 use super::platform_codec;
 use crate::config::settings::{ConnectionSettings, SettingsDecodeError};
@@ -9,75 +9,78 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The configuration of a director.
+/// The configuration of a director, as decoded from the platform's file.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
     /// Address at which clients connect.
     pub listen: String,
-    /// Address of the discovery service; empty: there is none.
+    /// Address of the discovery service; empty if there is none.
     pub discovery_address: String,
-    /// Address of the admin endpoint; empty: there is none.
+    /// Address of the admin endpoint; empty if there is none.
     pub admin_address: String,
-    /// Seed of the router's random numbers.
+    /// Seed of the router's random number generator.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// The router's settings.
+    /// Settings of the router.
     pub settings: Settings,
-    /// The settings of connections to servers.
+    /// Settings of connections to servers.
     pub connections: ConnectionSettings,
     /// Revision of the latest event in `initial_events`.
     pub discovery_revision: u64,
-    /// Events of the discovery service that are known at the start.
+    /// Events of the discovery service that the file contains. The dispatcher gets them before the director
+    /// starts.
     pub initial_events: Vec<WatchEvent>,
-    /// All keys of the file, those within objects with the way to them.
+    /// All keys of the file. A key within an object has its path, such as `limits.sockets`.
     pub(super) keys: BTreeSet<String>,
 }
 
-/// Why a configuration can't be used; one line.
+/// An error that prevents a configuration from being used. Its message is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformConfigError {
     /// The file can't be read.
     #[error("configuration {}: {source}", .path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The reason.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The content of the file is not valid.
+    /// The content of the file is invalid.
     #[error("configuration {}: {source}", .path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The reason.
+        /// The error in the content.
         source: Box<PlatformConfigError>,
     },
-    /// The text is not JSON of the form of a configuration.
-    #[error("not JSON, or without 'listen', 'settings' or a readable 'known'")]
+    /// The text is not valid JSON, or a key is missing or has the wrong type.
+    #[error(
+        "not valid JSON, or 'listen' or 'settings' is missing, or a key such as 'known' has the wrong type"
+    )]
     Malformed,
-    /// The settings are not valid.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsDecodeError),
-    /// An event that is known at the start is not valid.
-    #[error("known: {0}")]
+    /// An event in `known.notices` is invalid.
+    #[error("known.notices: {0}")]
     InitialEvent(#[from] EventError),
-    /// The seed is a text but not a hexadecimal number.
-    #[error("seed: not 16 hex digits")]
+    /// The seed is a string but not a hexadecimal number of at most 64 bits.
+    #[error("seed: expected a string of up to 16 hexadecimal digits: {0}")]
     SeedNotHex(#[source] std::num::ParseIntError),
-    /// The seed is neither a text nor a number.
-    #[error("seed: not a number")]
+    /// The seed is neither a string nor a number.
+    #[error("seed: expected a number or a string of hexadecimal digits")]
     SeedNotANumber,
-    /// A key of the configuration in force is missing in its successor.
-    #[error("key '{key}': missing")]
+    /// A new configuration lacks a key that the current configuration has.
+    #[error("key '{key}': missing, but the current configuration has it")]
     MissingKey {
-        /// The key, with the way to it.
+        /// Path of the key, such as `limits.sockets`.
         key: String,
     },
 }
 
 impl PlatformConfig {
-    /// Reads a configuration from its file.
+    /// Reads and decodes a configuration file.
     pub fn read(path: &Path) -> Result<PlatformConfig, PlatformConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| PlatformConfigError::Read { path: path.to_owned(), source })?;
@@ -85,21 +88,22 @@
             .map_err(|e| PlatformConfigError::Invalid { path: path.to_owned(), source: Box::new(e) })
     }
 
-    /// Decodes a configuration.
+    /// Decodes the text of a configuration file.
     pub fn parse(text: &str) -> Result<PlatformConfig, PlatformConfigError> {
         platform_codec::decode(text)
     }
 
-    /// The connections to servers for a host application that serves its clients itself: two fifths of the
-    /// descriptors are for them. The daemon shares them out by [`crate::daemon::descriptors`].
+    /// Creates the connector to servers for a host application that serves its clients itself. Its
+    /// connections may use two fifths of the descriptors. The daemon instead allocates its descriptors by
+    /// [`crate::daemon::descriptors`].
     pub fn upstream_connector(&self) -> UpstreamConnector {
         UpstreamConnector::new(self.connections.clone(), self.max_descriptors * 2 / 5)
     }
 
-    /// Whether this configuration may replace the one in force. Guards against a file that was truncated or
-    /// put together badly and is valid all the same: it must have every key that the one in force has.
-    pub fn can_replace(&self, before: &PlatformConfig) -> Result<(), PlatformConfigError> {
-        match before.keys.difference(&self.keys).next() {
+    /// Checks that this configuration may replace the `current` one: it must have every key that the current
+    /// one has. This detects files that were truncated or assembled wrongly but are still valid.
+    pub fn can_replace(&self, current: &PlatformConfig) -> Result<(), PlatformConfigError> {
+        match current.keys.difference(&self.keys).next() {
             Some(key) => Err(PlatformConfigError::MissingKey { key: key.clone() }),
             None => Ok(()),
         }
--- a/src/config/platform_codec.rs
+++ b/src/config/platform_codec.rs
@@ -1,14 +1,14 @@
-//! Codec of the platform's configuration file; no other module knows its keys.
+//! Codec of the platform's configuration file. Its keys are used in this module only.
 //!
-//! | key | here |
+//! | key | decoded as |
 //! | --- | --- |
 //! | `listen` | [`PlatformConfig::listen`] |
 //! | `board` | [`PlatformConfig::discovery_address`] |
 //! | `ops` | [`PlatformConfig::admin_address`] |
-//! | `seed`, hexadecimal text or number | [`PlatformConfig::seed`] |
+//! | `seed`, a hexadecimal string or a number | [`PlatformConfig::seed`] |
 //! | `limits.sockets` | [`PlatformConfig::max_descriptors`] |
 //! | `known.rev` | [`PlatformConfig::discovery_revision`] |
-//! | `known.notices` | [`PlatformConfig::initial_events`], in the form of the [discovery codec] |
+//! | `known.notices` | [`PlatformConfig::initial_events`], in the wire format of the [discovery codec] |
 //! | `settings` | [`PlatformConfig::settings`] and `connections`, by the [settings codec] |
 //!
 //! [discovery codec]: crate::discovery::codec
@@ -23,11 +23,11 @@
 use miniserde::Deserialize;
 use std::collections::BTreeSet;
 
-/// Descriptors that a process may hold if the file does not say.
+/// Limit on the descriptors of the process if the file sets none.
 const DEFAULT_DESCRIPTORS: usize = 1024;
-/// Fewest descriptors with which a director can work.
+/// Minimum number of descriptors that a director needs. Lower values of `limits.sockets` are raised to it.
 const MIN_DESCRIPTORS: f64 = 64.0;
-/// Most descriptors that count.
+/// Maximum number of descriptors. Higher values of `limits.sockets` are reduced to it.
 const MAX_DESCRIPTORS: f64 = 1e6;
 
 #[derive(Deserialize)]
@@ -52,7 +52,7 @@
     notices: Vec<WireEvent>,
 }
 
-/// Decodes a configuration.
+/// Decodes the text of a configuration file.
 pub(super) fn decode(text: &str) -> Result<PlatformConfig, PlatformConfigError> {
     let wire: WireConfig = json::from_str(text).map_err(|_| PlatformConfigError::Malformed)?;
     let value: Value = json::from_str(text).map_err(|_| PlatformConfigError::Malformed)?;
@@ -81,7 +81,8 @@
     })
 }
 
-/// Collects the keys of an object and of the objects in it, but not of those in lists, whose entries differ.
+/// Collects the paths of all keys of an object and of the objects nested in it. Objects in lists are left
+/// out, because list entries have different keys.
 fn collect_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
     let Value::Object(object) = value else { return };
     for (name, value) in object.iter().filter(|(_, value)| !matches!(value, Value::Null)) {
--- a/src/config/settings/codec.rs
+++ b/src/config/settings/codec.rs
@@ -1,15 +1,15 @@
-//! Codec of the settings that the platform gives a router, used by the simulator's host and the daemon; no
-//! other module knows its keys.
+//! Codec of the settings that the platform sends to a router, used by the simulator's host and the daemon.
+//! The keys are used in this module only.
 //!
-//! Times are in milliseconds on the wire and in microseconds here; unknown keys are ignored.
+//! Times are in milliseconds in the JSON text and in microseconds in [`Settings`]. Unknown keys are ignored.
 //!
-//! | key | here, in [`Settings`] where nothing else is said |
+//! | key | decoded as a field of [`Settings`], or of the type that is named |
 //! | --- | --- |
 //! | `services[]` | [`Settings::classes`] |
 //! | `services[].aimMs`, `aimStretch` | [`Class::latency_objective`], `objective_stretch` |
 //! | `services[].worth`, `lateShare` | [`Class::priority_weight`], `late_weight_share` |
 //! | `services[].effect`: `idempotent`, `deduplicated`, `at_most_once` | [`Class::idempotency`] |
-//! | `services[].keyScope`, `windowMs` | scope and window of an idempotency key |
+//! | `services[].keyScope`, `windowMs` | `scope` and `window` of [`Idempotency::IdempotencyKey`] |
 //! | `familyInfo.lifetimeByClassMs`, `classGraceMs` | `freshness_lifetime`, `stale_grace` by class |
 //! | `familyInfo.worthWhenOld`, `passOn` | `stale_weight_share`, `write` by class |
 //! | `familyInfo.midKind`, `storeKind` | `parent_kind`, `origin_kind` |
@@ -83,7 +83,7 @@
         Ok(Sections { top, info, bounds, rules })
     }
 
-    /// All settings. Values are decoded in the order of the fields: the first fault is the one reported.
+    /// Decodes all settings in the order of the fields and returns the first error.
     fn settings(&self, classes: Vec<Class>) -> Result<Settings> {
         let Sections { top, info, bounds, rules } = self;
         let (zones, zone) = decode_zones(top)?;
@@ -91,7 +91,7 @@
         let overload_window = rules.time("overloadForMs", 0.0)?;
         Ok(Settings {
             classes,
-            kinds: top.texts("kinds")?,
+            kinds: top.strings("kinds")?,
             parent_kind: (parent >= 0.0).then_some(parent as usize),
             origin_kind: info.number("storeKind", f64::MAX)? as usize,
             zones,
@@ -100,8 +100,8 @@
             routers: top.number("balancers", 1.0)? as u32,
             zone_link_kb_per_s: info.numbers("inletKbPerS")?,
             transfer_kb_per_s: info.number("flowKbPerS", 0.0)?,
-            sizes_known: matches!(top.text("weights", "off")?, "nominal" | "rough"),
-            poll_members: top.text("discovery", "push")? == "ask",
+            sizes_known: matches!(top.string("weights", "off")?, "nominal" | "rough"),
+            poll_members: top.string("discovery", "push")? == "ask",
             can_cancel: bounds.boolean("cancel")?,
             hedging: bounds.boolean("secondCopies")?,
             retry_after: bounds.boolean("retryAfter")?,
@@ -109,7 +109,7 @@
             max_attempts: bounds.number("maxAttempts", 0.0)? as u32,
             health_checks: bounds.boolean("probes")?,
             peer_messages: bounds.boolean("peers")?,
-            load_report: top.object("report", "report.")?.texts("names")?,
+            load_report: top.object("report", "report.")?.strings("names")?,
             direct_requests: info.boolean("passThroughOk")?,
             request_collapsing: info.boolean("collapses")?,
             siblings: info.one_of("peersFill", Siblings::None, &SIBLINGS)?,
@@ -123,10 +123,10 @@
     }
 }
 
-/// The zones' names, and the index of this router's own among them.
+/// Returns the names of all zones, and the index of this router's zone among them.
 fn decode_zones(top: &JsonObject) -> Result<(Vec<String>, usize)> {
-    let zones = top.texts("zones")?;
-    let own = top.text("zone", "")?;
+    let zones = top.strings("zones")?;
+    let own = top.string("zone", "")?;
     let index = zones.iter().position(|zone| zone == own);
     let index = index.ok_or_else(|| top.error("zone", KeyFault::UnknownZone))?;
     Ok((zones, index))
@@ -150,7 +150,7 @@
     })
 }
 
-/// Lists with one value for each class.
+/// Lists that have one value per class, in the order of the classes.
 struct ClassLists {
     freshness_lifetimes_ms: Vec<f64>,
     stale_graces_ms: Vec<f64>,
@@ -189,7 +189,7 @@
     }
     let at_index = |list: &[f64], default| list.get(index).copied().unwrap_or(default);
     Ok(Class {
-        name: class.text("name", "")?.to_owned(),
+        name: class.string("name", "")?.to_owned(),
         latency_objective: class.time("aimMs", 0.0)?,
         objective_stretch: class.number("aimStretch", 0.0)?,
         deadline: class.time("deadlineMs", 0.0)?,
@@ -204,8 +204,8 @@
     })
 }
 
-/// Rejects settings that set no limits on requests: without a class, or with a deadline or a number of
-/// attempts that is not above 0.
+/// Returns an error for settings that leave requests without limits: those without a class, or with a
+/// deadline or a maximum number of attempts that is missing or not above 0.
 pub(crate) fn check_limits(json: &Value) -> Result<()> {
     let top = JsonObject::new(json, "");
     let classes = top.list("services")?;
@@ -223,7 +223,7 @@
     }
 }
 
-/// Decodes the settings of connections, which only the daemon uses; absent ones have their default.
+/// Decodes the settings of connections, which only the daemon uses. An absent setting has its default value.
 pub fn decode_connection_settings(json: &Value) -> Result<ConnectionSettings> {
     let bounds = JsonObject::new(json, "").object("bounds", "bounds.")?;
     let default = ConnectionSettings::default();
--- a/src/config/settings/connections.rs
+++ b/src/config/settings/connections.rs
@@ -9,14 +9,14 @@
 /// Default of [`ConnectionSettings::max_streams`].
 const DEFAULT_MAX_STREAMS: usize = 100;
 
-/// How connections to servers are opened and used.
+/// Settings of connections to servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionSettings {
     /// Limit on the time to connect.
     pub connect_timeout: Duration,
-    /// Servers close connections that were idle for this long.
+    /// Time after which servers close an idle connection.
     pub idle_timeout: Duration,
-    /// Attempts that one connection carries at a time, at most.
+    /// Maximum number of concurrent attempts on one connection.
     pub max_streams: usize,
 }
 
--- a/src/config/settings/error.rs
+++ b/src/config/settings/error.rs
@@ -1,18 +1,18 @@
-//! Faults of settings, each with the key at which it was found.
+//! Errors of the settings decoder, each with the key that has the invalid value.
 
-/// Why settings can't be decoded.
+/// The reason why settings can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsDecodeError {
-    /// The text is not JSON.
-    #[error("not JSON")]
+    /// The text can't be parsed as JSON.
+    #[error("expected a JSON object with the settings, but the text is not valid JSON")]
     NotJson,
-    /// The JSON is not an object.
-    #[error("not an object")]
+    /// The JSON value is not an object.
+    #[error("expected a JSON object with the settings, got a JSON value of another type")]
     NotAnObject,
-    /// A key has a value that it can't have.
+    /// A key has an invalid value.
     #[error("key '{key}': {fault}")]
     Key {
-        /// The key with the way to it: `bounds.maxAttempts`.
+        /// Path of the key, such as `bounds.maxAttempts`.
         key: String,
         /// What is wrong with its value.
         fault: KeyFault,
@@ -23,30 +23,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[allow(missing_docs, reason = "the fields are the parts of the messages")]
 pub enum KeyFault {
-    #[error("missing")]
+    #[error("required, but missing")]
     Missing,
-    #[error("not an object")]
+    #[error("expected an object")]
     NotAnObject,
-    #[error("not a list")]
+    #[error("expected a list")]
     NotAList,
-    #[error("not a number")]
+    #[error("expected a number")]
     NotANumber,
-    #[error("neither true nor false")]
+    #[error("expected true or false")]
     NotABool,
-    #[error("not a text")]
+    #[error("expected a string")]
     NotAText,
-    #[error("holds something that is not a number")]
+    #[error("expected a list of numbers, but an element is not a number")]
     NumberExpected,
-    #[error("holds something that is not a bool")]
+    #[error("expected a list of booleans, but an element is neither true nor false")]
     BoolExpected,
-    #[error("holds something but text")]
+    #[error("expected a list of strings, but an element is not a string")]
     TextExpected,
-    #[error("not a number above 0")]
+    #[error("expected a number above 0")]
     NotPositive,
-    #[error("{0} is not known")]
+    #[error("unknown value {0}")]
     UnknownValue(String),
-    #[error("not among 'zones'")]
+    #[error("expected one of the names in 'zones'")]
     UnknownZone,
-    #[error("holds no class")]
+    #[error("expected at least one class, got none")]
     NoClass,
 }
--- a/src/config/settings/json.rs
+++ b/src/config/settings/json.rs
@@ -1,4 +1,4 @@
-//! Access to JSON values and to the keys of a JSON object.
+//! Conversion of JSON values, and access to the keys of a JSON object.
 
 use super::error::{KeyFault, SettingsDecodeError};
 use crate::policy::types::Micros;
@@ -6,12 +6,12 @@
 
 type Result<T> = std::result::Result<T, SettingsDecodeError>;
 
-/// Microseconds of a time in milliseconds; a negative one counts as 0.
+/// Converts milliseconds to microseconds. A negative time becomes 0.
 pub(crate) fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
-/// A JSON number in any of its forms.
+/// Returns the value of a JSON number, integer or not, or `None` for other types.
 pub(crate) fn real(value: &Value) -> Option<f64> {
     match value {
         Value::Number(Number::U64(number)) => Some(*number as f64),
@@ -21,7 +21,7 @@
     }
 }
 
-/// A JSON string.
+/// Returns the value of a JSON string, or `None` for other types.
 pub(crate) fn text(value: &Value) -> Option<&str> {
     match value {
         Value::String(text) => Some(text),
@@ -36,25 +36,25 @@
     }
 }
 
-/// An object whose keys are read with errors that name them. A key that is null counts as absent.
+/// A JSON object whose accessors return errors that name the key. A key with the value null counts as absent.
 pub(super) struct JsonObject<'a> {
     value: &'a Value,
-    /// What stands before its keys in errors.
-    path: &'static str,
+    /// Prefix of its keys in errors, such as `bounds.`; empty at the top level.
+    prefix: &'static str,
 }
 
 impl<'a> JsonObject<'a> {
-    /// Views a value as an object; one that is no object has no keys.
-    pub(super) fn new(value: &'a Value, path: &'static str) -> Self {
-        JsonObject { value, path }
+    /// Creates a reader for the object in `value`. A value of another type is read as an object without keys.
+    pub(super) fn new(value: &'a Value, prefix: &'static str) -> Self {
+        JsonObject { value, prefix }
     }
 
-    /// An error that names the key.
+    /// Returns the error for a key with this fault.
     pub(super) fn error(&self, key: &str, fault: KeyFault) -> SettingsDecodeError {
-        SettingsDecodeError::Key { key: format!("{}{key}", self.path), fault }
+        SettingsDecodeError::Key { key: format!("{}{key}", self.prefix), fault }
     }
 
-    /// The value of a key.
+    /// Returns the value of a key, or `None` if it is absent or null.
     pub(super) fn get(&self, key: &str) -> Option<&'a Value> {
         match self.value {
             Value::Object(object) => object.get(key).filter(|value| !matches!(value, Value::Null)),
@@ -62,39 +62,39 @@
         }
     }
 
-    /// An object within this one; an absent one has no keys.
-    pub(super) fn object(&self, key: &str, path: &'static str) -> Result<JsonObject<'a>> {
+    /// Returns a nested object, which has no keys if absent. `prefix` is the prefix of its keys in errors.
+    pub(super) fn object(&self, key: &str, prefix: &'static str) -> Result<JsonObject<'a>> {
         match self.get(key) {
-            None => Ok(JsonObject::new(&Value::Null, path)),
-            Some(value @ Value::Object(_)) => Ok(JsonObject::new(value, path)),
+            None => Ok(JsonObject::new(&Value::Null, prefix)),
+            Some(value @ Value::Object(_)) => Ok(JsonObject::new(value, prefix)),
             Some(_) => Err(self.error(key, KeyFault::NotAnObject)),
         }
     }
 
-    /// A number.
+    /// Returns a number, or `default` if absent.
     pub(super) fn number(&self, key: &str, default: f64) -> Result<f64> {
         let Some(value) = self.get(key) else { return Ok(default) };
         real(value).ok_or_else(|| self.error(key, KeyFault::NotANumber))
     }
 
-    /// A time in milliseconds.
+    /// Converts a time in milliseconds, or `default_ms` if absent, to microseconds.
     pub(super) fn time(&self, key: &str, default_ms: f64) -> Result<Micros> {
         Ok(micros(self.number(key, default_ms)?))
     }
 
-    /// A boolean; absent: false.
+    /// Returns a boolean, which is `false` if absent.
     pub(super) fn boolean(&self, key: &str) -> Result<bool> {
         let Some(value) = self.get(key) else { return Ok(false) };
         boolean(value).ok_or_else(|| self.error(key, KeyFault::NotABool))
     }
 
-    /// A string.
-    pub(super) fn text(&self, key: &str, default: &'static str) -> Result<&'a str> {
+    /// Returns a string, or `default` if absent.
+    pub(super) fn string(&self, key: &str, default: &'static str) -> Result<&'a str> {
         let Some(value) = self.get(key) else { return Ok(default) };
         text(value).ok_or_else(|| self.error(key, KeyFault::NotAText))
     }
 
-    /// A list; absent: empty.
+    /// Returns a list, which is empty if absent.
     pub(super) fn list(&self, key: &str) -> Result<&'a [Value]> {
         match self.get(key) {
             None => Ok(&[]),
@@ -103,26 +103,27 @@
         }
     }
 
-    /// A list of numbers.
+    /// Returns a list of numbers, which is empty if absent.
     pub(super) fn numbers(&self, key: &str) -> Result<Vec<f64>> {
         let number = |value| real(value).ok_or_else(|| self.error(key, KeyFault::NumberExpected));
         self.list(key)?.iter().map(number).collect()
     }
 
-    /// A list of booleans.
+    /// Returns a list of booleans, which is empty if absent.
     pub(super) fn booleans(&self, key: &str) -> Result<Vec<bool>> {
         let element = |value| boolean(value).ok_or_else(|| self.error(key, KeyFault::BoolExpected));
         self.list(key)?.iter().map(element).collect()
     }
 
-    /// A list of strings.
-    pub(super) fn texts(&self, key: &str) -> Result<Vec<String>> {
+    /// Returns a list of strings, which is empty if absent.
+    pub(super) fn strings(&self, key: &str) -> Result<Vec<String>> {
         let element =
             |value| text(value).map(str::to_owned).ok_or_else(|| self.error(key, KeyFault::TextExpected));
         self.list(key)?.iter().map(element).collect()
     }
 
-    /// A string that is one of these names, as the value that the name stands for.
+    /// Returns the value that `names` gives for a string, or `default` if absent. Returns an error if the
+    /// string is not among the names.
     pub(super) fn one_of<T: Copy>(&self, key: &str, default: T, names: &[(&str, T)]) -> Result<T> {
         let Some(value) = self.get(key) else { return Ok(default) };
         let found = names.iter().find(|(name, _)| text(value) == Some(name));
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,10 +1,10 @@
-//! Settings of a router and of its connections, and their decoder.
+//! Settings of a router and of its connections to servers, and their decoder.
 //!
-//! | module | holds |
+//! | module | content |
 //! | --- | --- |
-//! | [`codec`] | the platform's JSON form of the settings |
-//! | [`connections`] | the settings of connections to servers |
-//! | `json` | access to JSON values, shared with other decoders |
+//! | [`codec`] | JSON format of the settings, as written by the platform |
+//! | [`connections`] | settings of connections to servers |
+//! | `json` | access to JSON values, also used by other decoders |
 
 pub mod codec;
 pub mod connections;
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -53,11 +53,14 @@
 fn faults_in_the_peers_section_name_their_key() {
     for (keys, says) in [
         ("name: b", "duplicate"),
-        ("advertise: 'director:7300'", "peers.advertise: 'director:7300' is no address and port"),
-        ("advertise: '0.0.0.0:7300'", "peers.advertise: nobody can reach"),
+        ("advertise: 'director:7300'", "peers.advertise: 'director:7300' is not an IP address with a port"),
+        (
+            "advertise: '0.0.0.0:7300'",
+            "peers.advertise: 0.0.0.0:7300 can't be reached by others, expected a specific",
+        ),
         ("seeds: ['127.0.0.1:1', x]", "peers.seeds[1]: 'x'"),
         ("mode: brave", "line 1"),
-        ("careful_ms: 5", "goes with mode: careful"),
+        ("careful_ms: 5", "peers.careful_ms: only allowed with mode: careful"),
         ("mode: careful, careful_ms: 0", "peers.careful_ms: 0 is not within 1 and 600000"),
         ("horizon_s: 1", "peers.horizon_s: 1 is not within 10"),
         ("entries: 5", "peers.entries"),
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -18,7 +18,7 @@
 fn a_bad_configuration_ends_the_start_with_one_clear_line() {
     let good = config_with_origin("127.0.0.1:1");
     for (name, text, says) in [
-        ("a", "{", "not JSON"),
+        ("a", "{", "not valid JSON"),
         ("b", &good.replace("\"zone\": \"branch\"", "\"zone\": \"elsewhere\""), "key 'zone'"),
         ("c", &good.replace("\"in_service\"", "\"resting\""), "'resting'"),
         ("d", &good.replace("127.0.0.1:0", "nowhere"), "listen on nowhere"),
