--- a/crates/foxhold-testbed/src/faults/mod.rs
+++ b/crates/foxhold-testbed/src/faults/mod.rs
@@ -1,10 +1,10 @@
-//! Faults that are injected between processes, and schedules of them.
+//! Faults to inject between processes, and fault schedules.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`peer_network`] | the relays between directors that share state, and the paths between them |
-//! | [`relay`] | a link between two processes, and the faults injected into it |
-//! | [`schedule`] | faults among directors that gossip, drawn from a seed |
+//! | [`peer_network`] | relays for gossip between directors, and the conditions of each path |
+//! | [`relay`] | a TCP relay between two processes, with faults to inject |
+//! | [`schedule`] | random fault schedules for directors that gossip, drawn from a seed |
 
 pub mod peer_network;
 pub mod relay;
--- a/crates/foxhold-testbed/src/faults/peer_network.rs
+++ b/crates/foxhold-testbed/src/faults/peer_network.rs
@@ -1,8 +1,8 @@
-//! The network between the directors of a fleet: a relay for each director, by which the messages on every
-//! path between two of them can be lost, duplicated or delayed.
+//! The gossip network between the directors of a fleet. Each director has a relay, which can lose, duplicate or
+//! delay the datagrams on the path from any other director.
 //!
-//! Each director has a loopback address of its own and is advertised at its relay's, so all that the others
-//! send to it passes there; who sends is known by the address that a datagram comes from.
+//! Each director has a separate loopback address and advertises the address of its relay, so that everything that
+//! the others send to it passes the relay. The relay identifies the sender by the source address of a datagram.
 
 use crate::scenarios::replay::Failure;
 use rand::rngs::StdRng;
@@ -18,43 +18,45 @@
 use tokio::net::{TcpStream, UdpSocket};
 use tokio::task::JoinSet;
 
-/// Where a director receives its peers' messages, its relay receives them for it, and its admin endpoint is.
+/// Port on which a director receives datagrams from its relay.
 const PEER_PORT: u16 = 7301;
+/// Port on which a director's relay receives datagrams from the other directors.
 const RELAY_PORT: u16 = 7302;
+/// Port of a director's admin endpoint.
 const ADMIN_PORT: u16 = 7303;
-/// Directors of one fleet at most.
+/// Maximum number of directors in a fleet.
 pub const MAX_DIRECTORS: usize = 1_000;
-/// Directors that share the third byte of their addresses.
+/// Number of directors whose addresses share the third byte.
 const DIRECTORS_PER_SUBNET: usize = 250;
-/// Seeds that each director is given.
+/// Number of seed addresses in each director's configuration.
 const SEEDS: usize = 3;
-/// One call at an admin endpoint.
+/// Time limit of a call to an admin endpoint.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// A relay's receive buffer; no director sends larger datagrams.
+/// Receive buffer of a relay. Directors send no larger datagrams.
 const RELAY_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What happens to messages on the path from one director to another.
+/// Conditions of the path from one director to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
-    /// The share that is lost; 1: a partition.
+    /// Share of datagrams that are lost; 1 is a partition.
     pub loss: f64,
-    /// The share that is duplicated.
+    /// Share of datagrams that are duplicated.
     pub duplication: f64,
-    /// Each copy is delayed by up to so many milliseconds, so that copies are reordered.
+    /// Maximum delay in milliseconds. Each copy's delay is drawn separately, so that datagrams are reordered.
     pub delay_ms: u64,
 }
 
 impl LinkConditions {
-    /// Every message is lost.
+    /// Loses every datagram.
     pub const CUT: LinkConditions = LinkConditions { loss: 1.0, duplication: 0.0, delay_ms: 0 };
 }
 
-/// The paths between all directors of a fleet.
+/// The conditions of the paths between all directors of a fleet.
 pub struct Network {
     paths: RefCell<HashMap<(usize, usize), LinkConditions>>,
     default_conditions: Cell<LinkConditions>,
     random: RefCell<StdRng>,
-    /// Datagrams and bytes that arrived at each.
+    /// Datagrams and bytes that arrived at each director.
     arrived: RefCell<Vec<(u64, u64)>>,
 }
 
@@ -64,13 +66,13 @@
         self.paths.borrow_mut().insert((from, to), conditions);
     }
 
-    /// Sets the conditions of all paths, those set one by one too.
+    /// Sets the conditions of all paths, and replaces those set for single paths.
     pub fn set_all(&self, conditions: LinkConditions) {
         self.paths.borrow_mut().clear();
         self.default_conditions.set(conditions);
     }
 
-    /// Partitions some directors from the others, in both directions.
+    /// Partitions two groups of directors from each other, in both directions.
     pub fn cut(&self, some: &[usize], others: &[usize]) {
         for (a, b) in some.iter().flat_map(|a| others.iter().map(move |b| (*a, *b))) {
             self.set(a, b, LinkConditions::CUT);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Datagrams and bytes that arrived at a director so far.
+    /// Returns the datagrams and bytes that arrived at a director so far.
     pub fn arrived(&self, at: usize) -> (u64, u64) {
         self.arrived.borrow()[at]
     }
@@ -88,11 +90,11 @@
     }
 }
 
-/// The relays of a fleet, and what of its directors' settings goes by them.
+/// The relays of a fleet, and the addresses and settings of its directors.
 pub struct Relays {
     number: u8,
     directors: usize,
-    /// The paths between them.
+    /// The conditions of the paths between the directors.
     pub net: Rc<Network>,
     _tasks: JoinSet<()>,
 }
@@ -102,7 +104,9 @@
     pub async fn open(directors: usize, seed: u64, folder: &Path) -> Result<Relays, Failure> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         if directors > MAX_DIRECTORS {
-            return Err(format!("{directors} directors: {MAX_DIRECTORS} at most").into());
+            return Err(
+                format!("a fleet of {directors} directors exceeds the maximum of {MAX_DIRECTORS}").into()
+            );
         }
         let number = NEXT.fetch_add(1, Ordering::Relaxed) as u8;
         std::fs::write(folder.join("peers.key"), format!("{}\n", "c2VjcmV0".repeat(5)))?;
@@ -120,17 +124,17 @@
         Ok(Relays { number, directors, net, _tasks: tasks })
     }
 
-    /// Where others reach a director.
+    /// Returns the address at which other directors reach director `n`: that of its relay.
     pub fn reached_at(&self, n: usize) -> SocketAddr {
         (ip(self.number, n), RELAY_PORT).into()
     }
 
-    /// A director's admin endpoint.
+    /// Returns the address of a director's admin endpoint.
     pub fn admin_address(&self, n: usize) -> SocketAddr {
         (ip(self.number, n), ADMIN_PORT).into()
     }
 
-    /// A director's operator's file, with further keys of the section `peers`.
+    /// Returns the operator's configuration file of a director. `keys` are further keys of its section `peers`.
     pub fn operator(&self, n: usize, keys: &str) -> String {
         let seeds: Vec<String> =
             (0..self.directors.min(SEEDS)).map(|s| format!("\"{}\"", self.reached_at(s))).collect();
@@ -146,7 +150,8 @@
     }
 }
 
-/// The loopback address of a director: fleets of one process, and of two processes side by side, do not meet.
+/// Returns the loopback address of a director. The addresses differ between the fleets of one process, and between
+/// processes that run at the same time.
 fn ip(fleet: u8, n: usize) -> Ipv4Addr {
     let process = 16 + (std::process::id() % 200) as u8;
     Ipv4Addr::new(
@@ -157,26 +162,26 @@
     )
 }
 
-/// The director of a loopback address: [`ip`] the other way round.
+/// Returns the director that has a loopback address; the inverse of [`ip`].
 fn director_at(fleet: u8, ip: Ipv4Addr) -> usize {
     let [_, _, third, last] = ip.octets();
     let subnet = third.wrapping_sub(fleet.wrapping_mul(4));
     usize::from(subnet) * DIRECTORS_PER_SUBNET + usize::from(last) - 1
 }
 
-/// One call at a director's admin endpoint.
+/// Calls a director's admin endpoint and returns the response.
 pub async fn call(admin: SocketAddr, line: &str) -> Result<String, Failure> {
-    let whole = async {
+    let exchange = async {
         let mut stream = TcpStream::connect(admin).await?;
         stream.write_all(format!("{line}\n").as_bytes()).await?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
         Ok::<String, Failure>(answer)
     };
-    tokio::time::timeout(CALL_TIMEOUT, whole).await?
+    tokio::time::timeout(CALL_TIMEOUT, exchange).await?
 }
 
-/// Forwards what is sent to one director, under the conditions of the path from its sender.
+/// Forwards the datagrams sent to one director, under the conditions of the path from their sender.
 async fn relay(socket: Rc<UdpSocket>, network: Rc<Network>, number: u8, to: usize) {
     let target = SocketAddr::from((ip(number, to), PEER_PORT));
     let mut bytes = vec![0; RELAY_BUFFER_BYTES];
@@ -197,10 +202,10 @@
                 let _ = socket.try_send_to(&bytes[..size], target);
                 continue;
             }
-            let late = network.random.borrow_mut().random_range(0..=conditions.delay_ms);
+            let delay_ms = network.random.borrow_mut().random_range(0..=conditions.delay_ms);
             let (socket, copy) = (socket.clone(), bytes[..size].to_vec());
             tokio::task::spawn_local(async move {
-                tokio::time::sleep(Duration::from_millis(late)).await;
+                tokio::time::sleep(Duration::from_millis(delay_ms)).await;
                 let _ = socket.try_send_to(&copy, target);
             });
         }
--- a/crates/foxhold-testbed/src/faults/relay.rs
+++ b/crates/foxhold-testbed/src/faults/relay.rs
@@ -1,9 +1,9 @@
-//! A relay between two processes, by which faults are injected into the link between them.
+//! A TCP relay between two processes that injects faults into the link between them.
 //!
-//! On a dropped link bytes vanish: connections stay open and silent, new ones come up (the relay is on the
-//! same machine) and stay silent too. What was held back by a dropped link is gone for good, so that the
-//! connections that lived through it are reset when it is healed, as retransmissions that ran out would have
-//! them.
+//! A dropped link discards all bytes. Open connections stay open without traffic. New connections are accepted,
+//! since the relay is on the same machine, and carry no traffic either. The discarded bytes are never sent again,
+//! so when the fault is cleared, the connections that were open during it are reset, as exhausted TCP
+//! retransmissions would do.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -13,37 +13,37 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// A fault that is injected into a link.
+/// A fault to inject into a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkFault {
-    /// The link works.
+    /// No fault.
     #[default]
     None,
-    /// Bytes vanish both ways.
+    /// Bytes are discarded in both directions.
     Drop,
-    /// Bytes from the one who connects arrive; those that come back vanish.
+    /// Bytes from the connecting side are delivered; those in the other direction are discarded.
     OneWay,
-    /// Connections are reset, new ones at once.
+    /// Open connections are reset, and new ones as soon as they are accepted.
     Reset,
-    /// Each piece is late by so many milliseconds.
+    /// Each chunk that is read is forwarded after this many milliseconds.
     Delay(u64),
-    /// So many KB a second each way.
+    /// Limits each direction of each connection to this many KB per second.
     Throttle(u64),
-    /// Bytes wait until the link is healed; none is lost.
+    /// Bytes are held back until the fault is cleared; none is lost.
     Stall,
 }
 
-/// A link through a relay of its own.
+/// A link with a separate relay.
 pub struct Link {
-    /// Where the one end connects.
+    /// The address of the relay, for the connecting side.
     pub address: String,
     fault: watch::Sender<LinkFault>,
     _task: JoinSet<()>,
 }
 
 impl Link {
-    /// A relay to that address. Needs a `LocalSet`.
+    /// Starts a relay to the address `to`. Needs a `LocalSet`.
     pub async fn open(to: String) -> std::io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?.to_string();
@@ -59,15 +59,15 @@
         Ok(Link { address, fault, _task: task })
     }
 
-    /// Injects a fault, or clears it.
+    /// Injects a fault, or clears it with [`LinkFault::None`].
     pub fn set(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
 }
 
 async fn connection(downstream: TcpStream, to: String, mut state: watch::Receiver<LinkFault>) {
-    let born = *state.borrow();
-    if born == LinkFault::Reset {
+    let initial_fault = *state.borrow();
+    if initial_fault == LinkFault::Reset {
         let _ = downstream.set_zero_linger();
         return;
     }
@@ -76,18 +76,19 @@
         return;
     };
     let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
-    // A connection that a reset link loses, or that lost bytes on a dropped one, ends by a reset.
+    // With zero linger, closing sends a reset: on a reset link, and where a dropped link discarded bytes.
     let _ = (downstream.set_zero_linger(), upstream.set_zero_linger());
     let (downstream_read, downstream_write) = downstream.into_split();
     let (upstream_read, upstream_write) = upstream.into_split();
     let out = forward(downstream_read, upstream_write, state.clone(), true);
     let back = forward(upstream_read, downstream_write, state.clone(), false);
     tokio::select! {
-        // In this order: what comes in the moment of a reset, or of a dropped link's return, does not pass.
+        // The fault is checked first: bytes that arrive at the moment of a reset, or when a dropped link is
+        // restored, are not forwarded.
         biased;
-        // Bytes of a dropped link are lost for good: who lived through it is reset at its end.
+        // A connection that was open while the link discarded bytes is reset when the fault is cleared.
         () = async {
-            let mut lossy = loses_bytes(born);
+            let mut lossy = loses_bytes(initial_fault);
             loop {
                 if state.changed().await.is_err() {
                     return std::future::pending().await;
@@ -104,7 +105,7 @@
     }
 }
 
-/// Whether bytes that should pass are lost for good.
+/// Returns whether the fault discards bytes.
 fn loses_bytes(fault: LinkFault) -> bool {
     matches!(fault, LinkFault::Drop | LinkFault::OneWay)
 }
@@ -119,7 +120,7 @@
     loop {
         let Ok(count) = from.read(&mut bytes).await else { return };
         if count == 0 {
-            // An end in order reaches the other side, unless the link loses it.
+            // Passes the end of the stream on to the other side, unless the link discards it.
             if !loses_bytes(*state.borrow()) {
                 let _ = to.shutdown().await;
             }
--- a/crates/foxhold-testbed/src/faults/schedule.rs
+++ b/crates/foxhold-testbed/src/faults/schedule.rs
@@ -1,30 +1,34 @@
-//! A run of drawn faults among directors that gossip: by seed, so that what broke a rule can be run again.
+//! Random fault schedules for directors that gossip. A schedule is drawn from a seed, so that a run that broke a
+//! rule can be repeated.
 //!
-//! What is held against the rules is what directors can know: drains are told where gossip has been
-//! without faults for [`QUIET_SECONDS`] seconds, and directors are killed where nothing drains by their operators' word, for one that
-//! starts from nothing knows the discovery service's list only until it has caught up. Purges are told at any
-//! time: who was cut off or stopped has until [`QUIET_SECONDS`] after it to hear of them.
+//! The schedules respect what directors can know, because the rules are checked against that:
+//!
+//! - Drain overrides start and end only after gossip has been without faults for [`QUIET_SECONDS`].
+//! - Directors are killed only while there is no drain override, because a director that starts without state
+//!   knows only the discovery service's member list until it has caught up.
+//! - Purges are issued at any time. A director that was partitioned or stopped must know them [`QUIET_SECONDS`]
+//!   after the end of that fault.
 
 use crate::faults::relay::LinkFault;
 use crate::scenarios::scenario::{Fault, FaultKind, Scenario};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Seconds after a fault's end until all is taken to be known to all.
+/// Seconds after the end of a fault until every director is expected to know every update.
 pub const QUIET_SECONDS: f64 = 8.0;
 
-/// Separates the draws of schedules from all others of the same seed.
+/// Combined with the seed, so that schedules use other random numbers than the rest of the run.
 const SCHEDULE_SEED: u64 = 0x5707;
-/// Caches of a drawn run.
+/// Number of caches in a drawn scenario.
 const CACHES: usize = 8;
-/// Caches that drain at a time, at most.
+/// Maximum number of caches that drain at the same time.
 const MAX_DRAINED: usize = 2;
-/// Seconds at the end of a run in which no fault begins, beside [`QUIET_SECONDS`].
+/// Seconds at the end of a run in which no fault begins, in addition to [`QUIET_SECONDS`].
 const END_SECONDS: f64 = 4.0;
-/// Seconds until a director that was killed serves again.
+/// Seconds until a killed director serves again.
 const RESTART_SECONDS: f64 = 2.0;
 
-/// Draws a run.
+/// Draws a scenario that lasts `seconds`, with random faults.
 pub fn draw(directors: usize, seconds: f64, seed: u64) -> Scenario {
     let mut schedule = Schedule {
         random: StdRng::seed_from_u64(seed ^ SCHEDULE_SEED),
@@ -51,20 +55,20 @@
     }
 }
 
-/// A schedule while it is drawn. Times are seconds.
+/// A schedule while it is drawn. Times are in seconds.
 struct Schedule {
     random: StdRng,
     directors: usize,
-    /// Until when gossip is faulty.
+    /// The end of the latest gossip fault.
     faulty_until: f64,
-    /// Until when each director is stopped or starts anew.
+    /// When each director runs again after its last stop or kill.
     down_until: Vec<f64>,
-    /// Caches that drain by an operator's word.
+    /// The numbers of the caches with a drain override.
     drained: Vec<usize>,
     faults: Vec<Fault>,
 }
 
-/// A fault with nothing but its time and kind.
+/// Returns a fault of a kind at a time, with all other fields empty.
 fn fault(at: f64, kind: FaultKind) -> Fault {
     Fault {
         at: (at * 1e3).round() / 1e3,
@@ -89,7 +93,7 @@
         while at < end {
             let draw: f64 = self.random.random();
             if draw < 0.3 {
-                // A lull, in which operators tell of a drain, or take one back.
+                // A quiet period, after which an operator starts or ends a drain override.
                 at = at.max(self.faulty_until + QUIET_SECONDS + 0.1);
             }
             if at >= end {
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Cuts the fleet in two, or one from all others.
+    /// Partitions the fleet into two halves, or the first director from all others.
     fn partition(&mut self, at: f64) {
         let directors = self.directors;
         let middle = if self.random.random_bool(0.5) { directors / 2 } else { 1 };
@@ -145,7 +149,7 @@
         self.faults.push(Fault { who, to, lost: 1.0, lasts, ..fault(at, FaultKind::GossipLink) });
     }
 
-    /// Loses and delays messages between all directors.
+    /// Makes messages between all directors lossy and delayed.
     fn disturb_gossip(&mut self, at: f64) {
         let lasts = self.random.random_range(2.0..9.0);
         let (lost, late_ms) = (self.random.random_range(0.1..0.5), self.random.random_range(0..2_000));
--- a/crates/foxhold-testbed/src/servers/emulated/connection.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: a director, or a server that requests a fill.
+//! A connection accepted from a director, or from a server that requests a fill.
 
 use super::protocol::{encode_reply, ServerRequest};
 use super::Server;
@@ -11,10 +11,10 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Replies that may wait to be written.
+/// Capacity of the queue of replies to write.
 const REPLY_QUEUE: usize = 1024;
 
-/// A connection with the requests that are open on it.
+/// A connection with its requests in flight.
 struct Connection {
     server: Rc<Server>,
     replies: mpsc::Sender<Vec<u8>>,
@@ -23,7 +23,7 @@
     open: HashMap<String, AbortHandle>,
 }
 
-/// Serves a connection until it ends; everything open on it is given up then.
+/// Serves a connection until it closes. Its requests in flight are cancelled then.
 pub(super) async fn serve(server: Rc<Server>, stream: TcpStream, overloaded: mpsc::UnboundedSender<()>) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
@@ -82,7 +82,7 @@
             let reply = server.handle_request(&request, &overloaded).await;
             let mut bytes = encode_reply(&request, &reply);
             if server.planted.get() == Some(RuleBreach::OtherBytes) {
-                // The last byte of the copy, before the line's end.
+                // Replaces the last byte of the body, which the two bytes of the line end follow.
                 if let Some(byte) = bytes.iter_mut().rev().nth(2) {
                     *byte = b'x';
                 }
--- a/crates/foxhold-testbed/src/servers/emulated/fills.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/fills.rs
@@ -1,4 +1,4 @@
-//! Fills: what a cache gets from a parent or the origin, and a parent from the origin.
+//! Fills: of a cache from a parent or the origin, and of a parent from the origin.
 
 use super::protocol::{ServerReply, ServerRequest};
 use super::upstream::{self, UpstreamCall};
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// How long a server waits for a source.
+/// How long a server waits for a fill source's reply.
 const SOURCE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl Server {
-    /// A cache's miss, filled from the source that the request names.
+    /// Fills a cache's miss from the source that the request names.
     pub(super) async fn fill(self: &Rc<Self>, request: &ServerRequest, write: bool, kb: f64) -> ServerReply {
         let Some(source) = request.via.clone().filter(|via| *via != self.config.name) else {
             return ServerReply::Other("NOENT", "-");
@@ -35,12 +35,12 @@
             Some(ServerReply::Other("NOENT", _)) => ServerReply::Other("NOENT", "up_empty"),
             Some(ServerReply::Other("AGAIN", _)) => ServerReply::Other("AGAIN", "up_refused"),
             Some(ServerReply::Other(_, "root_failed")) => ServerReply::Other("EIO", "root_failed"),
-            // A write may have run there.
+            // The outcome is unknown: a write may have run at the source.
             _ => ServerReply::Other("EIO", "up_lost"),
         }
     }
 
-    /// A parent's miss, fetched from the origin once for all who wait.
+    /// Fetches a parent's miss from the origin. Concurrent requests for the same part share one fetch.
     pub(super) async fn fetch(self: &Rc<Self>, request: &ServerRequest, write: bool, kb: f64) -> ServerReply {
         if request.has_option("no-fetch") {
             return ServerReply::Other("NOENT", "-");
@@ -51,7 +51,7 @@
                 .await
                 .unwrap_or(ServerReply::Other("EIO", "root_failed"));
         }
-        // One that asks for a young copy does not wait for an older one.
+        // A request with an age limit does not join a fetch for requests without one.
         let key = (request.object.clone(), format!("{}/{}", request.part, u8::from(request.max_age_ms > 0)));
         let (done, waits) = oneshot::channel();
         let first = {
@@ -81,7 +81,8 @@
         waits.await.unwrap_or(ServerReply::Other("EIO", "root_failed"))
     }
 
-    /// Requests from another server; none: it could not be reached, broke off or took too long.
+    /// Requests a fill from another server. Returns `None` if that server cannot be reached, closes the connection
+    /// or does not reply within [`SOURCE_TIMEOUT`].
     async fn request_from_source(
         self: &Rc<Self>,
         name: &str,
--- a/crates/foxhold-testbed/src/servers/emulated/mod.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/mod.rs
@@ -1,10 +1,10 @@
-//! One emulated server: the line protocol on a socket, before a [model](crate::servers::model) of what it can
-//! do.
+//! One emulated server: the line protocol on a socket, with a [model](crate::servers::model) of its capacity and
+//! cache behind it.
 //!
-//! The same server runs as a process of its own (`foxhold-testbed emulate`, with commands on standard input
-//! and events on standard output) or as a task among others ([`crate::servers::in_process`]). Fills go over
-//! sockets like all else, so that a relay may stand between any two servers. A fill's request carries `by`,
-//! the name of the server that asks, beside the platform's fields.
+//! The same server runs as a separate process (`foxhold-testbed emulate`, with commands on standard input and
+//! events on standard output) or as a task among others ([`crate::servers::in_process`]). Fills go over sockets
+//! too, so that a relay can be placed between any two servers. The request of a fill carries the field `by`, the
+//! name of the requesting server, besides the platform's fields.
 
 mod config;
 mod connection;
@@ -32,50 +32,51 @@
 use tokio::task::JoinSet;
 use upstream::UpstreamCall;
 
-/// Requests may come for so long after a server was told that it drains: the platform's second, and a little
-/// for the way.
+/// How long requests may still arrive after the start of a drain: the 1 s that the platform allows, and a margin
+/// for the network.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
-/// How often, and at what interval, a server that comes back tries to listen at its address.
+/// Attempts of a restarted server to listen on its former address.
 const MAX_BIND_ATTEMPTS: u32 = 100;
+/// Interval between two of these attempts.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Milliseconds since 1970; all processes of a run share the machine's clock.
+/// Returns the Unix time in milliseconds. All processes of a run share the machine's clock.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
 type EventSender = mpsc::UnboundedSender<ServerEvent>;
 
-/// A server at work.
+/// A running server.
 struct Server {
     config: ServerConfig,
     started: Instant,
-    /// Since when it warms up; none: it started long ago.
+    /// The moment of its cold start; `None` if it did not start cold.
     warming_since: Cell<Option<Instant>>,
     memory: RefCell<CacheMemory>,
     link: RefCell<Link>,
     link_changed: Notify,
     transfers: RefCell<HashMap<u64, oneshot::Sender<()>>>,
     overload: RefCell<OverloadWindow>,
-    /// What came since it started cold; none: it never did.
+    /// The work received since the cold start; `None` if it did not start cold.
     budget: RefCell<Option<Budget>>,
     stopped_until: Cell<Option<Instant>>,
     draining_since: Cell<Option<Instant>>,
     slowdown: Cell<f64>,
     planted: Cell<Option<RuleBreach>>,
-    /// Seconds that each request takes more.
+    /// Seconds added to each request.
     delay: Cell<f64>,
     requests_in_flight: Cell<usize>,
     fills_in_flight: Cell<usize>,
     /// The addresses of other servers, by name.
     peers: RefCell<HashMap<String, String>>,
     sources: RefCell<HashMap<String, mpsc::UnboundedSender<UpstreamCall>>>,
-    /// Fills of a parent under way, and who waits for each.
+    /// Fetches of a parent in flight, with the requests that wait for each.
     collapsed: RefCell<HashMap<Key, Vec<oneshot::Sender<ServerReply>>>>,
     events: EventSender,
 }
 
-/// Counts something for as long as it lives.
+/// Increments a counter, and decrements it when dropped.
 struct InFlightGuard<'a>(&'a Cell<usize>);
 
 impl<'a> InFlightGuard<'a> {
@@ -91,15 +92,15 @@
     }
 }
 
-/// The budget of a server that starts cold, counted in requests of the mean over all its classes.
+/// Returns the slow start budget of a server, counted in requests of the mean work over all its classes.
 fn budget(config: &ServerConfig) -> Budget {
     let shares: f64 = config.kinds.iter().map(|k| k.share).sum();
     let work: f64 = config.kinds.iter().map(|k| k.share * config.spec.work(k.mean_kb)).sum();
     Budget::new(work / shares.max(1e-9))
 }
 
-/// Runs a server until it falls over or the sender of `commands` goes; `events` takes what happens. Needs a
-/// `LocalSet`.
+/// Runs a server until the sender of `commands` is dropped, and reports to `events`. A cache or parent that failed
+/// by overload refuses connections from then on. Needs a `LocalSet`.
 pub async fn run(
     config: ServerConfig,
     mut commands: mpsc::UnboundedReceiver<ServerCommand>,
@@ -129,7 +130,7 @@
             command = commands.recv() => match command {
                 None => return Ok(()),
                 Some(ServerCommand::Down(true)) => {
-                    // The port refuses, and what was open is reset.
+                    // Closes the listener so that the port refuses connections, and closes the open ones.
                     listener = None;
                     connections.shutdown().await;
                     server.restart_empty();
@@ -145,7 +146,7 @@
     }
 }
 
-/// The address once more; the one who had it may be ending still.
+/// Listens on the address again. Retries because the former listener may not be closed yet.
 async fn rebind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let mut attempts = 0;
     loop {
@@ -184,18 +185,18 @@
         }
     }
 
-    /// Seconds since the start.
+    /// Returns the seconds since the start.
     fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    /// The share of its capacity that it has now.
+    /// Returns the share of the link's capacity that is available now.
     fn warmth(&self) -> f64 {
         let age = self.warming_since.get().map(|since| since.elapsed().as_secs_f64());
         self.config.spec.warmth(age)
     }
 
-    /// What the link carries now, in transfers at full pace.
+    /// Returns the present capacity of the link, in concurrent transfers at full speed.
     fn link_size(&self) -> f64 {
         self.config.spec.link * self.warmth() / self.slowdown.get()
     }
@@ -270,7 +271,7 @@
         reply
     }
 
-    /// Reports a request that came whole, and whether it came too late after a drain.
+    /// Reports a request, and a second event if it arrived too late after the start of a drain.
     fn record(&self, request: &ServerRequest, full: bool) {
         let _ = self.events.send(ServerEvent::Asked { ms: unix_ms(), request: request.clone(), full });
         if self.draining_since.get().is_some_and(|at| at.elapsed() > DRAIN_GRACE) {
@@ -278,13 +279,14 @@
         }
     }
 
-    /// Counts a request's work, and lets the server fall over where it is too much.
+    /// Counts the work of a request, and makes the server fail if it is overloaded.
     fn count_work(&self, kb: f64, mean_kb: f64, overloaded: &mpsc::UnboundedSender<()>) {
         let spec = &self.config.spec;
-        // What caches ask is work of its size; of a cache each attempt counts at the mean, served or not.
+        // At a cache each attempt counts as the class's mean work, served or not. At parents and the origin a
+        // request counts as the work of its own size.
         let work = if spec.role == Role::Cache { spec.work(mean_kb) } else { spec.work(kb) };
         let overrun = self.overload.borrow_mut().push(self.now(), work, self.warmth(), spec);
-        // The plain limit, without what the page puts down to chance, holds for cold servers too.
+        // The plain limit, without the allowance for chance of the slow start budget, applies to cold servers too.
         let overrun_cold = self.overloads_slow_start(work).unwrap_or(false);
         if overrun || overrun_cold {
             self.fail_by_overload(overloaded);
@@ -305,14 +307,15 @@
         ServerReply::Copy { minted, note: "cached", lag: Duration::ZERO }
     }
 
-    /// The copy, if it is young enough.
+    /// Returns the cached copy if it is within the request's age limit.
     fn cached(&self, request: &ServerRequest) -> Option<CachedCopy> {
         let copy = self.memory.borrow_mut().get(&request.key(), request.tier)?;
         let any = request.max_age_ms == 0 || self.planted.get() == Some(RuleBreach::OldCopy);
         (any || unix_ms().saturating_sub(copy.minted) <= request.max_age_ms).then_some(copy)
     }
 
-    /// Whether work that comes to a cold server pushes it over; none: it is warm.
+    /// Counts work in the slow start budget and returns whether it overloads the server. Returns `None` for a warm
+    /// server and for the origin.
     fn overloads_slow_start(&self, work: f64) -> Option<bool> {
         let warmth = self.warmth();
         let mut budget = self.budget.borrow_mut();
--- a/crates/foxhold-testbed/src/servers/emulated/process.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/process.rs
@@ -1,4 +1,4 @@
-//! An emulated server as a process of its own.
+//! An emulated server as a separate process.
 
 use super::config::ServerConfig;
 use super::protocol::ServerCommand;
@@ -6,8 +6,8 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::sync::mpsc;
 
-/// Runs a server as a process of its own: told by a line of JSON each on standard input, telling so on
-/// standard output; it ends with its standard input.
+/// Runs a server as a separate process until its standard input closes. Reads commands from standard input and
+/// writes events to standard output, each as one line of JSON.
 pub fn process(config: ServerConfig) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
--- a/crates/foxhold-testbed/src/servers/emulated/protocol.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/protocol.rs
@@ -1,4 +1,4 @@
-//! What an emulated server is told and tells, and the requests and replies of the line protocol.
+//! Commands to an emulated server, events from it, and the requests and replies of the line protocol.
 
 use crate::checks::slow_start_budget::SlowStartWindow;
 use crate::scenarios::scenario::RuleBreach;
@@ -7,83 +7,83 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// What a server is told.
+/// A command to an emulated server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServerCommand {
-    /// Where the others are, by name: all that it may be given as a source.
+    /// The addresses of all servers that requests may name as a fill source, by name.
     Peers(HashMap<String, String>),
-    /// It drains: what comes over a second later breaks a rule.
+    /// Starts a drain: requests that arrive over a second later break a rule.
     Drain,
-    /// It no longer drains.
+    /// Ends a drain.
     Undrain,
-    /// Drops copies made before this Unix millisecond: of an object, or of all objects of these groups.
+    /// Drops copies that the origin sent before `ms`, of one object or of all objects of some groups.
     Purge {
-        /// 16 hex digits.
+        /// The object, as 16 hex digits; `None`: the groups.
         object: Option<String>,
-        /// Groups that are purged whole.
+        /// Groups whose objects are all purged; used if there is no object.
         groups: Vec<u32>,
-        /// Unix milliseconds.
+        /// Time of the purge in Unix milliseconds.
         ms: u64,
     },
-    /// Everything takes so many times as long.
+    /// Multiplies the duration of everything the server does by this factor.
     Slow(f64),
-    /// Everything takes so many seconds more.
+    /// Adds this many seconds to each request.
     Delay(f64),
-    /// Breaks a rule from now on.
+    /// Makes the server break a rule from now on, to test that the breach is detected.
     Plant(RuleBreach),
-    /// Its process dies (true), or another takes its place, cold and empty. For servers that are tasks.
+    /// Crashes the server (true), or restarts it cold and empty (false). For servers that are tasks.
     Down(bool),
 }
 
-/// What a server tells.
+/// An event that an emulated server reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServerEvent {
-    /// It listens here.
+    /// The server listens on this address.
     Listens(String),
-    /// A request came whole.
+    /// A complete request arrived.
     Asked {
-        /// Unix milliseconds.
+        /// Time of arrival in Unix milliseconds.
         ms: u64,
-        /// The request as it came.
+        /// The request as received.
         request: ServerRequest,
-        /// Turned away unseen.
+        /// Whether it was refused because the server had no free slot.
         full: bool,
     },
-    /// A write ran: the id of its request.
+    /// A write ran for the request with this id.
     Ran(String),
-    /// It fell over (the origin: stopped), and whether it was cold.
+    /// The server failed by overload: a cache or parent crashed, or the origin stopped.
     Fell {
-        /// Unix milliseconds.
+        /// Time of the failure in Unix milliseconds.
         ms: u64,
-        /// Whether it had started lately.
+        /// Whether it was in slow start.
         warming_up: bool,
     },
-    /// It is cold, and so much came within the window that ends now.
+    /// Work arrived during slow start; describes the window that ends with it.
     SlowStart(SlowStartWindow),
-    /// Something came over a second after it was told that it drains.
+    /// The request with this id arrived over a second after the start of a drain.
     Drained(String),
 }
 
-/// A request as it came.
+/// A request of the line protocol, as received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerRequest {
     /// The request's id.
     pub id: String,
-    /// The class.
+    /// The name of its class.
     pub kind: String,
-    /// The object.
+    /// The object, as 16 hex digits.
     pub object: String,
-    /// The part.
+    /// The part of the object, the field `seg`.
     pub part: String,
-    /// From where a miss is to be filled.
+    /// The fill source for a miss.
     pub via: Option<String>,
-    /// The rank at which a copy is kept.
+    /// The cache rank at which to keep a copy; 0: do not keep it.
     pub tier: u8,
-    /// The oldest copy that will do, in milliseconds; 0: any.
+    /// The maximum age of a copy in milliseconds; 0: no limit.
     pub max_age_ms: u64,
-    /// The words of `opts`.
+    /// The field `opts`: options joined by `+`.
     pub opts: String,
-    /// The server that asks for a fill; empty: a director.
+    /// The server that requests a fill; empty if a director sent the request.
     pub by: String,
 }
 
@@ -114,16 +114,17 @@
     }
 }
 
-/// How a request ended.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ServerReply {
-    /// With a copy: when it was minted, and how it came about.
+    /// A copy, with the Unix milliseconds at which the origin sent it, the note on how it was obtained and the
+    /// time that the fill took.
     Copy { minted: u64, note: &'static str, lag: Duration },
-    /// With a word and a note.
+    /// Another reply: its word and its note; `-`: no note.
     Other(&'static str, &'static str),
 }
 
-/// A reply on the wire. A copy's bytes say what it is of and when it was minted.
+/// Encodes a reply for the wire. The body of a copy states its object, its part and when the origin sent it.
 pub(super) fn encode_reply(request: &ServerRequest, reply: &ServerReply) -> Vec<u8> {
     let id = &request.id;
     match reply {
--- a/crates/foxhold-testbed/src/servers/emulated/transfers.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/transfers.rs
@@ -5,13 +5,14 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Seconds after which a link without transfers is looked at again.
+/// Interval in seconds at which a link without transfers is checked.
 const IDLE_WAIT_S: f64 = 60.0;
-/// Shortest and longest wait while transfers are under way, in seconds: a link that warms up grows meanwhile.
+/// Shortest wait in seconds until the next check while there are transfers.
 const MIN_WAIT_S: f64 = 0.0005;
+/// Longest wait in seconds while there are transfers. Bounded because the link's capacity grows in slow start.
 const MAX_WAIT_S: f64 = 0.1;
 
-/// A transfer under way; dropped before its end, it leaves the link to the others.
+/// A transfer in flight. Dropping it before its end frees its share of the link.
 struct Transfer<'a> {
     server: &'a Server,
     number: u64,
@@ -28,7 +29,7 @@
 }
 
 impl Server {
-    /// Lets the link's transfers end when their time has come.
+    /// Runs the link: completes each transfer when it ends.
     pub(super) async fn drive_link(self: Rc<Self>) {
         loop {
             let wait = {
@@ -36,7 +37,7 @@
                 link.advance(self.now(), self.link_size());
                 for ended in link.ended() {
                     if let Some(done) = self.transfers.borrow_mut().remove(&ended) {
-                        let _ = done.send(()); // its request may have been cancelled
+                        let _ = done.send(()); // the request may have been cancelled
                     }
                 }
                 link.next_end(self.link_size()).map_or(IDLE_WAIT_S, |wait| wait.clamp(MIN_WAIT_S, MAX_WAIT_S))
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Sends so much work over the link.
+    /// Sends `work` seconds of work over the link, and returns when it is sent.
     pub(super) async fn transfer(&self, work: f64) {
         if work <= 0.0 {
             return;
--- a/crates/foxhold-testbed/src/servers/emulated/upstream.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/upstream.rs
@@ -9,23 +9,23 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinSet;
 
-/// A connection that is not up by then has failed.
+/// Time limit for connecting to another server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Replies that may wait to be matched with their requests.
+/// Capacity of the queue of replies to match with their requests.
 const REPLY_QUEUE: usize = 64;
 
 /// A request to another server.
 pub(super) struct UpstreamCall {
     /// The request to pass on.
     pub(super) request: ServerRequest,
-    /// The name of the server that asks.
+    /// The name of the requesting server.
     pub(super) caller: String,
-    /// Takes the reply; dropped where none comes.
+    /// Receives the reply; dropped if there is none.
     pub(super) done: oneshot::Sender<ServerReply>,
 }
 
-/// Carries calls over one connection to another server. It ends when that connection does, and with it all
-/// calls on it.
+/// Sends calls over one connection to another server. Returns when the connection closes, which fails all calls
+/// on it.
 pub(super) async fn connect(address: String, mut calls: mpsc::UnboundedReceiver<UpstreamCall>) {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address));
     let Ok(Ok(stream)) = connect.await else { return };
@@ -50,14 +50,14 @@
                 let Some(line) = line else { return };
                 let Some((number, reply)) = parse_reply(&line) else { continue };
                 if let Some(done) = waiting.remove(&number) {
-                    let _ = done.send(reply); // who asked may have given up
+                    let _ = done.send(reply); // the caller may have timed out
                 }
             }
         }
     }
 }
 
-/// Hands over the head line of each reply, and reads past its body.
+/// Passes on the head line of each reply and skips its body.
 async fn read_replies(mut read: BufReader<OwnedReadHalf>, lines: mpsc::Sender<String>) {
     let mut line = String::new();
     loop {
@@ -82,7 +82,7 @@
     )
 }
 
-/// The number of the request that a reply answers, and the reply; none: it can't be read.
+/// Returns the number of the request that a reply belongs to, and the reply. Returns `None` for a malformed line.
 fn parse_reply(line: &str) -> Option<(u64, ServerReply)> {
     let words: Vec<&str> = line.split_whitespace().collect();
     let [number, word, fields, _] = words[..] else { return None };
--- a/crates/foxhold-testbed/src/servers/in_process.rs
+++ b/crates/foxhold-testbed/src/servers/in_process.rs
@@ -1,8 +1,8 @@
-//! Emulated servers on loopback: they hold what they were told to keep, fill from each other, and fail when
-//! told.
+//! Emulated servers on loopback, within this process. They keep the copies that requests ask them to keep, fill
+//! from each other, and fail on command.
 //!
-//! They speak the line protocol as its page has it. Nothing is evicted and no time is modelled but a stated
-//! delay, so that what a director sees depends on what it asks and on nothing else.
+//! They speak the documented line protocol. Nothing is evicted, and the only time modelled is a delay that the
+//! caller sets. What a director sees therefore depends only on what it requests.
 
 use crate::servers::emulated::unix_ms;
 pub use crate::servers::model::Role;
@@ -15,23 +15,23 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// The toy deployment's zones: servers stand in the first, caches and clients in the second.
+/// Zones of the emulated deployment: parents and the origin are in the first, caches and clients in the second.
 const ZONES: [&str; 2] = ["hub", "branch"];
 
-/// A request as a server saw it. Times and ages are left out: they differ from play to play.
+/// A request as a server received it. Times and ages are left out because they differ between runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
     /// The request's id.
     pub id: String,
-    /// Who was asked.
+    /// The name of the server that received it.
     pub server: String,
-    /// From where a miss was to be filled.
+    /// The fill source for a miss.
     pub via: Option<String>,
-    /// The rank at which a copy was to be kept.
+    /// The cache rank at which to keep a copy; 0: do not keep it.
     pub tier: u8,
-    /// The words of `opts`.
+    /// The field `opts`, unparsed.
     pub opts: String,
-    /// Whether only a copy younger than some age would do.
+    /// Whether the request limited the age of the copy.
     pub aged: bool,
 }
 
@@ -39,7 +39,7 @@
     role: Role,
     address: SocketAddr,
     cached: HashSet<(String, String)>,
-    /// Refuses connections, and ended those that it had.
+    /// While true, the server refuses connections, and the open ones have been closed.
     down: watch::Sender<bool>,
     delay: Duration,
 }
@@ -51,7 +51,7 @@
     events: Vec<String>,
 }
 
-/// A fleet that runs on the present runtime for as long as this lives.
+/// A running fleet of emulated servers. Its tasks run on the current runtime and end when this is dropped.
 pub struct EmulatedFleet {
     state: Arc<Mutex<State>>,
     discovery_address: SocketAddr,
@@ -60,12 +60,12 @@
 }
 
 fn lock(state: &Arc<Mutex<State>>) -> MutexGuard<'_, State> {
-    // A emulated server that panicked is a failed test already.
+    // A panic in an emulated server has already failed the test.
     state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 impl EmulatedFleet {
-    /// So many caches and parents and one origin, on ports of their own.
+    /// Starts the given numbers of caches and parents and one origin, each on a free port.
     pub async fn start(caches: usize, parents: usize) -> std::io::Result<EmulatedFleet> {
         let (state, mut tasks): (Arc<Mutex<State>>, _) = (Arc::default(), JoinSet::new());
         let roles = [(Role::Cache, caches), (Role::Parent, parents), (Role::Origin, 1)];
@@ -73,20 +73,20 @@
             for n in 1..=count {
                 let name = format!("{}-{n}", role.kind());
                 let listener = TcpListener::bind("127.0.0.1:0").await?;
-                let (down, told) = watch::channel(false);
+                let (down, down_changed) = watch::channel(false);
                 let address = listener.local_addr()?;
                 let server = Server { role, address, cached: HashSet::new(), down, delay: Duration::ZERO };
                 lock(&state).servers.insert(name.clone(), server);
-                tasks.spawn(listen(listener, name, state.clone(), told));
+                tasks.spawn(listen(listener, name, state.clone(), down_changed));
             }
         }
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let board = listener.local_addr()?;
-        let (news, told) = watch::channel(0);
-        tasks.spawn(tell(listener, state.clone(), told));
-        let fleet = EmulatedFleet { state, discovery_address: board, event_count: news, _tasks: tasks };
+        let discovery_address = listener.local_addr()?;
+        let (event_count, events_changed) = watch::channel(0);
+        tasks.spawn(serve_watches(listener, state.clone(), events_changed));
+        let fleet = EmulatedFleet { state, discovery_address, event_count, _tasks: tasks };
         let names: Vec<String> = lock(&fleet.state).servers.keys().cloned().collect();
-        fleet.event_line(|rev, state| {
+        fleet.publish(|rev, state| {
             let members: Vec<String> =
                 names.iter().map(|n| member(n, &state.servers[n], "in_service")).collect();
             let list = members.join(",");
@@ -95,7 +95,7 @@
         Ok(fleet)
     }
 
-    fn event_line(&self, event: impl FnOnce(usize, &State) -> String) {
+    fn publish(&self, event: impl FnOnce(usize, &State) -> String) {
         let mut state = lock(&self.state);
         let rev = state.events.len() + 1;
         let line = event(rev, &state);
@@ -104,7 +104,7 @@
         self.event_count.send_replace(rev);
     }
 
-    /// The platform's configuration for a director before this fleet.
+    /// Returns the platform configuration for a director that routes to this fleet.
     pub fn config(&self, listen: &str, seed: u64) -> String {
         let state = lock(&self.state);
         let (board, rev, notices) = (self.discovery_address, state.events.len(), state.events.join(","));
@@ -125,12 +125,13 @@
         )
     }
 
-    /// Tells of a drain by the discovery service.
+    /// Announces a drain through the discovery service.
     pub fn drain(&self, name: &str) {
-        self.event_line(|rev, state| change(rev, &member(name, &state.servers[name], "terminating")));
+        self.publish(|rev, state| member_event(rev, &member(name, &state.servers[name], "terminating")));
     }
 
-    /// A process dies: its connections are reset and new ones refused. Nobody is told.
+    /// Crashes a server: its copies are lost, its connections closed and new ones refused. The discovery
+    /// service does not announce it.
     pub fn crash(&self, name: &str) {
         let mut state = lock(&self.state);
         let Some(server) = state.servers.get_mut(name) else { return };
@@ -138,28 +139,28 @@
         server.down.send_replace(true);
     }
 
-    /// It comes back, empty.
+    /// Restarts a crashed server with an empty cache.
     pub fn back(&self, name: &str) {
         if let Some(server) = lock(&self.state).servers.get(name) {
             server.down.send_replace(false);
         }
     }
 
-    /// Everything that this server does takes so much longer.
+    /// Sets the delay added to every response of a server.
     pub fn slow(&self, name: &str, delay: Duration) {
         if let Some(server) = lock(&self.state).servers.get_mut(name) {
             server.delay = delay;
         }
     }
 
-    /// Purges an object everywhere, and tells of it by the discovery service.
+    /// Purges an object from all servers and announces the purge through the discovery service.
     pub fn purge(&self, object: &str) {
         lock(&self.state).servers.values_mut().for_each(|s| s.cached.retain(|(o, _)| o != object));
         let ms = unix_ms();
-        self.event_line(|rev, _| format!(r#"{{"rev":{rev},"flush":{{"asset":"{object}","ms":{ms}}}}}"#));
+        self.publish(|rev, _| format!(r#"{{"rev":{rev},"flush":{{"asset":"{object}","ms":{ms}}}}}"#));
     }
 
-    /// Everything that servers were asked, in its order.
+    /// Returns all requests that servers received, in order of arrival.
     pub fn seen(&self) -> Vec<ReceivedRequest> {
         lock(&self.state).seen.clone()
     }
@@ -173,16 +174,21 @@
     )
 }
 
-fn change(rev: usize, member: &str) -> String {
+fn member_event(rev: usize, member: &str) -> String {
     format!(r#"{{"rev":{rev},"pool":{{"revision":{rev},"complete":false,"members":[{member}]}}}}"#)
 }
 
-/// The board: events after the one asked for, and each second the last number.
-async fn tell(listener: TcpListener, state: Arc<Mutex<State>>, news: watch::Receiver<usize>) {
-    let mut followers = JoinSet::new();
+/// Serves watches of the discovery service: sends the events after the requested revision, and the last revision
+/// every second as a heartbeat.
+async fn serve_watches(
+    listener: TcpListener,
+    state: Arc<Mutex<State>>,
+    events_changed: watch::Receiver<usize>,
+) {
+    let mut watches = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
-        let (state, mut news) = (state.clone(), news.clone());
-        followers.spawn(async move {
+        let (state, mut events_changed) = (state.clone(), events_changed.clone());
+        watches.spawn(async move {
             let (read, mut write) = stream.into_split();
             let mut line = String::new();
             if BufReader::new(read).read_line(&mut line).await.is_err() {
@@ -196,7 +202,7 @@
                 if write.write_all(text.as_bytes()).await.is_err() {
                     return;
                 }
-                let _ = tokio::time::timeout(Duration::from_secs(1), news.changed()).await;
+                let _ = tokio::time::timeout(Duration::from_secs(1), events_changed.changed()).await;
             }
         });
     }
@@ -212,7 +218,7 @@
     let mut connections = JoinSet::new();
     loop {
         if *down.borrow_and_update() {
-            // Out of scope: the port refuses, and what was open is reset.
+            // Closes the listener so that the port refuses connections, and closes the open ones.
             listener = None;
             connections.shutdown().await;
             if down.changed().await.is_err() {
@@ -289,7 +295,7 @@
             Role::Origin => "cached",
             _ if held => "cached",
             Role::Parent => {
-                self.hold(name, &key);
+                self.insert_copy(name, &key);
                 "fetched_root"
             }
             Role::Cache => {
@@ -304,10 +310,10 @@
                 let there = self.servers[source].cached.contains(&key);
                 let note = if there { "fetched" } else { "fetched_root" };
                 if self.servers[source].role == Role::Parent {
-                    self.hold(source, &key);
+                    self.insert_copy(source, &key);
                 }
                 if kept {
-                    self.hold(name, &key);
+                    self.insert_copy(name, &key);
                 }
                 note
             }
@@ -331,7 +337,7 @@
         });
     }
 
-    fn hold(&mut self, name: &str, key: &(String, String)) {
+    fn insert_copy(&mut self, name: &str, key: &(String, String)) {
         if let Some(server) = self.servers.get_mut(name) {
             server.cached.insert(key.clone());
         }
--- a/crates/foxhold-testbed/src/servers/mod.rs
+++ b/crates/foxhold-testbed/src/servers/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`emulated`] | one emulated server on a socket, as a process or a task |
+//! | [`emulated`] | an emulated server on a socket, run as a process or as a task |
 //! | [`in_process`] | emulated servers and a discovery service within this process |
-//! | [`model`] | what an emulated server can do and hold; no clock, no I/O |
+//! | [`model`] | capacity and cache of an emulated server, without clock or I/O |
 
 pub mod emulated;
 pub mod in_process;
--- a/crates/foxhold-testbed/src/servers/model.rs
+++ b/crates/foxhold-testbed/src/servers/model.rs
@@ -1,24 +1,25 @@
-//! What a emulated server server can do and hold, without clock or I/O: links that divide themselves, memory
-//! by rank and recency, cold starts, and pushing over. Times are seconds, sizes KB, work is seconds of
-//! sending at full pace.
+//! The model of an emulated server, without clock or I/O: a link shared among transfers, a cache ordered by rank
+//! and recency, slow start, and failure by overload.
+//!
+//! Times are in seconds and sizes in KB. Work is the seconds that one transfer takes at full speed.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// What a server is.
+/// The kind of an emulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Keeps what it fills as it is told, asks a source for what it lacks.
+    /// Fills misses from the source that the request names, and keeps copies at the rank that it gives.
     Cache,
-    /// Keeps everything that it fetched from the origin.
+    /// Fills misses from the origin, and keeps everything that it fetches.
     Parent,
-    /// Has everything.
+    /// Holds every object.
     Origin,
 }
 
 impl Role {
-    /// The kind's name in the list.
+    /// Returns the name of the kind in the member list.
     pub fn kind(self) -> &'static str {
         match self {
             Role::Cache => "cache",
@@ -28,38 +29,38 @@
     }
 }
 
-/// What one server can do.
+/// The capacity of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerSpec {
-    /// What it is.
+    /// Decides how misses are handled and what an overload does.
     pub role: Role,
-    /// Its link, in transfers at full pace.
+    /// Capacity of its link, in concurrent transfers at full speed.
     pub link: f64,
-    /// What one transfer at full pace carries, in KB a second; 0: bytes take no time.
+    /// Speed of one transfer at full speed, in KB per second; 0: transfers take no time.
     pub flow: f64,
-    /// Requests in work; beyond them it turns away.
+    /// Maximum of requests in flight; further requests are refused.
     pub slots: usize,
-    /// Fills under way; beyond them it turns away with the note that says so.
+    /// Maximum of fills in flight; further fills are refused with the note `fills_full`.
     pub fills: usize,
-    /// What it can hold, in KB.
+    /// Capacity of its cache, in KB.
     pub memory: f64,
-    /// Seconds that each request takes before its first byte.
+    /// Seconds from a request to the first byte of its response.
     pub before: f64,
-    /// The share of its link that it starts with when cold, and the seconds until all of it is there.
+    /// Share of the link's capacity at a cold start, from 0 to 1.
     pub floor: f64,
-    /// See `floor`.
+    /// Seconds from a cold start until the link has its full capacity.
     pub warm: f64,
-    /// Sent more than this multiple of what it can do for `window` seconds, it falls over (the origin:
-    /// stops).
+    /// A server that receives more than this multiple of its capacity within `window` seconds fails by overload:
+    /// a cache or parent crashes, the origin stops for `stop` seconds.
     pub multiple: f64,
-    /// See `multiple`.
+    /// Length in seconds of the window over which work is summed.
     pub window: f64,
-    /// How long a stopped origin stays so, in seconds; a cache or parent stays down.
+    /// Seconds for which an overloaded origin fails requests. Not used for caches and parents, which stay down.
     pub stop: f64,
 }
 
 impl ServerSpec {
-    /// One that takes no time, holds everything and never fails by itself.
+    /// Returns a server that responds without delay, can hold every object and never fails by overload.
     pub fn instant(role: Role) -> ServerSpec {
         let most = 1e9;
         ServerSpec {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Seconds of sending at full pace.
+    /// Returns the seconds that a transfer of `kb` takes at full speed.
     pub fn work(&self, kb: f64) -> f64 {
         if self.flow > 0.0 {
             kb / self.flow
@@ -87,13 +88,14 @@
         }
     }
 
-    /// The share of its link that is there so long after a cold start; none: it was always warm.
+    /// Returns the share of the link's capacity that is available `age` seconds after a cold start. `None` means
+    /// that the server did not start cold.
     pub fn warmth(&self, age: Option<f64>) -> f64 {
         age.map_or(1.0, |age| (self.floor + (1.0 - self.floor) * age / self.warm).clamp(self.floor, 1.0))
     }
 }
 
-/// A link that all transfers under way share alike, none above full pace (processor sharing). Kept in virtual
+/// A link that all transfers share equally, none above full speed (processor sharing). It is kept in virtual
 /// time: a transfer of work `w` that begins at virtual time `v` ends at `v + w`.
 #[derive(Debug, Default)]
 pub struct Link {
@@ -104,62 +106,64 @@
 }
 
 impl Link {
-    /// How fast each transfer goes, by what the link carries at full pace.
+    /// Returns the speed of each transfer as a share of full speed, on a link that carries `carries` transfers at
+    /// full speed.
     fn pace(&self, carries: f64) -> f64 {
         (carries / self.ends.len().max(1) as f64).min(1.0)
     }
 
-    /// Lets time pass; `carries` is the link's size since the last call.
+    /// Advances to `now`; `carries` is the link's capacity since the last call.
     pub fn advance(&mut self, now: f64, carries: f64) {
         self.virtual_now += (now - self.at).max(0.0) * self.pace(carries);
         self.at = self.at.max(now);
     }
 
-    /// Begins a transfer and gives its number.
+    /// Starts a transfer and returns its number.
     pub fn begin(&mut self, work: f64) -> u64 {
         self.next += 1;
-        // Positive numbers keep their order as bits.
+        // The bits of non-negative floats sort like the floats.
         self.ends.insert(((self.virtual_now + work.max(0.0)).to_bits(), self.next), self.next);
         self.next
     }
 
-    /// Gives a transfer up.
+    /// Cancels a transfer.
     pub fn cancel(&mut self, number: u64) {
         self.ends.retain(|_, n| *n != number);
     }
 
-    /// Transfers that have ended by the virtual time reached.
+    /// Removes the transfers that have ended by now and returns their numbers.
     pub fn ended(&mut self) -> Vec<u64> {
         let still = self.ends.split_off(&((self.virtual_now + 1e-9).to_bits(), u64::MAX));
         std::mem::replace(&mut self.ends, still).into_values().collect()
     }
 
-    /// Seconds until the next transfer ends, if the link's size stays so.
+    /// Returns the seconds until the next transfer ends if the link's capacity does not change, or `None` without
+    /// transfers.
     pub fn next_end(&self, carries: f64) -> Option<f64> {
         let ((end, _), _) = self.ends.first_key_value()?;
         Some((f64::from_bits(*end) - self.virtual_now).max(0.0) / self.pace(carries).max(1e-9))
     }
 
-    /// Transfers under way.
+    /// Returns the number of transfers in flight.
     pub fn under_way(&self) -> usize {
         self.ends.len()
     }
 }
 
-/// A copy that is held.
+/// A copy of an object's part in a server's cache.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedCopy {
-    /// Unix milliseconds at which the origin gave it out.
+    /// Unix milliseconds at which the origin sent it.
     pub minted: u64,
     kb: f64,
     rank: u8,
     used: u64,
 }
 
-/// What a copy is of: object and part.
+/// Identifies a copy: its object and part.
 pub type Key = (String, String);
 
-/// Memory: the lowest rank goes first, in a rank what was used longest ago.
+/// A server's cache. Evicts the lowest rank first, and within a rank the least recently used copy.
 #[derive(Debug, Default)]
 pub struct CacheMemory {
     copies: HashMap<Key, CachedCopy>,
@@ -169,7 +173,7 @@
 }
 
 impl CacheMemory {
-    /// The copy, which counts as used; a rank above 0 is set anew.
+    /// Returns the copy and marks it as used. A `rank` above 0 replaces its rank.
     pub fn get(&mut self, key: &Key, rank: u8) -> Option<CachedCopy> {
         let held = self.copies.get_mut(key)?;
         self.clock += 1;
@@ -180,7 +184,8 @@
         Some(*held)
     }
 
-    /// Keeps a copy, where room can be made for it from its own rank and those below; whether it is kept.
+    /// Stores a copy, evicting copies of its rank and below if needed. Returns `false` if that does not free
+    /// enough memory; the copy is not stored then.
     pub fn keep(&mut self, key: Key, kb: f64, rank: u8, minted: u64, memory: f64) -> bool {
         self.drop_copy(&key);
         while self.kb + kb > memory {
@@ -206,25 +211,25 @@
         }
     }
 
-    /// Drops what a purge names: copies of these objects older than that.
+    /// Drops the copies of the purged objects that were sent by the origin before `before_ms`.
     pub fn purge(&mut self, named: impl Fn(&str) -> bool, before_ms: u64) {
         let old = |(key, held): (&Key, &CachedCopy)| named(&key.0) && held.minted < before_ms;
         let keys: Vec<Key> = self.copies.iter().filter(|e| old(*e)).map(|e| e.0.clone()).collect();
         keys.iter().for_each(|key| self.drop_copy(key));
     }
 
-    /// Copies held.
+    /// Returns the number of copies.
     pub fn len(&self) -> usize {
         self.copies.len()
     }
 
-    /// Whether none is.
+    /// Returns whether there are no copies.
     pub fn is_empty(&self) -> bool {
         self.copies.is_empty()
     }
 }
 
-/// Work that reached a server within the last window: what pushes it over.
+/// The work that reached a server within the last window, by which it fails by overload.
 #[derive(Debug, Default)]
 pub struct OverloadWindow {
     work: VecDeque<(f64, f64)>,
@@ -232,7 +237,7 @@
 }
 
 impl OverloadWindow {
-    /// Counts work; whether the server falls over by it, at this share of its link.
+    /// Counts work. Returns whether it overloads the server, whose link has the share `warmth` of its capacity.
     pub fn push(&mut self, now: f64, work: f64, warmth: f64, spec: &ServerSpec) -> bool {
         self.work.push_back((now, work));
         self.sum += work;
@@ -243,7 +248,7 @@
     }
 }
 
-/// A well-mixed hash as a number from 0 to 1.
+/// Hashes a number to a value in 0..1.
 fn unit(mut x: u64) -> f64 {
     for k in [0xbf58_476d_1ce4_e5b9_u64, 0x94d0_49bb_1331_11eb] {
         x = (x ^ (x >> 30)).wrapping_mul(k);
@@ -251,15 +256,15 @@
     (x >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// An object's size in KB: the same at every process, about the class's mean, uneven by a factor of three
-/// either way.
+/// Returns the size of an object in KB: the same in every process, and spread around the class's mean by
+/// about a factor of three either way.
 pub fn size_kb(object: &str, mean: f64) -> f64 {
     let number = u64::from_str_radix(object, 16).unwrap_or(0);
     let [a, b, c] = [1, 2, 3].map(|n| unit(number.wrapping_add(n)));
     mean * ((a + b + c - 1.5) * 1.1).exp() / 1.16
 }
 
-/// An object's group.
+/// Returns the group of an object, from 0 to 31.
 pub fn group(object: &str) -> u32 {
     let number = u64::from_str_radix(object, 16).unwrap_or(0);
     (unit(number ^ 0x5bd1_e995) * 32.0) as u32
