--- a/crates/foxhold-testbed/src/load/clients.rs
+++ b/crates/foxhold-testbed/src/load/clients.rs
@@ -1,5 +1,5 @@
-//! An open-loop load over HTTP: arrivals are drawn ahead and wait for no answer, latency counts from the
-//! intended start, and what comes back is held against the rules.
+//! An open-loop load over HTTP. Arrivals are drawn in advance and do not wait for responses. Latency counts from
+//! the intended start of a request. Responses are checked against the rules.
 
 mod http;
 
@@ -19,22 +19,22 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// A request, drawn ahead.
+/// A request with the time at which to send it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Seconds after the load's start; below 0 while the fleet settles.
+    /// Seconds after the start of the measured load; negative during warm-up.
     pub at: f64,
     /// The director's number, from 0.
     pub director: usize,
-    /// The class's place in the scenario.
+    /// Index of the class in the scenario.
     pub class: usize,
     /// The object's number, from 1.
     pub object: u64,
-    /// When its client leaves; none: it stays.
+    /// When and how its client disconnects; `None` if it waits for the response.
     pub leave: Option<Disconnect>,
 }
 
-/// What a fault makes of the load while it lasts, from `at` for `lasts` seconds.
+/// Returns the fault of this kind that is in force at a time. Of several, the latest applies.
 fn during(plan: &Scenario, what: FaultKind, at: f64) -> Option<&crate::scenarios::scenario::Fault> {
     let holds = |f: &&crate::scenarios::scenario::Fault| {
         f.kind == what && at >= f.at && f.lasts.is_none_or(|lasts| at < f.at + lasts)
@@ -42,17 +42,17 @@
     plan.faults.iter().filter(holds).max_by(|a, b| a.at.total_cmp(&b.at))
 }
 
-/// Draws all arrivals of a run, from `settle` seconds before its start.
+/// Draws all arrivals of a run, beginning `settle` seconds before the start of the measured load.
 pub fn draw(plan: &Scenario, settle: f64) -> Vec<Arrival> {
     let mut random = StdRng::seed_from_u64(plan.seed);
     let (Ok(popular), Ok(gap)) = (Zipf::new(plan.objects as f64, plan.zipf), Exp::new(plan.rate)) else {
-        return Vec::new(); // a plan that was checked has good laws
+        return Vec::new(); // not reached: a checked scenario has valid distributions
     };
     let shares: f64 = plan.classes.iter().map(|c| c.share).sum();
-    // This part of the directors sees several times what the others see.
+    // The first `busy` directors each get `often` times the requests of another director.
     let busy = (plan.often_part * plan.directors as f64).round() as usize;
     let weight = busy as f64 * plan.often + (plan.directors - busy) as f64;
-    let (mut at, mut arrivals, mut leaves) = (-settle, Vec::new(), Disconnects::new(plan));
+    let (mut at, mut arrivals, mut disconnects) = (-settle, Vec::new(), Disconnects::new(plan));
     loop {
         let times = during(plan, FaultKind::Burst, at).map_or(1.0, |f| f.times.max(0.01));
         at += gap.sample(&mut random) / times;
@@ -78,56 +78,56 @@
             director: director.min(plan.directors - 1),
             class: class.unwrap_or(0),
             object: hot.map_or(rank, |f| f.object),
-            leave: leaves.draw(),
+            leave: disconnects.draw(),
         });
     }
 }
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// With the bytes.
+    /// It got the object, status 200.
     Served,
-    /// Turned away.
+    /// It was refused, status 429 or 503.
     Refused,
-    /// Any other answer.
+    /// It got any other response.
     Failed,
-    /// Its client left before it had an answer.
+    /// Its client disconnected before the response.
     Left,
-    /// Its director was killed or stopped under it.
+    /// Its director was killed or stopped during the request.
     Cut,
-    /// Its director was not there.
+    /// Its director could not be reached.
     Unreached,
-    /// A rule is broken: no answer in time, or one that can't be read.
+    /// There was no complete response in time, which breaks a rule.
     Lost,
 }
 
 /// A request that has ended.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRecord {
-    /// Seconds after the load's start at which it was to start.
+    /// Intended start, in seconds after the start of the measured load.
     pub at: f64,
-    /// Milliseconds from then to the end of the answer.
+    /// Milliseconds from the intended start to the end of the response.
     pub took: f64,
-    /// How it ended.
+    /// Its outcome for the client.
     pub end: End,
-    /// The class's place.
+    /// Index of the class in the scenario.
     pub class: usize,
-    /// The director's number.
+    /// The director's number, from 0.
     pub director: usize,
-    /// Whether it was served within its aim.
+    /// Whether it was served within its latency objective.
     pub in_time: bool,
 }
 
-/// A purge that clients know of.
+/// A purge against which responses are checked.
 #[derive(Clone, Debug)]
 pub struct PurgeRecord {
-    /// An object; none: these groups.
+    /// The purged object; `None`: the groups.
     pub object: Option<String>,
-    /// Groups that are purged whole.
+    /// Groups whose objects are all purged; used if there is no object.
     pub groups: Vec<u32>,
-    /// Unix milliseconds.
+    /// Time of the purge in Unix milliseconds.
     pub ms: u64,
 }
 
@@ -139,62 +139,64 @@
     }
 }
 
-/// One director as its clients see it.
+/// A director as its clients see it.
 #[derive(Default)]
 pub struct DirectorTarget {
-    /// Where it listens; empty: nowhere now.
+    /// The address it listens on; empty while it is down.
     pub address: RefCell<String>,
-    /// Killed, stopped or started again at these moments: what was open then may be cut.
+    /// When it was killed, stopped or restarted. Requests in flight at these times may be cut off.
     pub disturbed: RefCell<Vec<Instant>>,
-    /// It is stopped.
+    /// Whether it is stopped now.
     pub stopped: Cell<bool>,
-    /// It may hear of purges late: its link to the discovery service was faulty, or it was stopped.
+    /// Whether it may learn of purges late, because its link to the discovery service was faulty or it was stopped.
     pub hears_late: Cell<bool>,
     idle: RefCell<Vec<TcpStream>>,
 }
 
 impl DirectorTarget {
-    /// Whether the director was killed, stopped or started within [`DISTURBANCE_MARGIN`] before a moment, or since.
+    /// Returns whether the director is stopped, or was killed, stopped or restarted at any time since
+    /// [`DISTURBANCE_MARGIN`] before `begun`.
     fn was_disturbed(&self, begun: Instant) -> bool {
         let since = begun - DISTURBANCE_MARGIN;
         self.stopped.get() || self.disturbed.borrow().iter().any(|at| *at >= since)
     }
 }
 
-/// All that was asked and came of it.
+/// The requests of a run and their outcomes.
 #[derive(Default)]
 pub struct RequestLog {
     /// Requests that have ended.
     pub ended: Vec<RequestRecord>,
-    /// Broken rules, each in a line.
+    /// Broken rules, one line each.
     pub breaches: Vec<String>,
-    /// When clients left, in Unix milliseconds, by the ids of their requests.
+    /// When clients disconnected, in Unix milliseconds, by the id of their request.
     pub left: HashMap<String, u64>,
-    /// Purges so far.
+    /// All purges so far.
     pub purges: Vec<PurgeRecord>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub open: usize,
-    /// By tenth of a second from the settling's start: the most under way.
+    /// Most requests in flight in each tenth of a second, from the start of the warm-up.
     pub in_flight: Vec<usize>,
 }
 
 /// The clients of a run.
 pub struct Clients {
     plan: Scenario,
-    /// By director.
+    /// The directors, by number.
     pub doors: Vec<Rc<DirectorTarget>>,
-    /// What came of it.
+    /// The requests so far and their outcomes.
     pub book: Rc<RefCell<RequestLog>>,
 }
 
 impl Clients {
-    /// Clients of so many directors.
+    /// Creates the clients for a scenario's directors, whose addresses are not set yet.
     pub fn new(plan: &Scenario) -> Clients {
         let doors = (0..plan.directors).map(|_| Rc::default()).collect();
         Clients { plan: plan.clone(), doors, book: Rc::default() }
     }
 
-    /// Sends all arrivals at their times; `zero` is the load's start.
+    /// Sends all requests at their times. `zero` is the start of the measured load, `settle` the seconds of warm-up
+    /// before it.
     pub async fn run(self: Rc<Self>, arrivals: Vec<Arrival>, zero: Instant, settle: f64) {
         let mut tasks = tokio::task::JoinSet::new();
         for (n, arrival) in arrivals.into_iter().enumerate() {
@@ -204,8 +206,8 @@
                 zero - Duration::from_secs_f64(-arrival.at)
             };
             tokio::time::sleep_until(due.into()).await;
-            let (clients, plan_at) = (Rc::clone(&self), arrival.at);
-            let bin = ((plan_at + settle) * 10.0).max(0.0) as usize;
+            let (clients, at) = (Rc::clone(&self), arrival.at);
+            let bin = ((at + settle) * 10.0).max(0.0) as usize;
             {
                 let mut book = self.book.borrow_mut();
                 book.open += 1;
@@ -215,13 +217,13 @@
                 let open = book.open;
                 book.in_flight[bin] = book.in_flight[bin].max(open);
             }
-            tasks.spawn_local(async move { clients.one(n as u64 + 1, &arrival, due).await });
+            tasks.spawn_local(async move { clients.send_arrival(n as u64 + 1, &arrival, due).await });
             while tasks.try_join_next().is_some() {}
         }
         while tasks.join_next().await.is_some() {}
     }
 
-    async fn one(&self, number: u64, arrival: &Arrival, due: Instant) {
+    async fn send_arrival(&self, number: u64, arrival: &Arrival, due: Instant) {
         let class = &self.plan.classes[arrival.class];
         let target = &self.doors[arrival.director];
         let object = object(arrival.object);
@@ -231,17 +233,17 @@
         let planted = self.plan.is_planted(RuleBreach::AskedAfterLeave, &who, arrival.at);
         if planted && arrival.leave.is_some() {
             self.record_disconnect(number);
-            tokio::time::sleep(PLANTED_LATE).await;
+            tokio::time::sleep(PLANTED_SEND_DELAY).await;
         }
         let (begun, sent_ms) = (Instant::now(), unix_ms());
         let leave = arrival.leave.filter(|_| !planted);
-        let patience = Duration::from_secs_f64(class.deadline_ms / 1e3 + 0.25);
+        let timeout = Duration::from_secs_f64(class.deadline_ms / 1e3 + 0.25);
         let answer = tokio::select! {
-            answer = tokio::time::timeout(patience, self.send(target, &head, leave)) => answer,
-            () = leaves(leave) => Ok(Exchange::Left),
+            answer = tokio::time::timeout(timeout, self.send(target, &head, leave)) => answer,
+            () = disconnected(leave) => Ok(Exchange::Left),
         };
         if matches!(answer, Ok(Exchange::Left)) {
-            // The connection has been dropped with what asked on it.
+            // The connection was dropped with the future that sent the request.
             self.record_disconnect(number);
         }
         let took = due.elapsed().as_secs_f64() * 1e3;
@@ -253,7 +255,8 @@
             Ok(Exchange::Answer(..)) => (End::Failed, None),
             Ok(Exchange::Unreached) => (End::Unreached, None),
             Ok(Exchange::Left) => (End::Left, None),
-            // A director that was stopped answers late what it had taken: counted as cut, not as lost.
+            // A director that was stopped responds late to requests that it had received; these count as cut off,
+            // not as lost.
             Ok(Exchange::Broken) | Err(_) if target.was_disturbed(begun) => (End::Cut, None),
             Ok(Exchange::Broken) => {
                 (End::Lost, Some("the connection ended without a whole answer".to_owned()))
@@ -271,12 +274,12 @@
         book.ended.push(RequestRecord { at, took, end, class, director, in_time });
     }
 
-    /// Notes that a client has left.
+    /// Records that the client of a request disconnects now.
     fn record_disconnect(&self, number: u64) {
         self.book.borrow_mut().left.insert(format!("{number:016x}"), unix_ms());
     }
 
-    /// The rule that the bytes of an answer break, if they do.
+    /// Returns the rule that the body of a response breaks, if any.
     fn check_body(
         &self,
         target: &DirectorTarget,
@@ -291,16 +294,23 @@
         let text = String::from_utf8_lossy(body);
         match text.strip_prefix(&format!("{object}/0 ")).and_then(|minted| minted.parse::<u64>().ok()) {
             None => Some(format!("bytes that are not the object's: '{text}'")),
-            Some(minted) => self.too_old(target, object, minted, sent_ms),
+            Some(minted) => self.check_purges(target, object, minted, sent_ms),
         }
     }
 
-    /// A copy older than a purge that the director was told of over a second before the request was sent.
-    fn too_old(&self, door: &DirectorTarget, object: &str, minted: u64, sent_ms: u64) -> Option<String> {
-        let grace = if door.hears_late.get() { 8_050 } else { 1_050 };
+    /// Returns the breach if the copy is older than a purge and the request was sent after the time that the director
+    /// had to apply the purge: 1 s, or 8 s where it may learn of purges late, and 50 ms for the network.
+    fn check_purges(
+        &self,
+        target: &DirectorTarget,
+        object: &str,
+        minted: u64,
+        sent_ms: u64,
+    ) -> Option<String> {
+        let grace = if target.hears_late.get() { 8_050 } else { 1_050 };
         let book = self.book.borrow();
-        let broken = |p: &&PurgeRecord| p.names(object) && minted < p.ms && sent_ms > p.ms + grace;
-        let purge = book.purges.iter().find(broken)?;
+        let ignored = |p: &&PurgeRecord| p.names(object) && minted < p.ms && sent_ms > p.ms + grace;
+        let purge = book.purges.iter().find(ignored)?;
         Some(format!(
             "a copy {} ms older than a purge, sent {} ms after it was told",
             purge.ms - minted,
@@ -308,24 +318,24 @@
         ))
     }
 
-    /// Asks on a connection that is kept, or a new one. Dropping the future closes the connection, and resets
-    /// it where the client is to leave so.
-    async fn send(&self, door: &DirectorTarget, head: &str, leave: Option<Disconnect>) -> Exchange {
+    /// Sends a request on an idle connection, or on a new one. Dropping the future closes the connection, or resets
+    /// it if the client is to disconnect by a reset.
+    async fn send(&self, target: &DirectorTarget, head: &str, leave: Option<Disconnect>) -> Exchange {
         let resets = leave.is_some_and(|leave| leave.how == DisconnectKind::Reset);
-        let kept = if resets { None } else { door.idle.borrow_mut().pop() };
-        if let Some(mut stream) = kept {
+        let idle = if resets { None } else { target.idle.borrow_mut().pop() };
+        if let Some(mut stream) = idle {
             let begun = Instant::now();
             match exchange(&mut stream, head).await {
                 Some((status, body)) => {
-                    door.idle.borrow_mut().push(stream);
+                    target.idle.borrow_mut().push(stream);
                     return Exchange::Answer(status, body);
                 }
-                // A request that crosses a close goes again, once.
+                // The director may have closed the idle connection as the request was sent: retries once.
                 None if begun.elapsed() < Duration::from_millis(50) => {}
                 None => return Exchange::Broken,
             }
         }
-        let address = door.address.borrow().clone();
+        let address = target.address.borrow().clone();
         if address.is_empty() {
             return Exchange::Unreached;
         }
@@ -337,7 +347,7 @@
         match exchange(&mut stream, head).await {
             Some((status, body)) => {
                 if !resets {
-                    door.idle.borrow_mut().push(stream);
+                    target.idle.borrow_mut().push(stream);
                 }
                 Exchange::Answer(status, body)
             }
@@ -346,26 +356,31 @@
     }
 }
 
-/// KB a second of one transfer at full pace, as directors are told.
+/// Speed of one transfer at full speed in KB per second, as configured in the directors.
 pub const TRANSFER_KB_PER_S: f64 = 9_500.0;
 
-/// What was open this long before a director was disturbed may be cut by it.
+/// Requests that began up to this long after a director was killed, stopped or restarted may still be cut off.
 const DISTURBANCE_MARGIN: Duration = Duration::from_millis(4_000);
 
-/// A planted client asks so much later than it is said to have left.
-const PLANTED_LATE: Duration = Duration::from_millis(200);
+/// Delay from a recorded disconnect to the request, where the scenario plants [`RuleBreach::AskedAfterLeave`].
+const PLANTED_SEND_DELAY: Duration = Duration::from_millis(200);
 
-/// Returns when a client leaves; never, where it stays.
-async fn leaves(leave: Option<Disconnect>) {
+/// Completes when a client disconnects; never, if it waits for the response.
+async fn disconnected(leave: Option<Disconnect>) {
     match leave {
         Some(leave) => tokio::time::sleep(Duration::from_secs_f64(leave.after)).await,
         None => std::future::pending().await,
     }
 }
 
+/// The result of sending a request.
 enum Exchange {
+    /// A complete response: its status and body.
     Answer(u16, Vec<u8>),
+    /// The client disconnected first.
     Left,
+    /// The director could not be reached.
     Unreached,
+    /// The connection ended before the end of the response.
     Broken,
 }
--- a/crates/foxhold-testbed/src/load/clients/http.rs
+++ b/crates/foxhold-testbed/src/load/clients/http.rs
@@ -1,16 +1,17 @@
-//! The client's side of HTTP: a request's bytes, and one exchange on a connection.
+//! The client side of HTTP/1.1: the bytes of a request, and one exchange on a connection.
 
 use crate::scenarios::scenario::RequestClass;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// One request and its answer; none: the connection ended first.
+/// Sends a request and reads the status and body of the response. Returns `None` if the connection ends before the
+/// end of the response, or if the response is malformed.
 pub(super) async fn exchange(stream: &mut TcpStream, head: &str) -> Option<(u16, Vec<u8>)> {
     stream.write_all(head.as_bytes()).await.ok()?;
-    let (mut bytes, mut scrap) = (Vec::with_capacity(512), [0; 2048]);
+    let (mut bytes, mut chunk) = (Vec::with_capacity(512), [0; 2048]);
     loop {
-        let count = stream.read(&mut scrap).await.ok().filter(|n| *n > 0)?;
-        bytes.extend_from_slice(&scrap[..count]);
+        let count = stream.read(&mut chunk).await.ok().filter(|n| *n > 0)?;
+        bytes.extend_from_slice(&chunk[..count]);
         let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
         let text = std::str::from_utf8(&bytes[..end]).ok()?;
         let header = |name: &str| {
@@ -25,7 +26,7 @@
     }
 }
 
-/// The bytes of a request on the platform's frontend.
+/// Encodes a request to the platform's frontend, with its body.
 pub(super) fn request_head(number: u64, class: &RequestClass, object: &str, kb: f64) -> String {
     let (method, body) = if class.write { ("PUT", "a filing") } else { ("GET", "") };
     let (name, deadline_ms, length) = (&class.name, class.deadline_ms, body.len());
--- a/crates/foxhold-testbed/src/load/disconnects.rs
+++ b/crates/foxhold-testbed/src/load/disconnects.rs
@@ -1,5 +1,5 @@
-//! Clients that leave before their answers: the moments drawn ahead, and the rule that no attempt begins for
-//! one more than 0.1 s later, held against what servers saw.
+//! Clients that disconnect before the response. The times are drawn in advance. The requests that servers received
+//! are checked against the rule that no attempt for a client begins more than 0.1 s after its disconnect.
 
 use crate::faults::relay::LinkFault;
 use crate::scenarios::scenario::{FaultKind, Scenario};
@@ -9,32 +9,32 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// No attempt begins more than so many milliseconds after its client has left.
+/// Time limit in milliseconds for the start of an attempt after its client has disconnected.
 pub const MAX_SEND_DELAY_MS: u64 = 100;
-/// So many seconds after a server's stall or a faulty link is over, what had come before may still be read
-/// there.
-const READ_LATE: f64 = 1.0;
+/// Seconds after the end of a server's stall or of a link fault during which the server may still read requests
+/// sent before that.
+const DELAYED_READ_SECONDS: f64 = 1.0;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectKind {
-    /// It closes its connection.
+    /// The client closes its connection.
     Close,
-    /// It cancels: its connection is reset.
+    /// The client resets its connection.
     Reset,
 }
 
-/// When and how a client leaves, if it has no answer by then.
+/// When and how a client disconnects if it has no response by then.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Disconnect {
-    /// Seconds after its request.
+    /// Seconds from the request to the disconnect.
     pub after: f64,
-    /// How.
+    /// Whether the connection is closed or reset.
     pub how: DisconnectKind,
 }
 
-/// Draws who leaves. It has random numbers of its own, so that the load of a scenario without it stays as it
-/// was.
+/// Draws which clients disconnect. Uses a separate random generator, so that disconnects do not change the rest of
+/// a scenario's load.
 pub struct Disconnects {
     random: StdRng,
     share: f64,
@@ -42,13 +42,13 @@
 }
 
 impl Disconnects {
-    /// By the scenario's share and span.
+    /// Draws by the scenario's `leave` and `leave_within_ms`.
     pub fn new(plan: &Scenario) -> Disconnects {
         let random = StdRng::seed_from_u64(plan.seed ^ 0x1ea7e);
         Disconnects { random, share: plan.leave, within: plan.leave_within_ms / 1e3 }
     }
 
-    /// The next request's; none: its client stays.
+    /// Draws the disconnect of the next request's client. Returns `None` if the client waits for the response.
     pub fn draw(&mut self) -> Option<Disconnect> {
         if self.random.random::<f64>() >= self.share {
             return None;
@@ -59,23 +59,23 @@
     }
 }
 
-/// What came after clients had left.
+/// Attempts that began after their client had disconnected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct SentAfterDisconnect {
-    /// Clients that left without an answer.
+    /// Clients that disconnected before the response.
     pub clients: u64,
-    /// Attempts that servers saw begin after their client had left.
+    /// Attempts that servers received after the client had disconnected.
     pub attempts: u64,
-    /// The latest of them, in milliseconds after its client.
+    /// The longest time from a client's disconnect to an attempt, in milliseconds.
     pub latest_ms: u64,
-    /// Those later than the term, at servers that could read at once.
+    /// Attempts later than [`MAX_SEND_DELAY_MS`], at servers that read requests without delay.
     pub too_late: u64,
 }
 
 impl SentAfterDisconnect {
-    /// Holds what servers told against when clients left, by request and in Unix milliseconds. Returns the
-    /// broken rules beside it. Servers that were stalled, or reached by a faulty link, are left out: bytes
-    /// wait there.
+    /// Compares the requests that servers received with the disconnects in `left`, which are in Unix milliseconds by
+    /// request id. Returns the figures and the broken rules. Requests at servers that were stalled or behind a faulty
+    /// link are left out, because bytes may wait there before they are read.
     pub fn reckon(
         plan: &Scenario,
         zero_ms: u64,
@@ -91,7 +91,7 @@
                 continue;
             };
             let late = ms - left_ms;
-            if reads_late(plan, server, (*ms as f64 - zero_ms as f64) / 1e3) {
+            if may_read_late(plan, server, (*ms as f64 - zero_ms as f64) / 1e3) {
                 continue;
             }
             after.attempts += 1;
@@ -105,9 +105,11 @@
     }
 }
 
-/// Whether what a server tells of at this moment may have waited at it, or on the way.
-fn reads_late(plan: &Scenario, server: &str, at: f64) -> bool {
-    let lasts = |at: f64, lasts: Option<f64>| at..lasts.map_or(f64::INFINITY, |lasts| at + lasts + READ_LATE);
+/// Returns whether a request that a server reports at this time may have waited at the server or on the link.
+fn may_read_late(plan: &Scenario, server: &str, at: f64) -> bool {
+    let lasts = |at: f64, lasts: Option<f64>| {
+        at..lasts.map_or(f64::INFINITY, |lasts| at + lasts + DELAYED_READ_SECONDS)
+    };
     let named = |text: &str| plan.resolve(text).is_some_and(|whom| whom.contains(server));
     plan.faults.iter().filter(|fault| lasts(fault.at, fault.lasts).contains(&at)).any(|fault| {
         match fault.kind {
--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -1,12 +1,12 @@
-//! A test client of a fleet's directors: it holds the fleet's key and sends them updates, acknowledged or
-//! not.
+//! A test client for a fleet's directors. It holds the fleet's key and sends updates with or without
+//! acknowledgement.
 //!
-//! Directors do not acknowledge the updates that they send each other: what one loses it gets from another
-//! later. A client has nobody to repeat for it, so it reads back what it sent. Each batch of updates is
-//! followed by a [`GossipMessage::TransferRequest`] of the range of places that the batch lies in, and the
-//! [`GossipMessage::TransferChunk`] that answers it acknowledges every update of the batch that it contains.
-//! What is not acknowledged in time is sent again, unchanged, so that a director that already holds it has
-//! nothing to do. Batches outstanding, their rate, attempts for each and the time for all are bounded.
+//! Directors do not acknowledge each other's updates: a director that loses one gets it from another director
+//! later. The client's updates exist at no other member, so it reads back what it sent. After each batch of updates
+//! it sends a [`GossipMessage::TransferRequest`] for the batch's range of positions. The
+//! [`GossipMessage::TransferChunk`] in reply acknowledges the updates of the batch that it contains. Updates that are
+//! not acknowledged in time are sent again unchanged, which has no effect on a director that already holds them. The
+//! number of outstanding batches, their rate, the attempts of each batch and the time of a delivery are bounded.
 
 use crate::scenarios::cluster::Fleet;
 use crate::scenarios::replay::Failure;
@@ -23,86 +23,88 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Updates in one batch: as many purges as one answer of a director holds.
+/// Updates in one batch. A director's [`GossipMessage::TransferChunk`] holds this many purges.
 const BATCH_UPDATES: usize = 64;
-/// Batches that are sent and not yet acknowledged, at most. Their datagrams fit a socket's buffer several
-/// times over.
+/// Maximum number of batches that are sent and not yet acknowledged. A socket's buffer holds several times their
+/// datagrams.
 const MAX_OUTSTANDING: usize = 8;
-/// Between two new batches: 4,000 updates a second, half of what directors pass on to each other without
-/// leaving some to be found by their digests (512 in three rounds of 20 ms).
+/// Interval between two new batches. It gives 4,000 updates per second, half the rate up to which directors forward
+/// all updates to each other without leaving some to be found by digests (512 in three rounds of 20 ms).
 const BATCH_INTERVAL: Duration = Duration::from_millis(16);
-/// A batch that is not acknowledged is sent again after this; the wait doubles each time, up to the longest.
+/// Time until an unacknowledged batch is sent again. It doubles with each retry, up to [`LONGEST_RETRY_AFTER`].
 const FIRST_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Longest time until an unacknowledged batch is sent again.
 const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// A batch is sent so many times at most without any of it being acknowledged.
+/// Maximum number of times that a batch is sent without any of its updates being acknowledged.
 const MAX_ATTEMPTS: u32 = 20;
-/// All batches of one delivery are acknowledged within this. It bounds a delivery that goes on slowly; one
-/// that stands still ends by its attempts, after 36 s at most.
+/// Time limit for acknowledging all batches of a delivery. It ends a delivery that makes slow progress; one without
+/// progress ends by [`MAX_ATTEMPTS`] after 36 s at the latest.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(180);
-/// Purges are of so long ago, as most are that a director that returns hears of.
+/// Age of the purges that this client sends: typical of the purges that a returning director catches up on.
 const PURGE_AGE_MS: u64 = 60_000;
-/// An unacknowledged flood: updates in a datagram, and the pause after every second one.
+/// Updates in each datagram of a flood.
 const FLOOD_UPDATES: usize = 80;
+/// Pause of a flood after every second datagram.
 const FLOOD_PAUSE: Duration = Duration::from_millis(4);
-/// No director sends larger datagrams.
+/// Size of the receive buffer. Directors send no larger datagrams.
 const RECEIVE_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Why updates were not delivered.
 #[derive(Debug, thiserror::Error)]
 pub enum DeliveryError {
-    /// One batch used up its attempts.
-    #[error("{missing} updates of a batch are not acknowledged after {MAX_ATTEMPTS} attempts")]
+    /// A batch reached [`MAX_ATTEMPTS`].
+    #[error("{missing} updates of a batch were not acknowledged after {MAX_ATTEMPTS} attempts")]
     AttemptsExhausted {
-        /// Updates of that batch that the director has not shown to hold.
+        /// Updates of that batch that the director has not acknowledged.
         missing: usize,
     },
-    /// The time for the whole delivery is over.
-    #[error("{missing} updates are not acknowledged after {} s", DELIVERY_TIMEOUT.as_secs())]
+    /// The delivery reached [`DELIVERY_TIMEOUT`].
+    #[error("{missing} updates were not acknowledged after {} s", DELIVERY_TIMEOUT.as_secs())]
     TimedOut {
-        /// Updates that the director has not shown to hold.
+        /// Updates that the director has not acknowledged.
         missing: usize,
     },
-    /// A message does not fit a datagram.
-    #[error("a message is too large for a datagram")]
+    /// A message does not fit into a datagram.
+    #[error("message too large for a datagram")]
     TooLarge,
-    /// The socket failed.
-    #[error("socket: {0}")]
+    /// Sending or receiving failed.
+    #[error("gossip client's socket failed: {0}")]
     Socket(#[from] std::io::Error),
 }
 
-/// What a delivery took.
+/// The batches sent for a delivery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Delivered {
     /// Batches, each of which was acknowledged in full.
     pub batches: u64,
-    /// Batches, or what was left of them, that were sent again.
+    /// Retries of batches that were not acknowledged in full.
     pub retries: u64,
 }
 
-/// An update with its place in a director's map.
+/// An update and its position in a director's map, which is ordered by the hash of the keys.
 struct Update {
-    place: u64,
+    position: u64,
     key: Key,
     value: Value,
 }
 
 impl Update {
-    fn new(key: Key, word: Value) -> Update {
-        Update { place: stable_hash(&encode(&key)), key, value: word }
+    fn new(key: Key, value: Value) -> Update {
+        Update { position: stable_hash(&encode(&key)), key, value }
     }
 
-    /// Whether a director that holds this word of the key has heard of the update.
+    /// Returns whether a director that holds this value for the key has the update.
     fn is_in(&self, key: &Key, held: &Value) -> bool {
         self.key == *key && held.clone().merge(&self.value) == MergeOutcome::Unchanged
     }
 }
 
-/// Updates that are sent together, in the order of their places, and when they are next due.
+/// Updates that are sent together, ordered by position, and when to send them next.
 struct Batch {
     updates: Vec<Update>,
-    /// Whether any of it was sent before.
+    /// Whether it was sent before.
     sent: bool,
-    /// Times sent since any of it was last acknowledged.
+    /// Times sent since any of its updates was last acknowledged.
     attempts: u32,
     retry_after: Duration,
     due: Instant,
@@ -113,15 +115,15 @@
         Batch { updates, sent: false, attempts: 0, retry_after: FIRST_RETRY_AFTER, due: Instant::now() }
     }
 
-    /// The first and the last place.
+    /// Returns the first and the last position.
     fn range(&self) -> Option<(u64, u64)> {
-        Some((self.updates.first()?.place, self.updates.last()?.place))
+        Some((self.updates.first()?.position, self.updates.last()?.position))
     }
 
-    /// Takes out what a director holds. Where that is some of it, the rest is due at once.
+    /// Removes the updates that a director holds. If there are any, the rest is due immediately.
     fn acknowledge(&mut self, held: &[(Key, Value)]) {
         let before = self.updates.len();
-        self.updates.retain(|update| !held.iter().any(|(key, word)| update.is_in(key, word)));
+        self.updates.retain(|update| !held.iter().any(|(key, value)| update.is_in(key, value)));
         if self.updates.len() < before {
             self.attempts = 0;
             self.retry_after = FIRST_RETRY_AFTER;
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Counts one more attempt, and sets when the next is due.
+    /// Counts an attempt and sets the time of the next.
     fn attempt(&mut self) -> Result<(), DeliveryError> {
         if self.attempts >= MAX_ATTEMPTS {
             return Err(DeliveryError::AttemptsExhausted { missing: self.updates.len() });
@@ -151,8 +153,8 @@
 impl Delivery {
     fn new(updates: Vec<(Key, Value)>) -> Delivery {
         let mut updates: Vec<Update> =
-            updates.into_iter().map(|(key, word)| Update::new(key, word)).collect();
-        updates.sort_by_key(|update| update.place);
+            updates.into_iter().map(|(key, value)| Update::new(key, value)).collect();
+        updates.sort_by_key(|update| update.position);
         let mut waiting = VecDeque::new();
         while !updates.is_empty() {
             let rest = updates.split_off(updates.len().min(BATCH_UPDATES));
@@ -161,22 +163,22 @@
         Delivery { waiting, outstanding: Vec::new(), next_batch: Instant::now() }
     }
 
-    /// Whether one more batch may be outstanding, once its time has come.
-    fn has_room(&self) -> bool {
+    /// Returns whether another batch may be sent once [`BATCH_INTERVAL`] has passed.
+    fn may_admit(&self) -> bool {
         !self.waiting.is_empty() && self.outstanding.len() < MAX_OUTSTANDING
     }
 
-    /// Lets the next batch be outstanding, where there is room and its time has come.
+    /// Moves the next batch to the outstanding ones, if their number and [`BATCH_INTERVAL`] allow it.
     fn admit(&mut self) {
         let now = Instant::now();
-        if !self.has_room() || now < self.next_batch {
+        if !self.may_admit() || now < self.next_batch {
             return;
         }
         self.next_batch = now + BATCH_INTERVAL;
         self.outstanding.extend(self.waiting.pop_front().map(|batch| Batch { due: now, ..batch }));
     }
 
-    /// Entries that a director holds from this place on.
+    /// Acknowledges the updates among the entries that a director holds from position `first` on.
     fn acknowledge(&mut self, first: u64, held: &[(Key, Value)]) {
         let answered = |batch: &&mut Batch| batch.range().is_some_and(|range| range.0 == first);
         if let Some(batch) = self.outstanding.iter_mut().find(answered) {
@@ -185,44 +187,48 @@
         self.outstanding.retain(|batch| !batch.updates.is_empty());
     }
 
-    /// When a batch is next due; none: all are acknowledged.
+    /// Returns when a batch is next due, or `None` if all are acknowledged.
     fn next_due(&self) -> Option<Instant> {
-        let new = self.has_room().then_some(self.next_batch);
+        let new = self.may_admit().then_some(self.next_batch);
         self.outstanding.iter().map(|batch| batch.due).chain(new).min()
     }
 
-    /// Updates that are not acknowledged.
+    /// Returns the number of updates that are not acknowledged.
     fn missing(&self) -> usize {
         self.outstanding.iter().chain(&self.waiting).map(|batch| batch.updates.len()).sum()
     }
 }
 
-/// A sender with a fleet's key that is no member of it.
+/// A sender that has a fleet's key without being a member of the fleet.
 pub struct TestClient {
     socket: UdpSocket,
-    seal: FrameCodec,
+    codec: FrameCodec,
     from: Member,
     number: u64,
 }
 
 impl TestClient {
-    /// Opens a client of this fleet on a loopback port of its own.
+    /// Opens a client of this fleet on a free loopback port.
     pub async fn open(fleet: &Fleet) -> Result<TestClient, Failure> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let from = Member::new("test-client", socket.local_addr()?, 1);
-        let seal = FrameCodec::new("lab", &fleet.keys()?).ok_or("no key")?;
-        Ok(TestClient { socket, seal, from, number: 0 })
+        let codec = FrameCodec::new("lab", &fleet.keys()?).ok_or("no key")?;
+        Ok(TestClient { socket, codec, from, number: 0 })
     }
 
-    /// Seals a message as the next of this sender.
-    pub fn sealed(&mut self, say: GossipMessage) -> Result<Vec<u8>, DeliveryError> {
+    /// Encodes and authenticates a message with this sender's next message number.
+    pub fn sealed(&mut self, message: GossipMessage) -> Result<Vec<u8>, DeliveryError> {
         self.number += 1;
-        let message =
-            Message { from: self.from.clone(), incarnation: 1, number: self.number, body: Body::Gossip(say) };
-        self.seal.encode(&message).ok_or(DeliveryError::TooLarge)
+        let message = Message {
+            from: self.from.clone(),
+            incarnation: 1,
+            number: self.number,
+            body: Body::Gossip(message),
+        };
+        self.codec.encode(&message).ok_or(DeliveryError::TooLarge)
     }
 
-    /// Sends bytes as they are.
+    /// Sends a datagram unchanged.
     pub async fn send(&self, to: SocketAddr, datagram: &[u8]) -> std::io::Result<()> {
         self.socket.send_to(datagram, to).await?;
         Ok(())
@@ -256,7 +262,7 @@
         }
     }
 
-    /// Sends the batches that are due, each with the request that it is acknowledged by.
+    /// Sends the batches that are due, each with the transfer request whose reply acknowledges it.
     async fn send_due(
         &mut self,
         to: SocketAddr,
@@ -280,10 +286,10 @@
         Ok(())
     }
 
-    /// The entries that a director answers a request to read with, and the place that they begin at; none: it
-    /// is another message, or from somebody else.
+    /// Returns the entries of a director's [`GossipMessage::TransferChunk`] and the position that they begin at.
+    /// Returns `None` for another message or another sender.
     fn chunk(&self, director: SocketAddr, datagram: &[u8]) -> Option<(u64, Vec<(Key, Value)>)> {
-        let message = self.seal.decode(datagram).ok()?;
+        let message = self.codec.decode(datagram).ok()?;
         match message.body {
             Body::Gossip(GossipMessage::TransferChunk(chunk)) if message.from.address == director => {
                 Some((chunk.first, chunk.entries))
@@ -292,18 +298,18 @@
         }
     }
 
-    /// Delivers so many purges of groups to a director of the fleet, which holds all of them then.
+    /// Delivers `entries` purges of groups to a director of the fleet, and checks that it holds them all.
     pub async fn fill(&mut self, fleet: &Fleet, n: usize, entries: u32) -> Result<Delivered, Failure> {
         let delivered = self.deliver(fleet.reached_at(n), purges(0..entries)).await?;
         let held = fleet.purge_count(n).await?;
         if held < u64::from(entries) {
-            return Err(format!("director {n} holds {held} of {entries}").into());
+            return Err(format!("director {n} holds {held} of {entries} delivered purges").into());
         }
         Ok(delivered)
     }
 
-    /// Sends purges of groups without having them acknowledged, at a pace that a socket's buffer bears; some
-    /// may be lost all the same.
+    /// Sends purges of groups without acknowledgement, at a rate that a socket's buffer can take. Some may still be
+    /// lost.
     pub async fn flood(&mut self, to: SocketAddr, groups: Range<u32>) -> Result<(), DeliveryError> {
         for (n, updates) in purges(groups).chunks(FLOOD_UPDATES).enumerate() {
             let datagram = self.sealed(GossipMessage::Updates(updates.to_vec()))?;
@@ -316,7 +322,7 @@
     }
 }
 
-/// Purges of groups, all of the same moment.
+/// Returns purges of groups, all with the same time.
 fn purges(groups: Range<u32>) -> Vec<(Key, Value)> {
     let at = (unix_ms() - PURGE_AGE_MS) * 1_000;
     groups.map(|group| (Key::Group(group), Value::Purged(at))).collect()
--- a/crates/foxhold-testbed/src/load/mod.rs
+++ b/crates/foxhold-testbed/src/load/mod.rs
@@ -1,11 +1,11 @@
-//! Load: clients, what they ask for, and when they leave.
+//! Load: clients, their requests, and their disconnects.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`clients`] | an open-loop load over HTTP, and what comes back held against the rules |
-//! | [`disconnects`] | clients that leave before their answers |
-//! | [`gossip_client`] | a client that delivers updates to directors, acknowledged |
-//! | [`trace`] | traces of requests and faults: the file, and how one is drawn |
+//! | [`clients`] | an open-loop load over HTTP, whose responses are checked against the rules |
+//! | [`disconnects`] | clients that disconnect before the response |
+//! | [`gossip_client`] | a client that delivers updates to directors with acknowledgement |
+//! | [`trace`] | traces of requests and faults: the file format, and random traces |
 
 pub mod clients;
 pub mod disconnects;
--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -1,7 +1,7 @@
-//! Traces: a line a request or trouble, in the order of their times.
+//! Traces: text files with one request or fault per line, ordered by time.
 //!
 //! ```text
-//! # milliseconds, class, object, part, group, KB, milliseconds that the client waits
+//! # time in ms, class, object, part, group, size in KB, client's time limit in ms
 //! 0 guide-videos 7f3a9c21e0b4d655 0 17 640 5000
 //! 1200 ! crash cache-2
 //! ```
@@ -15,84 +15,90 @@
 /// A request of a trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceRequest {
-    /// The class's name.
+    /// The name of its class.
     pub class: String,
-    /// 16 hex digits.
+    /// The object, as 16 hex digits.
     pub object: String,
-    /// The part.
+    /// The part of the object.
     pub part: u32,
-    /// The group.
+    /// The group that the object belongs to.
     pub group: u32,
-    /// The size in KB.
+    /// Expected size of the response in KB.
     pub size_kb: f64,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub allow_ms: u64,
 }
 
-/// What happens to the fleet.
+/// A fault or an event in the emulated fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TraceFault {
-    /// The board tells that this server drains.
+    /// The discovery service announces that this server drains.
     Drain(String),
-    /// This server's process dies.
+    /// This server crashes.
     Crash(String),
-    /// It comes back, empty.
+    /// This server restarts with an empty cache.
     Back(String),
-    /// It takes so many milliseconds longer.
+    /// This server responds with this delay in milliseconds; 0 ends it.
     Slow(String, u64),
-    /// An object is purged.
+    /// This object is purged on all servers.
     Purge(String),
 }
 
-/// What a line tells.
+/// The content of a line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// A request.
+    /// A request to send.
     Request(TraceRequest),
-    /// A trouble.
+    /// A fault to inject.
     Trouble(TraceFault),
 }
 
 /// A line of a trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Milliseconds since the start.
+    /// Milliseconds from the start of the trace.
     pub at_ms: f64,
-    /// What happens then.
+    /// The request or the fault.
     pub step: Step,
 }
 
-/// Why a trace can't be read.
+/// The error for a trace that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {what}")]
 pub struct TraceError {
-    /// Counted from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// The error in that line.
     #[source]
     pub what: LineError,
 }
 
-/// Why a line of a trace can't be read.
+/// The error for a line of a trace that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// There is nothing on it.
-    #[error("empty")]
+    /// The line has no words.
+    #[error("empty line")]
     Empty,
-    /// A figure that can't be read.
-    #[error("'{text}' is no number that fits here")]
+    /// A number that cannot be parsed.
+    #[error("'{text}' is not a number or is out of range")]
     Number {
-        /// What stands there.
+        /// The text in place of the number.
+        text: String,
+    },
+    /// A fault of unknown kind, or with the wrong number of arguments.
+    #[error("unknown fault '{text}', expected drain, crash, back, slow or purge with its arguments")]
+    UnknownFault {
+        /// The text after the `!`.
         text: String,
     },
-    /// A fault of another name.
-    #[error("a trouble that is not known")]
-    UnknownFault,
     /// Neither a request nor a fault.
-    #[error("neither a request's seven words nor a trouble")]
-    FieldCount,
-    /// The times of lines go up.
-    #[error("earlier than the line before")]
+    #[error("expected a request of 7 words or a fault with '!' as second word, got {words} words")]
+    FieldCount {
+        /// The number of words on the line.
+        words: usize,
+    },
+    /// The time is not finite, or it is earlier than that of the line before.
+    #[error("time is not finite or earlier than that of the line before")]
     OutOfOrder,
 }
 
@@ -127,7 +133,7 @@
             ["!", "back", name] => Step::Trouble(TraceFault::Back(name.into())),
             ["!", "slow", name, ms] => Step::Trouble(TraceFault::Slow(name.into(), number(ms)?)),
             ["!", "purge", object] => Step::Trouble(TraceFault::Purge(object.into())),
-            ["!", ..] => return Err(LineError::UnknownFault),
+            ["!", ref fault @ ..] => return Err(LineError::UnknownFault { text: fault.join(" ") }),
             [class, object, part, group, size, allow] => Step::Request(TraceRequest {
                 class: class.into(),
                 object: object.into(),
@@ -136,13 +142,13 @@
                 size_kb: number(size)?,
                 allow_ms: number(allow)?,
             }),
-            _ => return Err(LineError::FieldCount),
+            _ => return Err(LineError::FieldCount { words: words.len() }),
         };
         Ok(Line { at_ms: number::<f64>(at)?, step })
     }
 }
 
-/// Reads a trace; empty lines and those that begin with `#` are passed over.
+/// Parses a trace. Skips empty lines and lines that begin with `#`.
 pub fn parse(text: &str) -> Result<Vec<Line>, TraceError> {
     let mut lines: Vec<Line> = Vec::new();
     for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty() && !l.starts_with('#')) {
@@ -156,24 +162,25 @@
     Ok(lines)
 }
 
-/// Between two requests, in milliseconds. No whole number of it is near any time that the decisions wait for
-/// (60 ms after a server was full, 700 ms between trials, 500 ms until an answer is late), so that a small
-/// delay of the machine's puts no request on the other side of one.
+/// Interval between two requests, in milliseconds. No multiple of it is close to a waiting time of the policy (60 ms
+/// after a server was full, 700 ms between probation requests, 500 ms until a response is late), so that a small
+/// scheduling delay does not move a request from one side of such a time to the other.
 pub const STEP_MS: f64 = 3.2;
-/// Left free round a trouble: the discovery service's news has come by then, and what broke off has ended.
-const ROOM_MS: f64 = 96.0;
+/// Time without requests before and after a fault, in milliseconds. By its end the director has received the watch
+/// event, and the requests that the fault interrupted have ended.
+const FAULT_MARGIN_MS: f64 = 96.0;
 
-/// The name of the object of that number, counted from 1.
+/// Returns the name of the object with a number, from 1.
 pub fn object(number: u64) -> String {
     format!("{:016x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// Draws a trace of so many requests with a drain, a crash, a slow parent and a purge of what is asked most.
+/// Draws a trace of `requests` requests, with a drain, crashes, a slow parent and a purge of the most popular object.
 pub fn draw(requests: usize, seed: u64) -> Vec<Line> {
     let mut random = StdRng::seed_from_u64(seed);
-    let popular = Zipf::new(400.0, 1.05).expect("a good law");
-    let size = LogNormal::<f64>::new(5.0, 0.8).expect("a good law");
-    let troubles = [
+    let popular = Zipf::new(400.0, 1.05).expect("valid parameters");
+    let size = LogNormal::<f64>::new(5.0, 0.8).expect("valid parameters");
+    let faults = [
         (1, TraceFault::Drain("cache-1".into())),
         (2, TraceFault::Crash("cache-2".into())),
         (4, TraceFault::Back("cache-2".into())),
@@ -184,17 +191,17 @@
     ];
     let (mut lines, mut at, mut step) = (Vec::new(), 0.0, STEP_MS);
     for n in 0..requests {
-        let due = troubles.iter().filter(|(tenth, _)| n == requests * tenth / 10);
-        for (_, trouble) in due {
-            // A slow parent's answers are waited for: the next request comes when they are over.
-            match trouble {
+        let due = faults.iter().filter(|(tenth, _)| n == requests * tenth / 10);
+        for (_, fault) in due {
+            // While a parent is slow, each request is sent after the response to the one before.
+            match fault {
                 TraceFault::Slow(_, 0) => step = STEP_MS,
                 TraceFault::Slow(_, ms) => step = *ms as f64 + 4.0 * STEP_MS,
                 _ => {}
             }
-            at += ROOM_MS;
-            lines.push(Line { at_ms: at, step: Step::Trouble(trouble.clone()) });
-            at += ROOM_MS;
+            at += FAULT_MARGIN_MS;
+            lines.push(Line { at_ms: at, step: Step::Trouble(fault.clone()) });
+            at += FAULT_MARGIN_MS;
         }
         let class = match random.random_range(0..30) {
             0 => "filing-submit",
