--- a/crates/foxhold-testbed/src/checks/mod.rs
+++ b/crates/foxhold-testbed/src/checks/mod.rs
@@ -1,7 +1,7 @@
-//! Rules that a run is held against.
+//! Rules that a run is checked against.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`slow_start_budget`] | the budget of a server that started cold, over all who send to it |
+//! | [`slow_start_budget`] | the limit on the work that all senders may send to a server in slow start |
 
 pub mod slow_start_budget;
--- a/crates/foxhold-testbed/src/checks/slow_start_budget.rs
+++ b/crates/foxhold-testbed/src/checks/slow_start_budget.rs
@@ -1,36 +1,37 @@
-//! The budget of a server that started cold: within any window the work of all who send, in mean requests,
-//! may be `N + 2 * sqrt(N) + 2`, `N` being what the settings allow it then. Times are seconds.
+//! The budget of a server in slow start. Within any window, the work of all senders may be at most
+//! `N + 2 * sqrt(N) + 2` mean requests, where `N` is what the settings allow at that time.
+//!
+//! A mean request is a request with the mean work of all classes. Times are in seconds.
 
 use crate::servers::model::ServerSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::fmt;
 
-/// What is put down to chance: so many roots of what is allowed, and so many requests.
+/// The allowance for chance: this many times the square root of the allowed requests, and this many requests more.
 const CHANCE: f64 = 2.0;
 
-/// A window that ends with some work.
+/// The window that ends with the arrival of some work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SlowStartWindow {
-    /// Mean requests that came within it.
+    /// Mean requests that arrived within the window.
     pub count: f64,
-    /// Mean requests that the settings allow at its end.
+    /// Mean requests that the settings allow at the end of the window.
     pub allowed: f64,
-    /// Mean requests that the server could do at full pace meanwhile, and those that came, since the last
-    /// word.
+    /// Mean requests that the server could process since the work before.
     pub capacity: f64,
-    /// See `capacity`.
+    /// Mean requests that arrived since the work before.
     pub came: f64,
 }
 
 impl SlowStartWindow {
-    /// What came over what pushes the server over; above 1 it falls.
+    /// Returns the ratio of the work that arrived to the limit of the budget. Above 1 the server fails by overload.
     pub fn share(&self) -> f64 {
         self.count / (self.allowed + CHANCE * self.allowed.sqrt() + CHANCE)
     }
 }
 
-/// Counts the work that comes to a cold server.
+/// Counts the work that arrives at a server in slow start.
 #[derive(Debug)]
 pub struct Budget {
     mean: f64,
@@ -39,12 +40,12 @@
 }
 
 impl Budget {
-    /// Of a server whose requests are work of so many seconds on average.
+    /// Creates the budget of a server whose mean request takes `mean` seconds of work.
     pub fn new(mean: f64) -> Budget {
         Budget { mean: mean.max(1e-9), work: VecDeque::new(), last: None }
     }
 
-    /// Counts work that comes now, at this share of the server's link.
+    /// Counts work that arrives at `now`, when the share `warmth` of the link's capacity is available.
     pub fn push(&mut self, now: f64, work: f64, warmth: f64, spec: &ServerSpec) -> SlowStartWindow {
         while self.work.front().is_some_and(|(at, _)| *at <= now - spec.window) {
             self.work.pop_front();
@@ -60,14 +61,14 @@
     }
 }
 
-/// What came to a server while it was cold.
+/// The work that arrived at a server in slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SlowStartUse {
-    /// The window that came nearest to a fall.
+    /// The window with the highest [`SlowStartWindow::share`].
     pub worst: SlowStartWindow,
-    /// Mean requests that came.
+    /// Mean requests that arrived.
     pub came: f64,
-    /// And that it could have done at full pace.
+    /// Mean requests that the server could have processed.
     pub capacity: f64,
 }
 
@@ -81,7 +82,7 @@
         self.capacity += window.capacity;
     }
 
-    /// What came over what it could have done at full pace.
+    /// Returns the ratio of the work that arrived to the work that the server could have processed.
     pub fn used(&self) -> f64 {
         self.came / self.capacity.max(1e-9)
     }
--- a/crates/foxhold-testbed/src/commands/fleet.rs
+++ b/crates/foxhold-testbed/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: many processes of the director, by a scenario or by faults that are drawn.
+//! `fleet`: runs a scenario, or random faults, with many director processes.
 
 use foxhold_testbed::faults::schedule;
 use foxhold_testbed::reports::scenario::RunReport;
@@ -7,41 +7,43 @@
 use foxhold_testbed::scenarios::scenario::Scenario;
 use std::path::{Path, PathBuf};
 
-/// A storm that is not told otherwise.
+/// Number of directors for random faults without `--directors`.
 const RANDOM_FAULTS_DIRECTORS: usize = 20;
+/// Seconds of load for random faults without `--seconds`.
 const RANDOM_FAULTS_SECONDS: f64 = 120.0;
+/// Seed for random faults without `--seed`.
 const RANDOM_FAULTS_SEED: u64 = 1;
 
 /// Options of `fleet`.
 #[derive(clap::Args)]
 pub struct Options {
-    /// The plan; without one a calm play
+    /// Scenario file in YAML; without one, a scenario without faults is run
     file: Option<PathBuf>,
-    /// In place of a scenario: faults drawn by the seed among directors that gossip, 20 for 120 s unless told
-    /// otherwise
+    /// Run random faults, drawn from the seed, instead of a scenario file; by default 20 directors that gossip,
+    /// for 120 s
     #[arg(long, alias = "storm", conflicts_with = "file")]
     random_faults: bool,
-    /// The director's program
+    /// Path of the director's program
     #[arg(long, default_value = "target/release/foxhold")]
     daemon: PathBuf,
-    /// Directors, in place of the scenario's number
+    /// Number of directors, instead of the scenario's
     #[arg(long)]
     directors: Option<usize>,
-    /// Seed, in place of the scenario's
+    /// Seed, instead of the scenario's
     #[arg(long)]
     seed: Option<u64>,
-    /// Seconds of load, in place of the scenario's
+    /// Seconds of load, instead of the scenario's
     #[arg(long)]
     seconds: Option<f64>,
-    /// Where to write the figures, as JSON
+    /// File to write the figures to, as JSON
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Where to write the page with plots
+    /// File to write an HTML page with plots to
     #[arg(long)]
     html: Option<PathBuf>,
 }
 
-/// Runs the scenario and prints its summary; whether no rule was broken.
+/// Runs the scenario and prints its summary. Returns whether no rule was broken.
 pub fn run(options: Options) -> Result<bool, Failure> {
     let plan = plan(&options)?;
     let played = run_with_progress(&plan, &Programs::of(options.daemon)?)?;
@@ -55,7 +57,7 @@
     Ok(played.breaches.is_empty())
 }
 
-/// The plan of the options, with what they set in its place.
+/// Returns the scenario to run, with the settings that the options override.
 fn plan(options: &Options) -> Result<Scenario, Failure> {
     let mut plan = match &options.file {
         _ if options.random_faults => schedule::draw(
@@ -77,7 +79,7 @@
     Ok(Scenario::read(&text).map_err(|e| format!("{}: {e}", file.display()))?)
 }
 
-/// Runs a scenario with a bar that shows how far it is.
+/// Runs a scenario and shows a progress bar.
 fn run_with_progress(plan: &Scenario, programs: &Programs) -> Result<RunReport, Failure> {
     let bar = indicatif::ProgressBar::new((plan.seconds + plan.warm_up_seconds).ceil() as u64);
     bar.set_message("seconds of load");
--- a/crates/foxhold-testbed/src/commands/gossip.rs
+++ b/crates/foxhold-testbed/src/commands/gossip.rs
@@ -1,27 +1,27 @@
-//! `talk`: directors that share state, without clients and servers.
+//! `gossip`, alias `talk`: runs directors that gossip, without clients and servers.
 
 use foxhold_testbed::scenarios::gossip::{self, Scenario};
 use foxhold_testbed::scenarios::replay::Failure;
 use std::future::Future;
 use std::path::PathBuf;
 
-/// Options of `talk`.
+/// Options of `gossip`.
 #[derive(clap::Args)]
 pub struct Options {
-    /// The director's program
+    /// Path of the director's program
     #[arg(long, default_value = "target/release/foxhold")]
     daemon: PathBuf,
     #[command(flatten)]
     scenario: Scenario,
-    /// In place of that: one director holds so many entries, another starts and catches up
+    /// Measure a catch-up instead: one director holds this many entries, another starts and catches up
     #[arg(long)]
     catch_up: Option<u32>,
-    /// Where to write the figures, as JSON
+    /// File to write the figures to, as JSON
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// Runs the scenario and prints its figures; whether every update reached all.
+/// Runs the scenario and prints its figures. Returns whether every update reached all directors.
 pub fn run(options: &Options) -> Result<bool, Failure> {
     match options.catch_up {
         Some(entries) => catch_up(options, entries),
--- a/crates/foxhold-testbed/src/commands/mod.rs
+++ b/crates/foxhold-testbed/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, each with its options. Each returns whether what it checks held.
+//! The commands with their options. Each returns whether its checks passed.
 
 pub mod fleet;
 pub mod gossip;
--- a/crates/foxhold-testbed/src/commands/overhead.rs
+++ b/crates/foxhold-testbed/src/commands/overhead.rs
@@ -1,34 +1,34 @@
-//! `overhead`: what the director costs a request.
+//! `overhead`: measures what the director costs per request.
 
 use foxhold_testbed::scenarios::overhead::{through_daemon, through_library, Cost};
 use foxhold_testbed::scenarios::replay::Failure;
 use foxhold_testbed::servers::in_process::EmulatedFleet;
 use std::path::PathBuf;
 
-/// One server in so many is a parent.
+/// One of this many servers is a parent.
 const SERVERS_PER_PARENT: usize = 10;
 
 /// Options of `overhead`.
 #[derive(clap::Args)]
 pub struct Options {
-    /// The daemon's program
+    /// Path of the director's program
     #[arg(long, default_value = "target/release/foxhold")]
     daemon: PathBuf,
-    /// Requests of each
+    /// Requests sent through the daemon, and again through the library
     #[arg(long, default_value_t = 40_000)]
     requests: usize,
-    /// Servers in all: nine caches in ten
+    /// Number of servers, nine in ten of which are caches
     #[arg(long, default_value_t = 200)]
     servers: usize,
-    /// Objects asked for in turn
+    /// Number of objects, requested in turn
     #[arg(long, default_value_t = 1_000)]
     objects: usize,
-    /// Requests under way at a time
+    /// Number of requests in flight at a time
     #[arg(long, default_value_t = 16)]
     at_once: usize,
 }
 
-/// Measures both before the same emulated servers, and prints their figures.
+/// Measures the daemon and the library with the same emulated servers, and prints their figures.
 pub fn run(options: &Options) -> Result<bool, Failure> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let (daemon, library) = runtime.block_on(measure(options))?;
--- a/crates/foxhold-testbed/src/commands/simulate.rs
+++ b/crates/foxhold-testbed/src/commands/simulate.rs
@@ -1,4 +1,4 @@
-//! `hollow`: many directors in one process, over a simulated network.
+//! `simulate`, alias `hollow`: runs many directors in one process over a simulated network.
 
 use foxhold_testbed::scenarios::replay::Failure;
 use foxhold_testbed::scenarios::runner::interrupted;
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Runs all sizes, and prints and writes the report; whether every run was complete and no purge was missed.
-/// An interrupt ends it with what was measured until then.
+/// Runs all sizes, and prints and writes the report. Returns whether every run was complete and no purge was
+/// missed. After an interrupt it reports what was measured until then.
 pub fn run(options: &Options, allocated: fn() -> usize) -> Result<bool, Failure> {
     let host = Host { allocated, interrupted: Arc::new(AtomicBool::new(false)) };
     let flag = host.interrupted.clone();
@@ -27,7 +27,7 @@
 /// Waits for an interrupt and sets the flag.
 fn set_on_interrupt(flag: &AtomicBool) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    // Without a runtime the signal ends the process, as it would anyway.
+    // Without a runtime, the signal ends the process by its default action.
     if runtime.is_ok_and(|runtime| runtime.block_on(interrupted()).is_ok()) {
         flag.store(true, Ordering::Relaxed);
     }
--- a/crates/foxhold-testbed/src/commands/trace.rs
+++ b/crates/foxhold-testbed/src/commands/trace.rs
@@ -1,20 +1,20 @@
-//! `draw` and `trace`: drawn traces, and one trace through the daemon and through the library.
+//! `draw` and `trace`: draws random traces, and replays one trace through the daemon and through the library.
 
 use foxhold_testbed::load::trace::{self, Line};
 use foxhold_testbed::scenarios::replay::{compare, replay, Difference, Failure, ReplayResult, Through};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// Differences that are printed in full.
+/// Maximum number of differences that are printed in full.
 const DIFFERENCES_PRINTED: usize = 5;
 
-/// Options of `draw`.
+/// Options of `draw`, which prints a random trace.
 #[derive(clap::Args)]
 pub struct DrawOptions {
-    /// Requests
+    /// Number of requests in the trace
     #[arg(long, default_value_t = 5_000)]
     requests: usize,
-    /// What it is drawn from
+    /// Seed of the trace
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
@@ -22,29 +22,30 @@
 /// Options of `trace`.
 #[derive(clap::Args)]
 pub struct CompareOptions {
-    /// The trace; without one it is drawn as by `draw`
+    /// Trace file; without one, a trace is drawn as by `draw`
     file: Option<PathBuf>,
-    /// The daemon's program
+    /// Path of the director's program
     #[arg(long, default_value = "target/release/foxhold")]
     daemon: PathBuf,
-    /// Seed of a trace that is drawn
+    /// Seed of a drawn trace
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// Requests of a trace that is drawn
+    /// Number of requests in a drawn trace
     #[arg(long, default_value_t = 5_000)]
     requests: usize,
-    /// Change the decision on this fill in the library, which must show
+    /// In the library, send the fill with this number to another parent than decided, to check that the
+    /// difference is found
     #[arg(long)]
     alter: Option<usize>,
 }
 
-/// Prints a drawn trace.
+/// Draws a trace and prints it.
 pub fn draw(options: &DrawOptions) -> Result<bool, Failure> {
     trace::draw(options.requests, options.seed).iter().for_each(|line| println!("{line}"));
     Ok(true)
 }
 
-/// Replays a trace through both, and prints where they differ; whether they do not.
+/// Replays a trace through the daemon and the library, and prints the differences. Returns whether there are none.
 pub fn compare_daemon_and_library(options: CompareOptions) -> Result<bool, Failure> {
     let lines = read_or_draw(&options)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
--- a/crates/foxhold-testbed/src/lib.rs
+++ b/crates/foxhold-testbed/src/lib.rs
@@ -1,13 +1,13 @@
-//! The testbed: what only tests, measurements and experiments need.
+//! The testbed: code used only by tests, measurements and experiments.
 //!
 //! | module | holds |
 //! | --- | --- |
 //! | [`servers`] | emulated caches, parents, origins and discovery services |
-//! | [`faults`] | faults that are injected between processes, and schedules of them |
-//! | [`load`] | clients, what they ask for, and when they leave |
-//! | [`scenarios`] | scenarios as data, and their runners |
-//! | [`checks`] | rules that a run is held against |
-//! | [`reports`] | figures of a run as JSON, and pages with plots |
+//! | [`faults`] | faults to inject between processes, and fault schedules |
+//! | [`load`] | clients, their requests, and their disconnects |
+//! | [`scenarios`] | scenarios as data, and the code that runs them |
+//! | [`checks`] | rules that a run is checked against |
+//! | [`reports`] | figures of a run as JSON, and HTML pages with plots |
 #![warn(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -12,7 +12,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A request of a trace.
+/// A client's request, as a line of a trace describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceRequest {
     /// The name of its class.
@@ -92,10 +92,10 @@
         text: String,
     },
     /// Neither a request nor a fault.
-    #[error("expected a request of 7 words or a fault with '!' as second word, got {words} words")]
+    #[error("expected a request of 7 words or a fault with '!' as second word, got {count} words")]
     FieldCount {
         /// The number of words on the line.
-        words: usize,
+        count: usize,
     },
     /// The time is not finite, or it is earlier than that of the line before.
     #[error("time is not finite or earlier than that of the line before")]
@@ -142,7 +142,7 @@
                 size_kb: number(size)?,
                 allow_ms: number(allow)?,
             }),
-            _ => return Err(LineError::FieldCount { words: words.len() }),
+            _ => return Err(LineError::FieldCount { count: words.len() }),
         };
         Ok(Line { at_ms: number::<f64>(at)?, step })
     }
--- a/crates/foxhold-testbed/src/main.rs
+++ b/crates/foxhold-testbed/src/main.rs
@@ -6,7 +6,7 @@
 
 mod commands;
 
-/// What is allocated is counted: simulated directors' memory is told from it.
+/// Counts allocated bytes, from which the memory of simulated directors is computed.
 #[global_allocator]
 static ALLOCATED: cap::Cap<std::alloc::System> = cap::Cap::new(std::alloc::System, usize::MAX);
 
@@ -22,27 +22,26 @@
 enum Command {
     /// Draw a trace with a drain, a crash, a slow parent and a purge, and print it
     Draw(commands::trace::DrawOptions),
-    /// Run one trace through the daemon and through the library, and compare every choice and answer; exit 1
-    /// where any differs
+    /// Run one trace through the daemon and through the library, and compare every choice and response; exit 1
+    /// if any differs
     Trace(commands::trace::CompareOptions),
-    /// Directors that gossip: how fast an update is with all, and what that costs; exit 1 where one was
-    /// not
+    /// Run directors that gossip: measure how fast updates reach all of them, and what that costs; exit 1 if an
+    /// update did not reach all
     #[command(alias = "talk")]
     Gossip(commands::gossip::Options),
-    /// Many directors in one process over a simulated network, without clients and servers: what control
-    /// costs each, and when purges are everywhere; exit 1 where one was not
+    /// Simulate many directors in one process over a simulated network, without clients and servers: measure what
+    /// control costs each, and when purges reach all; exit 1 if a purge did not
     #[command(alias = "hollow")]
     Simulate(commands::simulate::Options),
-    /// Many processes of the director before emulated servers, with faults between them, by a scenario in
-    /// YAML
+    /// Run many director processes with emulated servers and faults between them, as a scenario in YAML says
     Fleet(commands::fleet::Options),
-    /// One emulated server as a process: told on standard input, telling on standard output
+    /// Run one emulated server, with commands on standard input and events on standard output
     #[command(hide = true, alias = "stand-in")]
     Emulate {
-        /// How it starts, as JSON
+        /// Configuration of the server, as JSON
         start: String,
     },
-    /// What the director costs a request, as daemon over loopback and as library, before the same emulated
+    /// Measure what the director costs per request, as daemon over loopback and as library, with the same emulated
     /// servers
     Overhead(commands::overhead::Options),
 }
@@ -58,7 +57,7 @@
     }
 }
 
-/// Runs a command; whether what it checks held.
+/// Runs a command. Returns whether its checks passed.
 fn run(command: Command) -> Result<bool, Failure> {
     match command {
         Command::Draw(options) => commands::trace::draw(&options),
--- a/crates/foxhold-testbed/src/reports/mod.rs
+++ b/crates/foxhold-testbed/src/reports/mod.rs
@@ -1,7 +1,7 @@
-//! Figures of a run as JSON, and pages with plots.
+//! Reports on runs: figures as JSON, and HTML pages with plots.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`scenario`] | what a scenario showed |
+//! | [`scenario`] | the report on a scenario |
 
 pub mod scenario;
--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -1,4 +1,4 @@
-//! What a run showed: figures as JSON, and one HTML page with plots.
+//! The report on a run of a scenario: figures as JSON, and an HTML page with plots.
 
 mod activity;
 
@@ -14,84 +14,87 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
-/// Milliseconds of the shortest window.
-const BIN: u64 = 100;
+/// Length in milliseconds of the windows in which requests are counted.
+const BIN_MS: u64 = 100;
 
-/// What a run has seen of its processes.
+/// What a run observed of its processes.
 #[derive(Default)]
 pub struct Observations {
-    /// What servers told, in the order of its coming.
+    /// Events that servers reported, with the server's name, in order of arrival.
     pub notes: Vec<(String, ServerEvent)>,
-    /// When a director suspected a server: Unix milliseconds, and who.
+    /// Log lines in which a director suspected a server: Unix milliseconds, and the director's name.
     pub suspicions: Vec<(u64, String)>,
-    /// Processes that ended by themselves, and panics.
+    /// Unexpected exits of processes, and panics.
     pub panics: Vec<String>,
-    /// Where each director's board is.
+    /// The address of the discovery service for each director, by the director's name.
     pub boards: HashMap<String, String>,
 }
 
-/// A server's requests.
+/// The requests that a server received.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Load {
-    /// Requests of directors in tenths of a second, from the load's start.
+    /// Requests of directors in each tenth of a second, from the start of the measured load.
     pub tenths: Vec<u32>,
-    /// Requests of other servers, in all.
+    /// Requests of other servers, over the whole measured load.
     pub fills: u64,
-    /// Requests turned away unseen.
+    /// Requests refused because the server had no free slot.
     pub full: u64,
 }
 
-/// What came of a run.
+/// The figures of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
-    /// The plan, to be run again.
+    /// The scenario, with which the run can be repeated.
     pub plan: Scenario,
     /// Broken rules, crashes and panics; a run with any has failed.
     pub breaches: Vec<String>,
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub ends: BTreeMap<String, u64>,
-    /// Served within the aim, as a share of all that were asked of a director that was there.
+    /// Share of requests served within the latency objective. Leaves out requests whose director was unreachable,
+    /// killed or stopped, and those whose client disconnected.
     pub in_time: f64,
-    /// Milliseconds from the intended start to the end of an answer that served.
+    /// Median latency in milliseconds of served requests, from the intended start to the end of the response.
     pub p50: f64,
-    /// See `p50`.
+    /// 99th percentile of the same latency.
     pub p99: f64,
-    /// Requests of the busiest cache over the mean cache, each by its size, in windows of a second: the
-    /// median.
+    /// Ratio of the busiest cache's requests to the mean over all caches, relative to their sizes, in windows of 1 s:
+    /// the median over all windows.
     pub busiest: f64,
-    /// The same where it was worst.
+    /// The largest of these ratios.
     pub busiest_worst: f64,
-    /// The same by second.
+    /// These ratios, by second.
     pub busiest_by_second: Vec<f64>,
-    /// Seconds in windows of two in which a cache got nothing while the mean cache got 20 a second or more.
+    /// Seconds during which a cache got no requests while the mean over all caches was at least 20 per second, counted
+    /// in windows of 2 s and summed over the caches.
     pub idle_cache_s: f64,
-    /// Variance over mean of a cache's requests in tenths of a second; 1 is Poisson. The mean over caches.
+    /// Ratio of variance to mean of a cache's requests per tenth of a second, which is 1 for a Poisson process. The
+    /// mean over all caches.
     pub dispersion: f64,
-    /// Requests of all directors at all servers in the busiest tenth of a second after a fault, over the
-    /// mean.
+    /// Ratio of the busiest tenth of a second within 5 s after a fault to the mean, for the requests of all directors
+    /// at all servers.
     pub peak: f64,
-    /// The same of the server where it was highest, over the mean of the servers of its role.
+    /// The highest such ratio of a single server, to the mean of the servers of its role.
     pub peak_server: f64,
-    /// Requests of caches at parents, and of parents and caches at the origin, over requests served.
+    /// Requests of caches at parents per served request.
     pub parent_fills: f64,
-    /// See `parent_fills`.
+    /// Requests of parents and caches at the origin per served request.
     pub origin_fills: f64,
-    /// Attempts for clients that had left.
+    /// Attempts for clients that had disconnected.
     pub after_leave: SentAfterDisconnect,
-    /// Suspicions of servers by directors.
+    /// Number of times that a director suspected a server.
     pub suspicions: usize,
-    /// By server.
+    /// Requests by server.
     pub load: BTreeMap<String, Load>,
-    /// By server that started cold: what came of its budget.
+    /// Use of the slow start budget, by server that started cold.
     #[serde(rename = "cold")]
     pub slow_starts: BTreeMap<String, SlowStartUse>,
-    /// By second: asked, served within the aim.
+    /// Requests, and those served within the latency objective, by second.
     pub service: Vec<(u64, u64)>,
-    /// By tenth of a second of the load: most requests under way.
+    /// Most requests in flight in each tenth of a second of the measured load.
     pub in_flight: Vec<usize>,
 }
 
-/// The caches with their sizes.
+/// Returns the caches with their sizes.
 fn caches<'a>(
     load: &'a BTreeMap<String, Load>,
     specs: &BTreeMap<String, ServerSpec>,
@@ -100,14 +103,14 @@
     load.iter().filter_map(|(name, load)| Some((load, cache(name)?.link))).collect()
 }
 
-/// Most requests under way by tenth of a second, without those before the load was measured.
+/// Returns the most requests in flight by tenth of a second, without the warm-up.
 fn after_warm_up(plan: &Scenario, in_flight: &[usize]) -> Vec<usize> {
     let skipped = (in_flight.len() as f64 - plan.seconds * 10.0).max(0.0) as usize;
     in_flight.get(skipped..).unwrap_or_default().to_vec()
 }
 
 impl RunReport {
-    /// Computes the figures.
+    /// Computes the figures of a run. `zero_ms` is the start of the measured load in Unix milliseconds.
     pub(crate) fn new(
         plan: &Scenario,
         specs: &BTreeMap<String, ServerSpec>,
@@ -125,7 +128,7 @@
         let load = servers.load;
         let role = |name: &str| specs.get(name).map(|s| s.role);
         let caches = caches(&load, specs);
-        let spread = busiest(&caches);
+        let spread = busiest_to_mean_ratio(&caches);
         let mut sorted = spread.clone();
         sorted.sort_by(f64::total_cmp);
         let served = requests.ends.get("served").copied().unwrap_or(0).max(1) as f64;
@@ -142,7 +145,7 @@
             busiest: sorted.get(sorted.len() / 2).copied().unwrap_or(0.0),
             busiest_by_second: spread,
             busiest_worst: sorted.last().copied().unwrap_or(0.0),
-            idle_cache_s: idle(&caches),
+            idle_cache_s: idle_cache_seconds(&caches),
             dispersion: dispersion(&caches),
             peak,
             peak_server,
@@ -159,7 +162,7 @@
         }
     }
 
-    /// The figures in a few lines.
+    /// Returns the figures in a few lines of text.
     pub fn summary(&self) -> String {
         let RunReport { ends, in_time, p50, p99, busiest, busiest_worst, .. } = self;
         let ends: Vec<String> = ends.iter().map(|(name, n)| format!("{name} {n}")).collect();
@@ -201,7 +204,7 @@
         text
     }
 
-    /// One page with the figures, the plots and the scenario.
+    /// Returns an HTML page with the figures, the plots and the scenario.
     pub fn page(&self) -> Result<String, Failure> {
         let tenths = |v: &[u32]| -> Vec<(f64, f64)> {
             let seconds = v.chunks(10).enumerate();
@@ -276,12 +279,13 @@
     }
 }
 
+/// Escapes text for HTML.
 pub(crate) fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;")
 }
 
-/// By second: the busiest cache's requests over the mean cache's, each by its size.
-fn busiest(caches: &[(&Load, f64)]) -> Vec<f64> {
+/// Returns, by second, the ratio of the busiest cache's requests to the mean over all caches, relative to their sizes.
+fn busiest_to_mean_ratio(caches: &[(&Load, f64)]) -> Vec<f64> {
     let seconds = caches.first().map_or(0, |c| c.0.tenths.len() / 10);
     let size = caches.iter().map(|c| c.1).sum::<f64>() / caches.len().max(1) as f64;
     let window =
@@ -298,7 +302,8 @@
     (0..seconds).map(over).collect()
 }
 
-fn idle(caches: &[(&Load, f64)]) -> f64 {
+/// Returns the seconds during which caches got no requests while the others were busy.
+fn idle_cache_seconds(caches: &[(&Load, f64)]) -> f64 {
     let windows = caches.first().map_or(0, |c| c.0.tenths.len() / 20);
     let mut seconds = 0.0;
     for w in 0..windows {
@@ -311,7 +316,7 @@
     seconds
 }
 
-/// Variance over mean of counts.
+/// Returns the ratio of the variance of counts to their mean.
 pub fn variance_to_mean_ratio(counts: &[u32]) -> f64 {
     let n = counts.len() as f64;
     let mean = counts.iter().sum::<u32>() as f64 / n;
@@ -319,17 +324,19 @@
     variance / mean
 }
 
+/// Returns the mean over all caches with requests of their ratio of variance to mean.
 fn dispersion(caches: &[(&Load, f64)]) -> f64 {
     let busy = caches.iter().filter(|c| c.0.tenths.len() > 1 && c.0.tenths.iter().any(|t| *t > 0));
     let all: Vec<f64> = busy.map(|c| variance_to_mean_ratio(&c.0.tenths)).collect();
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
-/// The busiest tenth of a second within 5 s after a fault: over the whole fleet, and at one server.
+/// Returns the ratio of the busiest tenth of a second within 5 s after a fault to the mean, for the whole fleet and
+/// for the server where it is highest.
 fn peaks(plan: &Scenario, load: &BTreeMap<String, Load>, role: &dyn Fn(&str) -> Option<Role>) -> (f64, f64) {
     let tenths = load.values().next().map_or(0, |l| l.tenths.len());
     let after = |bin: usize| {
-        let at = bin as f64 * BIN as f64 / 1e3;
+        let at = bin as f64 * BIN_MS as f64 / 1e3;
         let faults = plan.faults.iter().filter(|f| !matches!(f.kind, FaultKind::Burst | FaultKind::Hot));
         let moments =
             faults.flat_map(|f| [Some(f.at), f.lasts.map(|l| f.at + l)]).flatten().collect::<Vec<_>>();
@@ -345,7 +352,7 @@
         let all: u32 = of.iter().flat_map(|l| &l.tenths).sum();
         let mean = f64::from(all) / (of.len() * tenths).max(1) as f64;
         let top = of.iter().flat_map(|l| bins.iter().map(|b| l.tenths[*b])).max().unwrap_or(0);
-        // Fewer than ten in a tenth of a second are no herd, whatever the mean.
+        // Fewer than ten requests in a tenth of a second are not a burst, even if the mean is far lower.
         if top >= 10 && mean > 0.0 {
             single = single.max(f64::from(top) / mean);
         }
--- a/crates/foxhold-testbed/src/reports/scenario/activity.rs
+++ b/crates/foxhold-testbed/src/reports/scenario/activity.rs
@@ -1,6 +1,6 @@
-//! What servers reported and how requests ended, counted for the report.
+//! Counts of the servers' events and of the outcomes of requests, for the report.
 
-use super::{Load, BIN};
+use super::{Load, BIN_MS};
 use crate::checks::slow_start_budget::SlowStartUse;
 use crate::load::clients::{End, RequestRecord};
 use crate::scenarios::scenario::Scenario;
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
 
-/// What the servers reported.
+/// The servers' requests, their use of the slow start budget, and the rules they saw broken.
 pub(super) struct ServerActivity {
     pub(super) load: BTreeMap<String, Load>,
     pub(super) slow_starts: BTreeMap<String, SlowStartUse>,
@@ -23,7 +23,7 @@
         zero_ms: u64,
         events: &[(String, ServerEvent)],
     ) -> ServerActivity {
-        let tenths = (plan.seconds * 1e3 / BIN as f64).ceil() as usize;
+        let tenths = (plan.seconds * 1e3 / BIN_MS as f64).ceil() as usize;
         let empty = || Load { tenths: vec![0; tenths], ..Load::default() };
         let load = specs.keys().map(|name| (name.clone(), empty())).collect();
         let mut activity = ServerActivity { load, slow_starts: BTreeMap::new(), breaches: Vec::new() };
@@ -31,7 +31,7 @@
         for (name, event) in events {
             match event {
                 ServerEvent::Asked { ms, request: ask, full } => {
-                    let bin = ms.checked_sub(zero_ms).map(|ms| (ms / BIN) as usize);
+                    let bin = ms.checked_sub(zero_ms).map(|ms| (ms / BIN_MS) as usize);
                     let Some(bin) = bin.filter(|bin| *bin < tenths) else { continue };
                     activity.count_request(name, bin, ask.by.is_empty(), *full);
                 }
@@ -39,7 +39,7 @@
                 ServerEvent::Fell { ms, warming_up: cold } => {
                     let at = (*ms as f64 - zero_ms as f64) / 1e3;
                     let origin = specs.get(name).is_some_and(|s| s.role == Role::Origin);
-                    // An origin that stops is a fault, not a broken rule; nor is a warm server that falls.
+                    // An origin that stops is a fault and breaks no rule, and neither does an overloaded warm server.
                     if *cold && !origin {
                         let breach = format!("{name} was pushed over while it was cold, at {at:.3} s");
                         activity.breaches.push(breach);
@@ -71,12 +71,12 @@
     }
 }
 
-/// How clients' requests ended, from the load's start on.
+/// The outcomes of clients' requests, from the start of the measured load on.
 pub(super) struct RequestSummary {
     pub(super) ends: BTreeMap<String, u64>,
-    /// By second: asked, served within the objective.
+    /// Requests, and those served within the latency objective, by second.
     pub(super) service: Vec<(u64, u64)>,
-    /// Microseconds of those that were served.
+    /// Latencies of served requests, in microseconds.
     latencies: Histogram<u64>,
 }
 
@@ -107,7 +107,7 @@
         good as f64 / all.max(1) as f64
     }
 
-    /// A quantile of the latencies in milliseconds; 0 where none was served.
+    /// Returns a quantile of the latencies in milliseconds, or 0 if no request was served.
     pub(super) fn quantile_ms(&self, quantile: f64) -> f64 {
         self.latencies.value_at_quantile(quantile) as f64 / 1e3
     }
--- a/crates/foxhold-testbed/src/servers/emulated/fills.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/fills.rs
@@ -81,7 +81,7 @@
         waits.await.unwrap_or(ServerReply::Other("EIO", "root_failed"))
     }
 
-    /// Requests a fill from another server. Returns `None` if that server cannot be reached, closes the connection
+    /// Sends a fill request to another server and returns its reply. Returns `None` if that server cannot be reached, closes the connection
     /// or does not reply within [`SOURCE_TIMEOUT`].
     async fn request_from_source(
         self: &Rc<Self>,
