--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -52,13 +52,13 @@
 /// Why updates were not delivered.
 #[derive(Debug, thiserror::Error)]
 pub enum DeliveryError {
-    /// A batch reached [`MAX_ATTEMPTS`].
+    /// A batch was sent `MAX_ATTEMPTS` times without progress.
     #[error("{missing} updates of a batch were not acknowledged after {MAX_ATTEMPTS} attempts")]
     AttemptsExhausted {
         /// Updates of that batch that the director has not acknowledged.
         missing: usize,
     },
-    /// The delivery reached [`DELIVERY_TIMEOUT`].
+    /// The delivery took longer than `DELIVERY_TIMEOUT`.
     #[error("{missing} updates were not acknowledged after {} s", DELIVERY_TIMEOUT.as_secs())]
     TimedOut {
         /// Updates that the director has not acknowledged.
