--- a/crates/foxhold-testbed/src/checks/slow_start_budget.rs
+++ b/crates/foxhold-testbed/src/checks/slow_start_budget.rs
@@ -8,7 +8,8 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-/// The allowance for chance: this many times the square root of the allowed requests, and this many requests more.
+/// The allowance for chance: this many times the square root of the allowed requests, and this many requests
+/// more.
 const CHANCE: f64 = 2.0;
 
 /// The window that ends with the arrival of some work.
@@ -25,7 +26,8 @@
 }
 
 impl SlowStartWindow {
-    /// Returns the ratio of the work that arrived to the limit of the budget. Above 1 the server fails by overload.
+    /// Returns the ratio of the work that arrived to the limit of the budget. Above 1 the server fails by
+    /// overload.
     pub fn share(&self) -> f64 {
         self.count / (self.allowed + CHANCE * self.allowed.sqrt() + CHANCE)
     }
--- a/crates/foxhold-testbed/src/commands/fleet.rs
+++ b/crates/foxhold-testbed/src/commands/fleet.rs
@@ -19,8 +19,8 @@
 pub struct Options {
     /// Scenario file in YAML; without one, a scenario without faults is run
     file: Option<PathBuf>,
-    /// Run random faults, drawn from the seed, instead of a scenario file; by default 20 directors that gossip,
-    /// for 120 s
+    /// Run random faults, drawn from the seed, instead of a scenario file; by default 20 directors that
+    /// gossip, for 120 s
     #[arg(long, alias = "storm", conflicts_with = "file")]
     random_faults: bool,
     /// Path of the director's program
--- a/crates/foxhold-testbed/src/commands/trace.rs
+++ b/crates/foxhold-testbed/src/commands/trace.rs
@@ -45,7 +45,8 @@
     Ok(true)
 }
 
-/// Replays a trace through the daemon and the library, and prints the differences. Returns whether there are none.
+/// Replays a trace through the daemon and the library, and prints the differences. Returns whether there are
+/// none.
 pub fn compare_daemon_and_library(options: CompareOptions) -> Result<bool, Failure> {
     let lines = read_or_draw(&options)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
--- a/crates/foxhold-testbed/src/faults/peer_network.rs
+++ b/crates/foxhold-testbed/src/faults/peer_network.rs
@@ -1,8 +1,9 @@
-//! The gossip network between the directors of a fleet. Each director has a relay, which can lose, duplicate or
-//! delay the datagrams on the path from any other director.
+//! The gossip network between the directors of a fleet. Each director has a relay, which can lose, duplicate
+//! or delay the datagrams on the path from any other director.
 //!
-//! Each director has a separate loopback address and advertises the address of its relay, so that everything that
-//! the others send to it passes the relay. The relay identifies the sender by the source address of a datagram.
+//! Each director has a separate loopback address and advertises the address of its relay, so that everything
+//! that the others send to it passes the relay. The relay identifies the sender by the source address of a
+//! datagram.
 
 use crate::scenarios::replay::Failure;
 use rand::rngs::StdRng;
@@ -134,7 +135,8 @@
         (ip(self.number, n), ADMIN_PORT).into()
     }
 
-    /// Returns the operator's configuration file of a director. `keys` are further keys of its section `peers`.
+    /// Returns the operator's configuration file of a director. `keys` are further keys of its section
+    /// `peers`.
     pub fn operator(&self, n: usize, keys: &str) -> String {
         let seeds: Vec<String> =
             (0..self.directors.min(SEEDS)).map(|s| format!("\"{}\"", self.reached_at(s))).collect();
@@ -150,8 +152,8 @@
     }
 }
 
-/// Returns the loopback address of a director. The addresses differ between the fleets of one process, and between
-/// processes that run at the same time.
+/// Returns the loopback address of a director. The addresses differ between the fleets of one process, and
+/// between processes that run at the same time.
 fn ip(fleet: u8, n: usize) -> Ipv4Addr {
     let process = 16 + (std::process::id() % 200) as u8;
     Ipv4Addr::new(
--- a/crates/foxhold-testbed/src/faults/relay.rs
+++ b/crates/foxhold-testbed/src/faults/relay.rs
@@ -1,9 +1,9 @@
 //! A TCP relay between two processes that injects faults into the link between them.
 //!
-//! A dropped link discards all bytes. Open connections stay open without traffic. New connections are accepted,
-//! since the relay is on the same machine, and carry no traffic either. The discarded bytes are never sent again,
-//! so when the fault is cleared, the connections that were open during it are reset, as exhausted TCP
-//! retransmissions would do.
+//! A dropped link discards all bytes. Open connections stay open without traffic. New connections are
+//! accepted, since the relay is on the same machine, and carry no traffic either. The discarded bytes are
+//! never sent again, so when the fault is cleared, the connections that were open during it are reset, as
+//! exhausted TCP retransmissions would do.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/foxhold-testbed/src/faults/schedule.rs
+++ b/crates/foxhold-testbed/src/faults/schedule.rs
@@ -1,13 +1,13 @@
-//! Random fault schedules for directors that gossip. A schedule is drawn from a seed, so that a run that broke a
-//! rule can be repeated.
+//! Random fault schedules for directors that gossip. A schedule is drawn from a seed, so that a run that
+//! broke a rule can be repeated.
 //!
 //! The schedules respect what directors can know, because the rules are checked against that:
 //!
 //! - Drain overrides start and end only after gossip has been without faults for [`QUIET_SECONDS`].
 //! - Directors are killed only while there is no drain override, because a director that starts without state
 //!   knows only the discovery service's member list until it has caught up.
-//! - Purges are issued at any time. A director that was partitioned or stopped must know them [`QUIET_SECONDS`]
-//!   after the end of that fault.
+//! - Purges are issued at any time. A director that was partitioned or stopped must know them
+//!   [`QUIET_SECONDS`] after the end of that fault.
 
 use crate::faults::relay::LinkFault;
 use crate::scenarios::scenario::{Fault, FaultKind, Scenario};
--- a/crates/foxhold-testbed/src/load/clients.rs
+++ b/crates/foxhold-testbed/src/load/clients.rs
@@ -1,5 +1,5 @@
-//! An open-loop load over HTTP. Arrivals are drawn in advance and do not wait for responses. Latency counts from
-//! the intended start of a request. Responses are checked against the rules.
+//! An open-loop load over HTTP. Arrivals are drawn in advance and do not wait for responses. Latency counts
+//! from the intended start of a request. Responses are checked against the rules.
 
 mod http;
 
@@ -148,7 +148,8 @@
     pub disturbed: RefCell<Vec<Instant>>,
     /// Whether it is stopped now.
     pub stopped: Cell<bool>,
-    /// Whether it may learn of purges late, because its link to the discovery service was faulty or it was stopped.
+    /// Whether it may learn of purges late, because its link to the discovery service was faulty or it was
+    /// stopped.
     pub hears_late: Cell<bool>,
     idle: RefCell<Vec<TcpStream>>,
 }
@@ -195,8 +196,8 @@
         Clients { plan: plan.clone(), doors, book: Rc::default() }
     }
 
-    /// Sends all requests at their times. `zero` is the start of the measured load, `settle` the seconds of warm-up
-    /// before it.
+    /// Sends all requests at their times. `zero` is the start of the measured load, `settle` the seconds of
+    /// warm-up before it.
     pub async fn run(self: Rc<Self>, arrivals: Vec<Arrival>, zero: Instant, settle: f64) {
         let mut tasks = tokio::task::JoinSet::new();
         for (n, arrival) in arrivals.into_iter().enumerate() {
@@ -255,8 +256,8 @@
             Ok(Exchange::Answer(..)) => (End::Failed, None),
             Ok(Exchange::Unreached) => (End::Unreached, None),
             Ok(Exchange::Left) => (End::Left, None),
-            // A director that was stopped responds late to requests that it had received; these count as cut off,
-            // not as lost.
+            // A director that was stopped responds late to requests that it had received; these count as cut
+            // off, not as lost.
             Ok(Exchange::Broken) | Err(_) if target.was_disturbed(begun) => (End::Cut, None),
             Ok(Exchange::Broken) => {
                 (End::Lost, Some("the connection ended without a whole answer".to_owned()))
@@ -298,8 +299,9 @@
         }
     }
 
-    /// Returns the breach if the copy is older than a purge and the request was sent after the time that the director
-    /// had to apply the purge: 1 s, or 8 s where it may learn of purges late, and 50 ms for the network.
+    /// Returns the breach if the copy is older than a purge and the request was sent after the time that the
+    /// director had to apply the purge: 1 s, or 8 s where it may learn of purges late, and 50 ms for the
+    /// network.
     fn check_purges(
         &self,
         target: &DirectorTarget,
@@ -318,8 +320,8 @@
         ))
     }
 
-    /// Sends a request on an idle connection, or on a new one. Dropping the future closes the connection, or resets
-    /// it if the client is to disconnect by a reset.
+    /// Sends a request on an idle connection, or on a new one. Dropping the future closes the connection, or
+    /// resets it if the client is to disconnect by a reset.
     async fn send(&self, target: &DirectorTarget, head: &str, leave: Option<Disconnect>) -> Exchange {
         let resets = leave.is_some_and(|leave| leave.how == DisconnectKind::Reset);
         let idle = if resets { None } else { target.idle.borrow_mut().pop() };
@@ -359,10 +361,12 @@
 /// Speed of one transfer at full speed in KB per second, as configured in the directors.
 pub const TRANSFER_KB_PER_S: f64 = 9_500.0;
 
-/// Requests that began up to this long after a director was killed, stopped or restarted may still be cut off.
+/// Requests that began up to this long after a director was killed, stopped or restarted may still be cut
+/// off.
 const DISTURBANCE_MARGIN: Duration = Duration::from_millis(4_000);
 
-/// Delay from a recorded disconnect to the request, where the scenario plants [`RuleBreach::AskedAfterLeave`].
+/// Delay from a recorded disconnect to the request, where the scenario plants
+/// [`RuleBreach::AskedAfterLeave`].
 const PLANTED_SEND_DELAY: Duration = Duration::from_millis(200);
 
 /// Completes when a client disconnects; never, if it waits for the response.
--- a/crates/foxhold-testbed/src/load/clients/http.rs
+++ b/crates/foxhold-testbed/src/load/clients/http.rs
@@ -4,8 +4,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends a request and reads the status and body of the response. Returns `None` if the connection ends before the
-/// end of the response, or if the response is malformed.
+/// Sends a request and reads the status and body of the response. Returns `None` if the connection ends
+/// before the end of the response, or if the response is malformed.
 pub(super) async fn exchange(stream: &mut TcpStream, head: &str) -> Option<(u16, Vec<u8>)> {
     stream.write_all(head.as_bytes()).await.ok()?;
     let (mut bytes, mut chunk) = (Vec::with_capacity(512), [0; 2048]);
--- a/crates/foxhold-testbed/src/load/disconnects.rs
+++ b/crates/foxhold-testbed/src/load/disconnects.rs
@@ -1,5 +1,6 @@
-//! Clients that disconnect before the response. The times are drawn in advance. The requests that servers received
-//! are checked against the rule that no attempt for a client begins more than 0.1 s after its disconnect.
+//! Clients that disconnect before the response. The times are drawn in advance. The requests that servers
+//! received are checked against the rule that no attempt for a client begins more than 0.1 s after its
+//! disconnect.
 
 use crate::faults::relay::LinkFault;
 use crate::scenarios::scenario::{FaultKind, Scenario};
@@ -11,8 +12,8 @@
 
 /// Time limit in milliseconds for the start of an attempt after its client has disconnected.
 pub const MAX_SEND_DELAY_MS: u64 = 100;
-/// Seconds after the end of a server's stall or of a link fault during which the server may still read requests
-/// sent before that.
+/// Seconds after the end of a server's stall or of a link fault during which the server may still read
+/// requests sent before that.
 const DELAYED_READ_SECONDS: f64 = 1.0;
 
 /// How a client disconnects.
@@ -33,8 +34,8 @@
     pub how: DisconnectKind,
 }
 
-/// Draws which clients disconnect. Uses a separate random generator, so that disconnects do not change the rest of
-/// a scenario's load.
+/// Draws which clients disconnect. Uses a separate random generator, so that disconnects do not change the
+/// rest of a scenario's load.
 pub struct Disconnects {
     random: StdRng,
     share: f64,
@@ -48,7 +49,8 @@
         Disconnects { random, share: plan.leave, within: plan.leave_within_ms / 1e3 }
     }
 
-    /// Draws the disconnect of the next request's client. Returns `None` if the client waits for the response.
+    /// Draws the disconnect of the next request's client. Returns `None` if the client waits for the
+    /// response.
     pub fn draw(&mut self) -> Option<Disconnect> {
         if self.random.random::<f64>() >= self.share {
             return None;
@@ -73,9 +75,9 @@
 }
 
 impl SentAfterDisconnect {
-    /// Compares the requests that servers received with the disconnects in `left`, which are in Unix milliseconds by
-    /// request id. Returns the figures and the broken rules. Requests at servers that were stalled or behind a faulty
-    /// link are left out, because bytes may wait there before they are read.
+    /// Compares the requests that servers received with the disconnects in `left`, which are in Unix
+    /// milliseconds by request id. Returns the figures and the broken rules. Requests at servers that were
+    /// stalled or behind a faulty link are left out, because bytes may wait there before they are read.
     pub fn reckon(
         plan: &Scenario,
         zero_ms: u64,
--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -2,11 +2,12 @@
 //! acknowledgement.
 //!
 //! Directors do not acknowledge each other's updates: a director that loses one gets it from another director
-//! later. The client's updates exist at no other member, so it reads back what it sent. After each batch of updates
-//! it sends a [`GossipMessage::TransferRequest`] for the batch's range of positions. The
-//! [`GossipMessage::TransferChunk`] in reply acknowledges the updates of the batch that it contains. Updates that are
-//! not acknowledged in time are sent again unchanged, which has no effect on a director that already holds them. The
-//! number of outstanding batches, their rate, the attempts of each batch and the time of a delivery are bounded.
+//! later. The client's updates exist at no other member, so it reads back what it sent. After each batch of
+//! updates it sends a [`GossipMessage::TransferRequest`] for the batch's range of positions. The
+//! [`GossipMessage::TransferChunk`] in reply acknowledges the updates of the batch that it contains. Updates
+//! that are not acknowledged in time are sent again unchanged, which has no effect on a director that already
+//! holds them. The number of outstanding batches, their rate, the attempts of each batch and the time of a
+//! delivery are bounded.
 
 use crate::scenarios::cluster::Fleet;
 use crate::scenarios::replay::Failure;
@@ -25,20 +26,22 @@
 
 /// Updates in one batch. A director's [`GossipMessage::TransferChunk`] holds this many purges.
 const BATCH_UPDATES: usize = 64;
-/// Maximum number of batches that are sent and not yet acknowledged. A socket's buffer holds several times their
-/// datagrams.
+/// Maximum number of batches that are sent and not yet acknowledged. A socket's buffer holds several times
+/// their datagrams.
 const MAX_OUTSTANDING: usize = 8;
-/// Interval between two new batches. It gives 4,000 updates per second, half the rate up to which directors forward
-/// all updates to each other without leaving some to be found by digests (512 in three rounds of 20 ms).
+/// Interval between two new batches. It gives 4,000 updates per second, half the rate up to which directors
+/// forward all updates to each other without leaving some to be found by digests (512 in three rounds of 20
+/// ms).
 const BATCH_INTERVAL: Duration = Duration::from_millis(16);
-/// Time until an unacknowledged batch is sent again. It doubles with each retry, up to [`LONGEST_RETRY_AFTER`].
+/// Time until an unacknowledged batch is sent again. It doubles with each retry, up to
+/// [`LONGEST_RETRY_AFTER`].
 const FIRST_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// Longest time until an unacknowledged batch is sent again.
 const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Maximum number of times that a batch is sent without any of its updates being acknowledged.
 const MAX_ATTEMPTS: u32 = 20;
-/// Time limit for acknowledging all batches of a delivery. It ends a delivery that makes slow progress; one without
-/// progress ends by [`MAX_ATTEMPTS`] after 36 s at the latest.
+/// Time limit for acknowledging all batches of a delivery. It ends a delivery that makes slow progress; one
+/// without progress ends by [`MAX_ATTEMPTS`] after 36 s at the latest.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(180);
 /// Age of the purges that this client sends: typical of the purges that a returning director catches up on.
 const PURGE_AGE_MS: u64 = 60_000;
@@ -286,8 +289,8 @@
         Ok(())
     }
 
-    /// Returns the entries of a director's [`GossipMessage::TransferChunk`] and the position that they begin at.
-    /// Returns `None` for another message or another sender.
+    /// Returns the entries of a director's [`GossipMessage::TransferChunk`] and the position that they begin
+    /// at. Returns `None` for another message or another sender.
     fn chunk(&self, director: SocketAddr, datagram: &[u8]) -> Option<(u64, Vec<(Key, Value)>)> {
         let message = self.codec.decode(datagram).ok()?;
         match message.body {
@@ -308,8 +311,8 @@
         Ok(delivered)
     }
 
-    /// Sends purges of groups without acknowledgement, at a rate that a socket's buffer can take. Some may still be
-    /// lost.
+    /// Sends purges of groups without acknowledgement, at a rate that a socket's buffer can take. Some may
+    /// still be lost.
     pub async fn flood(&mut self, to: SocketAddr, groups: Range<u32>) -> Result<(), DeliveryError> {
         for (n, updates) in purges(groups).chunks(FLOOD_UPDATES).enumerate() {
             let datagram = self.sealed(GossipMessage::Updates(updates.to_vec()))?;
--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -162,12 +162,12 @@
     Ok(lines)
 }
 
-/// Interval between two requests, in milliseconds. No multiple of it is close to a waiting time of the policy (60 ms
-/// after a server was full, 700 ms between probation requests, 500 ms until a response is late), so that a small
-/// scheduling delay does not move a request from one side of such a time to the other.
+/// Interval between two requests, in milliseconds. No multiple of it is close to a waiting time of the policy
+/// (60 ms after a server was full, 700 ms between probation requests, 500 ms until a response is late), so
+/// that a small scheduling delay does not move a request from one side of such a time to the other.
 pub const STEP_MS: f64 = 3.2;
-/// Time without requests before and after a fault, in milliseconds. By its end the director has received the watch
-/// event, and the requests that the fault interrupted have ended.
+/// Time without requests before and after a fault, in milliseconds. By its end the director has received the
+/// watch event, and the requests that the fault interrupted have ended.
 const FAULT_MARGIN_MS: f64 = 96.0;
 
 /// Returns the name of the object with a number, from 1.
@@ -175,7 +175,8 @@
     format!("{:016x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// Draws a trace of `requests` requests, with a drain, crashes, a slow parent and a purge of the most popular object.
+/// Draws a trace of `requests` requests, with a drain, crashes, a slow parent and a purge of the most popular
+/// object.
 pub fn draw(requests: usize, seed: u64) -> Vec<Line> {
     let mut random = StdRng::seed_from_u64(seed);
     let popular = Zipf::new(400.0, 1.05).expect("valid parameters");
--- a/crates/foxhold-testbed/src/main.rs
+++ b/crates/foxhold-testbed/src/main.rs
@@ -22,15 +22,15 @@
 enum Command {
     /// Draw a trace with a drain, a crash, a slow parent and a purge, and print it
     Draw(commands::trace::DrawOptions),
-    /// Run one trace through the daemon and through the library, and compare every choice and response; exit 1
-    /// if any differs
+    /// Run one trace through the daemon and through the library, and compare every choice and response; exit
+    /// 1 if any differs
     Trace(commands::trace::CompareOptions),
-    /// Run directors that gossip: measure how fast updates reach all of them, and what that costs; exit 1 if an
-    /// update did not reach all
+    /// Run directors that gossip: measure how fast updates reach all of them, and what that costs; exit 1 if
+    /// an update did not reach all
     #[command(alias = "talk")]
     Gossip(commands::gossip::Options),
-    /// Simulate many directors in one process over a simulated network, without clients and servers: measure what
-    /// control costs each, and when purges reach all; exit 1 if a purge did not
+    /// Simulate many directors in one process over a simulated network, without clients and servers: measure
+    /// what control costs each, and when purges reach all; exit 1 if a purge did not
     #[command(alias = "hollow")]
     Simulate(commands::simulate::Options),
     /// Run many director processes with emulated servers and faults between them, as a scenario in YAML says
@@ -41,8 +41,8 @@
         /// Configuration of the server, as JSON
         start: String,
     },
-    /// Measure what the director costs per request, as daemon over loopback and as library, with the same emulated
-    /// servers
+    /// Measure what the director costs per request, as daemon over loopback and as library, with the same
+    /// emulated servers
     Overhead(commands::overhead::Options),
 }
 
--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -50,28 +50,28 @@
     pub breaches: Vec<String>,
     /// Number of requests by outcome.
     pub ends: BTreeMap<String, u64>,
-    /// Share of requests served within the latency objective. Leaves out requests whose director was unreachable,
-    /// killed or stopped, and those whose client disconnected.
+    /// Share of requests served within the latency objective. Leaves out requests whose director was
+    /// unreachable, killed or stopped, and those whose client disconnected.
     pub in_time: f64,
     /// Median latency in milliseconds of served requests, from the intended start to the end of the response.
     pub p50: f64,
     /// 99th percentile of the same latency.
     pub p99: f64,
-    /// Ratio of the busiest cache's requests to the mean over all caches, relative to their sizes, in windows of 1 s:
-    /// the median over all windows.
+    /// Ratio of the busiest cache's requests to the mean over all caches, relative to their sizes, in windows
+    /// of 1 s: the median over all windows.
     pub busiest: f64,
     /// The largest of these ratios.
     pub busiest_worst: f64,
     /// These ratios, by second.
     pub busiest_by_second: Vec<f64>,
-    /// Seconds during which a cache got no requests while the mean over all caches was at least 20 per second, counted
-    /// in windows of 2 s and summed over the caches.
+    /// Seconds during which a cache got no requests while the mean over all caches was at least 20 per
+    /// second, counted in windows of 2 s and summed over the caches.
     pub idle_cache_s: f64,
-    /// Ratio of variance to mean of a cache's requests per tenth of a second, which is 1 for a Poisson process. The
-    /// mean over all caches.
+    /// Ratio of variance to mean of a cache's requests per tenth of a second, which is 1 for a Poisson
+    /// process. The mean over all caches.
     pub dispersion: f64,
-    /// Ratio of the busiest tenth of a second within 5 s after a fault to the mean, for the requests of all directors
-    /// at all servers.
+    /// Ratio of the busiest tenth of a second within 5 s after a fault to the mean, for the requests of all
+    /// directors at all servers.
     pub peak: f64,
     /// The highest such ratio of a single server, to the mean of the servers of its role.
     pub peak_server: f64,
@@ -284,7 +284,8 @@
     text.replace('&', "&amp;").replace('<', "&lt;")
 }
 
-/// Returns, by second, the ratio of the busiest cache's requests to the mean over all caches, relative to their sizes.
+/// Returns, by second, the ratio of the busiest cache's requests to the mean over all caches, relative to
+/// their sizes.
 fn busiest_to_mean_ratio(caches: &[(&Load, f64)]) -> Vec<f64> {
     let seconds = caches.first().map_or(0, |c| c.0.tenths.len() / 10);
     let size = caches.iter().map(|c| c.1).sum::<f64>() / caches.len().max(1) as f64;
@@ -331,8 +332,8 @@
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
-/// Returns the ratio of the busiest tenth of a second within 5 s after a fault to the mean, for the whole fleet and
-/// for the server where it is highest.
+/// Returns the ratio of the busiest tenth of a second within 5 s after a fault to the mean, for the whole
+/// fleet and for the server where it is highest.
 fn peaks(plan: &Scenario, load: &BTreeMap<String, Load>, role: &dyn Fn(&str) -> Option<Role>) -> (f64, f64) {
     let tenths = load.values().next().map_or(0, |l| l.tenths.len());
     let after = |bin: usize| {
--- a/crates/foxhold-testbed/src/reports/scenario/activity.rs
+++ b/crates/foxhold-testbed/src/reports/scenario/activity.rs
@@ -39,7 +39,8 @@
                 ServerEvent::Fell { ms, warming_up: cold } => {
                     let at = (*ms as f64 - zero_ms as f64) / 1e3;
                     let origin = specs.get(name).is_some_and(|s| s.role == Role::Origin);
-                    // An origin that stops is a fault and breaks no rule, and neither does an overloaded warm server.
+                    // An origin that stops is a fault and breaks no rule, and neither does an overloaded warm
+                    // server.
                     if *cold && !origin {
                         let breach = format!("{name} was pushed over while it was cold, at {at:.3} s");
                         activity.breaches.push(breach);
--- a/crates/foxhold-testbed/src/servers/emulated/fills.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/fills.rs
@@ -81,8 +81,8 @@
         waits.await.unwrap_or(ServerReply::Other("EIO", "root_failed"))
     }
 
-    /// Sends a fill request to another server and returns its reply. Returns `None` if that server cannot be reached,
-    /// closes the connection or does not reply within [`SOURCE_TIMEOUT`].
+    /// Sends a fill request to another server and returns its reply. Returns `None` if that server cannot be
+    /// reached, closes the connection or does not reply within [`SOURCE_TIMEOUT`].
     async fn request_from_source(
         self: &Rc<Self>,
         name: &str,
--- a/crates/foxhold-testbed/src/servers/emulated/mod.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/mod.rs
@@ -1,10 +1,10 @@
-//! One emulated server: the line protocol on a socket, with a [model](crate::servers::model) of its capacity and
-//! cache behind it.
+//! One emulated server: the line protocol on a socket, with a [model](crate::servers::model) of its capacity
+//! and cache behind it.
 //!
 //! The same server runs as a separate process (`foxhold-testbed emulate`, with commands on standard input and
-//! events on standard output) or as a task among others ([`crate::servers::in_process`]). Fills go over sockets
-//! too, so that a relay can be placed between any two servers. The request of a fill carries the field `by`, the
-//! name of the requesting server, besides the platform's fields.
+//! events on standard output) or as a task among others ([`crate::servers::in_process`]). Fills go over
+//! sockets too, so that a relay can be placed between any two servers. The request of a fill carries the
+//! field `by`, the name of the requesting server, besides the platform's fields.
 
 mod config;
 mod connection;
@@ -32,8 +32,8 @@
 use tokio::task::JoinSet;
 use upstream::UpstreamCall;
 
-/// How long requests may still arrive after the start of a drain: the 1 s that the platform allows, and a margin
-/// for the network.
+/// How long requests may still arrive after the start of a drain: the 1 s that the platform allows, and a
+/// margin for the network.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_050);
 /// Attempts of a restarted server to listen on its former address.
 const MAX_BIND_ATTEMPTS: u32 = 100;
@@ -99,8 +99,8 @@
     Budget::new(work / shares.max(1e-9))
 }
 
-/// Runs a server until the sender of `commands` is dropped, and reports to `events`. A cache or parent that failed
-/// by overload refuses connections from then on. Needs a `LocalSet`.
+/// Runs a server until the sender of `commands` is dropped, and reports to `events`. A cache or parent that
+/// failed by overload refuses connections from then on. Needs a `LocalSet`.
 pub async fn run(
     config: ServerConfig,
     mut commands: mpsc::UnboundedReceiver<ServerCommand>,
@@ -286,7 +286,8 @@
         // request counts as the work of its own size.
         let work = if spec.role == Role::Cache { spec.work(mean_kb) } else { spec.work(kb) };
         let overrun = self.overload.borrow_mut().push(self.now(), work, self.warmth(), spec);
-        // The plain limit, without the allowance for chance of the slow start budget, applies to cold servers too.
+        // The plain limit, without the allowance for chance of the slow start budget, applies to cold servers
+        // too.
         let overrun_cold = self.overloads_slow_start(work).unwrap_or(false);
         if overrun || overrun_cold {
             self.fail_by_overload(overloaded);
@@ -314,8 +315,8 @@
         (any || unix_ms().saturating_sub(copy.minted) <= request.max_age_ms).then_some(copy)
     }
 
-    /// Counts work in the slow start budget and returns whether it overloads the server. Returns `None` for a warm
-    /// server and for the origin.
+    /// Counts work in the slow start budget and returns whether it overloads the server. Returns `None` for a
+    /// warm server and for the origin.
     fn overloads_slow_start(&self, work: f64) -> Option<bool> {
         let warmth = self.warmth();
         let mut budget = self.budget.borrow_mut();
--- a/crates/foxhold-testbed/src/servers/emulated/process.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/process.rs
@@ -6,8 +6,8 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::sync::mpsc;
 
-/// Runs a server as a separate process until its standard input closes. Reads commands from standard input and
-/// writes events to standard output, each as one line of JSON.
+/// Runs a server as a separate process until its standard input closes. Reads commands from standard input
+/// and writes events to standard output, each as one line of JSON.
 pub fn process(config: ServerConfig) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
--- a/crates/foxhold-testbed/src/servers/emulated/protocol.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/protocol.rs
@@ -117,8 +117,8 @@
 /// The reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ServerReply {
-    /// A copy, with the Unix milliseconds at which the origin sent it, the note on how it was obtained and the
-    /// time that the fill took.
+    /// A copy, with the Unix milliseconds at which the origin sent it, the note on how it was obtained and
+    /// the time that the fill took.
     Copy { minted: u64, note: &'static str, lag: Duration },
     /// Another reply: its word and its note; `-`: no note.
     Other(&'static str, &'static str),
--- a/crates/foxhold-testbed/src/servers/emulated/transfers.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/transfers.rs
@@ -9,7 +9,8 @@
 const IDLE_WAIT_S: f64 = 60.0;
 /// Shortest wait in seconds until the next check while there are transfers.
 const MIN_WAIT_S: f64 = 0.0005;
-/// Longest wait in seconds while there are transfers. Bounded because the link's capacity grows in slow start.
+/// Longest wait in seconds while there are transfers. Bounded because the link's capacity grows in slow
+/// start.
 const MAX_WAIT_S: f64 = 0.1;
 
 /// A transfer in flight. Dropping it before its end frees its share of the link.
--- a/crates/foxhold-testbed/src/servers/emulated/upstream.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/upstream.rs
@@ -24,8 +24,8 @@
     pub(super) done: oneshot::Sender<ServerReply>,
 }
 
-/// Sends calls over one connection to another server. Returns when the connection closes, which fails all calls
-/// on it.
+/// Sends calls over one connection to another server. Returns when the connection closes, which fails all
+/// calls on it.
 pub(super) async fn connect(address: String, mut calls: mpsc::UnboundedReceiver<UpstreamCall>) {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address));
     let Ok(Ok(stream)) = connect.await else { return };
@@ -82,7 +82,8 @@
     )
 }
 
-/// Returns the number of the request that a reply belongs to, and the reply. Returns `None` for a malformed line.
+/// Returns the number of the request that a reply belongs to, and the reply. Returns `None` for a malformed
+/// line.
 fn parse_reply(line: &str) -> Option<(u64, ServerReply)> {
     let words: Vec<&str> = line.split_whitespace().collect();
     let [number, word, fields, _] = words[..] else { return None };
--- a/crates/foxhold-testbed/src/servers/in_process.rs
+++ b/crates/foxhold-testbed/src/servers/in_process.rs
@@ -1,8 +1,8 @@
-//! Emulated servers on loopback, within this process. They keep the copies that requests ask them to keep, fill
-//! from each other, and fail on command.
+//! Emulated servers on loopback, within this process. They keep the copies that requests ask them to keep,
+//! fill from each other, and fail on command.
 //!
-//! They speak the documented line protocol. Nothing is evicted, and the only time modelled is a delay that the
-//! caller sets. What a director sees therefore depends only on what it requests.
+//! They speak the documented line protocol. Nothing is evicted, and the only time modelled is a delay that
+//! the caller sets. What a director sees therefore depends only on what it requests.
 
 use crate::servers::emulated::unix_ms;
 pub use crate::servers::model::Role;
@@ -15,7 +15,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Zones of the emulated deployment: parents and the origin are in the first, caches and clients in the second.
+/// Zones of the emulated deployment: parents and the origin are in the first, caches and clients in the
+/// second.
 const ZONES: [&str; 2] = ["hub", "branch"];
 
 /// A request as a server received it. Times and ages are left out because they differ between runs.
@@ -178,8 +179,8 @@
     format!(r#"{{"rev":{rev},"pool":{{"revision":{rev},"complete":false,"members":[{member}]}}}}"#)
 }
 
-/// Serves watches of the discovery service: sends the events after the requested revision, and the last revision
-/// every second as a heartbeat.
+/// Serves watches of the discovery service: sends the events after the requested revision, and the last
+/// revision every second as a heartbeat.
 async fn serve_watches(
     listener: TcpListener,
     state: Arc<Mutex<State>>,
--- a/crates/foxhold-testbed/src/servers/model.rs
+++ b/crates/foxhold-testbed/src/servers/model.rs
@@ -1,5 +1,5 @@
-//! The model of an emulated server, without clock or I/O: a link shared among transfers, a cache ordered by rank
-//! and recency, slow start, and failure by overload.
+//! The model of an emulated server, without clock or I/O: a link shared among transfers, a cache ordered by
+//! rank and recency, slow start, and failure by overload.
 //!
 //! Times are in seconds and sizes in KB. Work is the seconds that one transfer takes at full speed.
 
@@ -50,12 +50,13 @@
     pub floor: f64,
     /// Seconds from a cold start until the link has its full capacity.
     pub warm: f64,
-    /// A server that receives more than this multiple of its capacity within `window` seconds fails by overload:
-    /// a cache or parent crashes, the origin stops for `stop` seconds.
+    /// A server that receives more than this multiple of its capacity within `window` seconds fails by
+    /// overload: a cache or parent crashes, the origin stops for `stop` seconds.
     pub multiple: f64,
     /// Length in seconds of the window over which work is summed.
     pub window: f64,
-    /// Seconds for which an overloaded origin fails requests. Not used for caches and parents, which stay down.
+    /// Seconds for which an overloaded origin fails requests. Not used for caches and parents, which stay
+    /// down.
     pub stop: f64,
 }
 
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Returns the share of the link's capacity that is available `age` seconds after a cold start. `None` means
-    /// that the server did not start cold.
+    /// Returns the share of the link's capacity that is available `age` seconds after a cold start. `None`
+    /// means that the server did not start cold.
     pub fn warmth(&self, age: Option<f64>) -> f64 {
         age.map_or(1.0, |age| (self.floor + (1.0 - self.floor) * age / self.warm).clamp(self.floor, 1.0))
     }
@@ -106,8 +107,8 @@
 }
 
 impl Link {
-    /// Returns the speed of each transfer as a share of full speed, on a link that carries `carries` transfers at
-    /// full speed.
+    /// Returns the speed of each transfer as a share of full speed, on a link that carries `carries`
+    /// transfers at full speed.
     fn pace(&self, carries: f64) -> f64 {
         (carries / self.ends.len().max(1) as f64).min(1.0)
     }
@@ -137,8 +138,8 @@
         std::mem::replace(&mut self.ends, still).into_values().collect()
     }
 
-    /// Returns the seconds until the next transfer ends if the link's capacity does not change, or `None` without
-    /// transfers.
+    /// Returns the seconds until the next transfer ends if the link's capacity does not change, or `None`
+    /// without transfers.
     pub fn next_end(&self, carries: f64) -> Option<f64> {
         let ((end, _), _) = self.ends.first_key_value()?;
         Some((f64::from_bits(*end) - self.virtual_now).max(0.0) / self.pace(carries).max(1e-9))
@@ -237,7 +238,8 @@
 }
 
 impl OverloadWindow {
-    /// Counts work. Returns whether it overloads the server, whose link has the share `warmth` of its capacity.
+    /// Counts work. Returns whether it overloads the server, whose link has the share `warmth` of its
+    /// capacity.
     pub fn push(&mut self, now: f64, work: f64, warmth: f64, spec: &ServerSpec) -> bool {
         self.work.push_back((now, work));
         self.sum += work;
--- a/src/replication/digest.rs
+++ b/src/replication/digest.rs
@@ -1,9 +1,9 @@
 //! Digests over ranges of key hashes (a Merkle tree with additive sums), by which two directors compare their
 //! entries without sending them.
 //!
-//! The first twelve bits of a key's 64-bit hash select one of 4,096 leaves. Sixteen nodes share a parent on each
-//! level up to the root. The sum of a node is the sum of its entries' hashes, so a change takes one addition per
-//! level, and the order of changes does not matter.
+//! The first twelve bits of a key's 64-bit hash select one of 4,096 leaves. Sixteen nodes share a parent on
+//! each level up to the root. The sum of a node is the sum of its entries' hashes, so a change takes one
+//! addition per level, and the order of changes does not matter.
 
 use crate::policy::estimators::hash::mix;
 
--- a/src/replication/entry/drain_record.rs
+++ b/src/replication/entry/drain_record.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// Operators' drains of one server. Each drain is a dot: the incarnation of the director that published it, and
-/// a number. An undrain removes only the dots that its director has observed, so a drain that is published
-/// concurrently at another director stays in force.
+/// Operators' drains of one server. Each drain is a dot: the incarnation of the director that published it,
+/// and a number. An undrain removes only the dots that its director has observed, so a drain that is
+/// published concurrently at another director stays in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainRecord {
     /// Start time of the server process that the drains apply to (Unix microseconds; 0 if unknown). A record
--- a/src/replication/entry/endpoint_record.rs
+++ b/src/replication/entry/endpoint_record.rs
@@ -82,8 +82,8 @@
 }
 
 impl EndpointRecord {
-    /// Returns the record of a server that is gone. All other fields have their defaults, so that all directors
-    /// store the same tombstone.
+    /// Returns the record of a server that is gone. All other fields have their defaults, so that all
+    /// directors store the same tombstone.
     pub fn tombstone() -> EndpointRecord {
         EndpointRecord { state: EndpointState::Gone, ..EndpointRecord::default() }
     }
--- a/src/replication/entry/mod.rs
+++ b/src/replication/entry/mod.rs
@@ -1,7 +1,7 @@
 //! Replicated entries: keys, values, and the merge of two copies of a value.
 //!
-//! Every merge is commutative, associative and idempotent, so neither the order of deliveries nor their number
-//! matters. Where two copies contradict each other, the safer one wins (a drain, a later purge).
+//! Every merge is commutative, associative and idempotent, so neither the order of deliveries nor their
+//! number matters. Where two copies contradict each other, the safer one wins (a drain, a later purge).
 
 mod drain_record;
 mod endpoint_record;
--- a/src/replication/gossip/anti_entropy.rs
+++ b/src/replication/gossip/anti_entropy.rs
@@ -1,8 +1,9 @@
-//! Anti-entropy: two directors find the entries that differ by comparing their digest trees from the root down.
+//! Anti-entropy: two directors find the entries that differ by comparing their digest trees from the root
+//! down.
 //!
-//! One director sends the sum of its root. If the other's root differs, it replies with the sums of the root's
-//! children, and so on down to the leaves that differ. For these leaves they exchange summaries of the entries,
-//! and each sends the entries that the other lacks.
+//! One director sends the sum of its root. If the other's root differs, it replies with the sums of the
+//! root's children, and so on down to the leaves that differ. For these leaves they exchange summaries of the
+//! entries, and each sends the entries that the other lacks.
 
 use super::message::RangeSummary;
 use super::packing::pack_entries_at;
@@ -14,8 +15,8 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Maximum number of nodes of a received message that are compared, and of differing children that are handled
-/// in reply.
+/// Maximum number of nodes of a received message that are compared, and of differing children that are
+/// handled in reply.
 const MAX_NODES_PER_STEP: usize = 16;
 /// Maximum number of inner nodes in one message.
 const NODES_PER_MESSAGE: usize = 4;
@@ -75,15 +76,17 @@
     GossipMessage::ChildDigests(vec![state.digest().child_sums(Node::ROOT)])
 }
 
-/// Compares received sums with the local digest. Returns the next messages of the comparison: child sums of the
-/// inner nodes that differ, and summaries of the leaves that differ, for at most [`MAX_NODES_PER_STEP`] nodes.
+/// Compares received sums with the local digest. Returns the next messages of the comparison: child sums of
+/// the inner nodes that differ, and summaries of the leaves that differ, for at most [`MAX_NODES_PER_STEP`]
+/// nodes.
 pub(super) fn compare_children(
     state: &ReplicatedState,
     nodes: &[ChildSums],
     random: &mut Random,
 ) -> Vec<GossipMessage> {
     let mut differing = differing_children(state, nodes);
-    // Starts at a random node: if more nodes differ than one step may handle, later comparisons reach the rest.
+    // Starts at a random node: if more nodes differ than one step may handle, later comparisons reach the
+    // rest.
     let start = random.below(differing.len());
     differing.rotate_left(start);
     differing.truncate(MAX_NODES_PER_STEP);
@@ -97,8 +100,8 @@
     messages
 }
 
-/// Completes a comparison within a range: returns messages with the entries that the member lacks, and requests
-/// for the entries that this director lacks.
+/// Completes a comparison within a range: returns messages with the entries that the member lacks, and
+/// requests for the entries that this director lacks.
 pub(super) fn repair(state: &ReplicatedState, theirs: &RangeSummary) -> Vec<GossipMessage> {
     let ours = state.entry_sums(theirs.first..=theirs.last);
     let ours: Vec<EntrySum> = ours.take(MAX_COMPARED_ENTRIES).collect();
--- a/src/replication/gossip/catch_up.rs
+++ b/src/replication/gossip/catch_up.rs
@@ -1,8 +1,9 @@
-//! Catch-up: a director that starts, or that was disconnected for longer than tombstones are kept, transfers all
-//! entries of other members.
+//! Catch-up: a director that starts, or that was disconnected for longer than tombstones are kept, transfers
+//! all entries of other members.
 //!
-//! The key hashes are divided into transfer lanes that run concurrently. If the source of a lane stops answering,
-//! the lane continues at its current position with another member: an entry is valid regardless of its source.
+//! The key hashes are divided into transfer lanes that run concurrently. If the source of a lane stops
+//! answering, the lane continues at its current position with another member: an entry is valid regardless of
+//! its source.
 
 use super::message::{TransferChunk, TransferRequest};
 use super::packing::MAX_MESSAGE_BYTES;
@@ -132,8 +133,8 @@
         })
     }
 
-    /// Chooses the member that last answered any lane, or a random member if that one is gone or did not answer
-    /// this lane.
+    /// Chooses the member that last answered any lane, or a random member if that one is gone or did not
+    /// answer this lane.
     fn choose_source(&self, lane: usize, peers: &[P], random: &mut Random) -> P {
         let unresponsive = self.lanes[lane].outstanding.as_ref().map(|request| &request.source);
         let responsive = self
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Restarts all lanes after a pause of a quarter of the source timeout, during which other members may catch
-    /// up. The start time is kept, so that [`NO_PEERS_TIMEOUT`] still applies.
+    /// Restarts all lanes after a pause of a quarter of the source timeout, during which other members may
+    /// catch up. The start time is kept, so that [`NO_PEERS_TIMEOUT`] still applies.
     fn retry_later(&mut self, last_source: &P, now: Micros) {
         let started_at = self.started_at;
         self.restart(now);
--- a/src/replication/gossip/mod.rs
+++ b/src/replication/gossip/mod.rs
@@ -1,20 +1,21 @@
-//! The gossip and anti-entropy protocol between directors. It handles received messages and returns the messages
-//! to send; it uses no socket and no clock. The caller passes in the times and a random seed.
+//! The gossip and anti-entropy protocol between directors. It handles received messages and returns the
+//! messages to send; it uses no socket and no clock. The caller passes in the times and a random seed.
 //!
 //! Three mechanisms run concurrently. Each alone would bring two directors to the same state:
 //!
 //! - **Gossip** (`pending_updates`). A director sends an update to [`FANOUT`] random members in each of
 //!   [`ROUNDS`] rounds. Each member to which the update is new does the same. Nearly all members have the
 //!   update within a few rounds.
-//! - **Anti-entropy** (`anti_entropy`). At intervals a director sends the root of its digest tree to one random
-//!   member. If the roots differ, the two descend the trees to the leaves that differ, and each sends the
-//!   entries that the other lacks. This reaches members that gossip missed, and those that were partitioned.
-//! - **Catch-up** (`catch_up`). A director that starts, or that was disconnected for longer than tombstones are
-//!   kept, transfers all entries of other members.
+//! - **Anti-entropy** (`anti_entropy`). At intervals a director sends the root of its digest tree to one
+//!   random member. If the roots differ, the two descend the trees to the leaves that differ, and each sends
+//!   the entries that the other lacks. This reaches members that gossip missed, and those that were
+//!   partitioned.
+//! - **Catch-up** (`catch_up`). A director that starts, or that was disconnected for longer than tombstones
+//!   are kept, transfers all entries of other members.
 //!
-//! All resources are bounded: messages by [`MAX_MESSAGE_BYTES`], pending updates by [`MAX_PENDING_UPDATES`], a
-//! step of a tree comparison by its number of nodes. A message causes a bounded number of replies, so a peer that
-//! floods a director gets back at most a fixed multiple of what it sends.
+//! All resources are bounded: messages by [`MAX_MESSAGE_BYTES`], pending updates by [`MAX_PENDING_UPDATES`],
+//! a step of a tree comparison by its number of nodes. A message causes a bounded number of replies, so a
+//! peer that floods a director gets back at most a fixed multiple of what it sends.
 
 mod anti_entropy;
 mod catch_up;
@@ -116,8 +117,8 @@
         &self.peers
     }
 
-    /// Returns the monotonic time at which a member was last in sync: its root digest was the same as the local
-    /// one. Returns `None` if it never was.
+    /// Returns the monotonic time at which a member was last in sync: its root digest was the same as the
+    /// local one. Returns `None` if it never was.
     pub fn last_in_sync(&self, peer: &P) -> Option<Micros> {
         self.anti_entropy.last_in_sync(peer)
     }
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Removes expired entries and sends all messages that are due. Must be called some tens of times a second.
+    /// Removes expired entries and sends all messages that are due. Must be called some tens of times a
+    /// second.
     pub fn tick(&mut self, now: ClockReading, out: &mut Outbox<P>) {
         self.expire_entries(now);
         self.send_pending_updates(out);
--- a/src/replication/gossip/pending_updates.rs
+++ b/src/replication/gossip/pending_updates.rs
@@ -18,8 +18,8 @@
 }
 
 impl PendingUpdates {
-    /// Adds an update. If it is already pending, its number of rounds starts over. Returns `false` if the queue
-    /// is full.
+    /// Adds an update. If it is already pending, its number of rounds starts over. Returns `false` if the
+    /// queue is full.
     pub(super) fn add(&mut self, key: Key) -> bool {
         if self.rounds_left.len() >= MAX_PENDING_UPDATES && !self.rounds_left.contains_key(&key) {
             return false;
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -10,8 +10,8 @@
 //! | [`replay_window`] | detection of replayed messages |
 //!
 //! The state of a director is a map from [`entry::Key`] to [`entry::Value`]. Two maps are merged entry by
-//! entry, and each merge is commutative, associative and idempotent (a CRDT). Directors that have received the
-//! same updates therefore hold the same state, regardless of the order and number of deliveries.
+//! entry, and each merge is commutative, associative and idempotent (a CRDT). Directors that have received
+//! the same updates therefore hold the same state, regardless of the order and number of deliveries.
 //! `docs/design/replica.md` compares the alternatives; `docs/replication.md` is for operators.
 
 pub mod digest;
--- a/src/replication/replay_window.rs
+++ b/src/replication/replay_window.rs
@@ -2,7 +2,8 @@
 
 use std::collections::{HashMap, VecDeque};
 
-/// Size of the window in message numbers, which ends at the highest number received. Lower numbers are rejected.
+/// Size of the window in message numbers, which ends at the highest number received. Lower numbers are
+/// rejected.
 pub const WINDOW_MESSAGES: u64 = 1024;
 /// Maximum number of ended incarnations that are stored for each sender.
 const MAX_ENDED_INCARNATIONS: usize = 8;
@@ -22,7 +23,8 @@
         SenderWindow { incarnation, ..SenderWindow::default() }
     }
 
-    /// Returns the index of the element of `received` that contains a message number, and the mask of its bit.
+    /// Returns the index of the element of `received` that contains a message number, and the mask of its
+    /// bit.
     fn bit(number: u64) -> (usize, u64) {
         let remainder = number % WINDOW_MESSAGES;
         ((remainder / 64) as usize, 1 << (remainder % 64))
@@ -33,8 +35,8 @@
             return false;
         }
         if number > self.highest {
-            // Clears the bits of the numbers since the former highest. After a jump of a whole window or more, all
-            // bits are cleared.
+            // Clears the bits of the numbers since the former highest. After a jump of a whole window or
+            // more, all bits are cleared.
             for skipped in (self.highest + 1..=number).rev().take(WINDOW_MESSAGES as usize) {
                 let (index, bit) = Self::bit(skipped);
                 self.received[index] &= !bit;
@@ -74,9 +76,9 @@
         ReplayWindow { max_senders, windows: HashMap::new(), order: VecDeque::new() }
     }
 
-    /// Records a message and returns whether it is new: it belongs to the sender's current incarnation and has a
-    /// number of 1 or more that was not received before. An unknown incarnation becomes the current one; one
-    /// recorded as ended is rejected.
+    /// Records a message and returns whether it is new: it belongs to the sender's current incarnation and
+    /// has a number of 1 or more that was not received before. An unknown incarnation becomes the current
+    /// one; one recorded as ended is rejected.
     pub fn accept(&mut self, sender: &S, incarnation: u64, number: u64) -> bool {
         if !self.windows.contains_key(sender) {
             self.add(sender, incarnation);
@@ -99,8 +101,8 @@
         self.windows.insert(sender.clone(), SenderWindow::of_incarnation(incarnation));
     }
 
-    /// Returns the number of senders that have a window, and the number that are queued for eviction. Both are
-    /// always equal.
+    /// Returns the number of senders that have a window, and the number that are queued for eviction. Both
+    /// are always equal.
     pub fn remembered(&self) -> (usize, usize) {
         (self.windows.len(), self.order.len())
     }
--- a/src/replication/state/bounds.rs
+++ b/src/replication/state/bounds.rs
@@ -4,13 +4,13 @@
 
 /// Maximum length of the name of an object or server, in bytes.
 pub const MAX_NAME_BYTES: usize = 512;
-/// Maximum difference between directors' clocks, in microseconds. A purge with a time further in the future is
-/// rejected.
+/// Maximum difference between directors' clocks, in microseconds. A purge with a time further in the future
+/// is rejected.
 pub const MAX_CLOCK_SKEW: Micros = 60_000_000;
 /// Maximum number of incarnations in one drain record. An entry with more would not fit into a message.
 pub(super) const MAX_DRAIN_INCARNATIONS: usize = 256;
-/// Memory of an entry in addition to its encoding, in bytes: its map node, the time of its last change and its
-/// hash.
+/// Memory of an entry in addition to its encoding, in bytes: its map node, the time of its last change and
+/// its hash.
 pub(super) const ENTRY_OVERHEAD_BYTES: usize = 96;
 
 /// Limits on the size of the state and on the retention of its entries.
--- a/src/replication/state/expiry.rs
+++ b/src/replication/state/expiry.rs
@@ -29,8 +29,8 @@
     }
 
     /// Returns whether the server of a drain is not listed, or has been gone for longer than tombstones are
-    /// kept. If the state has no entries of the endpoint list, other directors may have them, and the drain is
-    /// kept.
+    /// kept. If the state has no entries of the endpoint list, other directors may have them, and the drain
+    /// is kept.
     fn is_server_gone(&self, key: &Key, now: ClockReading) -> bool {
         let Key::Drain(name) = key else { return false };
         match self.entries.get(&StoredKey::new(Key::Endpoint(name.clone()))) {
--- a/src/replication/state/local_changes.rs
+++ b/src/replication/state/local_changes.rs
@@ -38,9 +38,9 @@
         self.put(key, Value::Drain(record), now)
     }
 
-    /// Applies an event of the discovery source with its revision, and returns the entries that changed. A full
-    /// list sets a tombstone for each server that it does not contain, unless a later event described that
-    /// server.
+    /// Applies an event of the discovery source with its revision, and returns the entries that changed. A
+    /// full list sets a tombstone for each server that it does not contain, unless a later event described
+    /// that server.
     pub fn apply_member_update(
         &mut self,
         revision: u64,
@@ -56,8 +56,8 @@
         if scope == ListScope::Full {
             updates.extend(self.tombstones_for_missing(revision, members));
         }
-        // Entries rejected for lack of capacity are not counted here: the dispatcher gets them from the source
-        // directly.
+        // Entries rejected for lack of capacity are not counted here: the dispatcher gets them from the
+        // source directly.
         updates.into_iter().filter_map(|(key, value)| self.put(key, value, now).ok().flatten()).collect()
     }
 
--- a/src/replication/state/mod.rs
+++ b/src/replication/state/mod.rs
@@ -6,12 +6,12 @@
 //! | entry | expires | why it is not restored |
 //! | --- | --- | --- |
 //! | purge | [`Bounds::purge_retention`] after its time | it contains its time, so all directors reject it |
-//! | drain | [`Bounds::tombstone_retention`] after the server is gone | it applies to a process that has ended |
-//! | tombstone | [`Bounds::tombstone_retention`] after it was set | a director away for longer discards its list |
+//! | drain | [`Bounds::tombstone_retention`] after the server is gone | its process has ended |
+//! | tombstone | [`Bounds::tombstone_retention`] after it was set | a longer absence discards the list |
 //!
-//! If the state is full, tombstones are evicted, those with the lowest revision first. From then on an unlisted
-//! server is rejected unless its revision is higher than that of every evicted tombstone. Purges, drains and
-//! listed servers are never evicted: new entries are rejected instead, counted and logged.
+//! If the state is full, tombstones are evicted, those with the lowest revision first. From then on an
+//! unlisted server is rejected unless its revision is higher than that of every evicted tombstone. Purges,
+//! drains and listed servers are never evicted: new entries are rejected instead, counted and logged.
 
 mod bounds;
 mod expiry;
