--- a/crates/foxhold-testbed/src/commands/fleet.rs
+++ b/crates/foxhold-testbed/src/commands/fleet.rs
@@ -2,7 +2,7 @@
 
 use foxhold_testbed::faults::schedule;
 use foxhold_testbed::reports::scenario::RunReport;
-use foxhold_testbed::scenarios::replay::Failure;
+use foxhold_testbed::scenarios::replay::TestbedError;
 use foxhold_testbed::scenarios::runner::{self, Programs};
 use foxhold_testbed::scenarios::scenario::Scenario;
 use std::path::{Path, PathBuf};
@@ -42,50 +42,50 @@
 }
 
 /// Runs the scenario and prints its summary; whether no rule was broken.
-pub fn run(options: Options) -> Result<bool, Failure> {
-    let plan = plan(&options)?;
-    let played = run_with_progress(&plan, &Programs::of(options.daemon)?)?;
-    print!("{}", played.summary());
+pub fn run(options: Options) -> Result<bool, TestbedError> {
+    let scenario = scenario(&options)?;
+    let report = run_with_progress(&scenario, &Programs::of(options.daemon)?)?;
+    print!("{}", report.summary());
     if let Some(file) = options.json {
-        std::fs::write(file, serde_json::to_string(&played)?)?;
+        std::fs::write(file, serde_json::to_string(&report)?)?;
     }
     if let Some(file) = options.html {
-        std::fs::write(file, played.page()?)?;
+        std::fs::write(file, report.page()?)?;
     }
-    Ok(played.breaches.is_empty())
+    Ok(report.breaches.is_empty())
 }
 
 /// The plan of the options, with what they set in its place.
-fn plan(options: &Options) -> Result<Scenario, Failure> {
-    let mut plan = match &options.file {
+fn scenario(options: &Options) -> Result<Scenario, TestbedError> {
+    let mut scenario = match &options.file {
         _ if options.random_faults => schedule::draw(
             options.directors.unwrap_or(RANDOM_FAULTS_DIRECTORS),
             options.seconds.unwrap_or(RANDOM_FAULTS_SECONDS),
             options.seed.unwrap_or(RANDOM_FAULTS_SEED),
         ),
-        Some(file) => read_plan(file)?,
+        Some(file) => read_scenario(file)?,
         None => Scenario::default(),
     };
-    plan.directors = options.directors.unwrap_or(plan.directors);
-    plan.seed = options.seed.unwrap_or(plan.seed);
-    plan.seconds = options.seconds.unwrap_or(plan.seconds);
-    Ok(plan)
+    scenario.directors = options.directors.unwrap_or(scenario.directors);
+    scenario.seed = options.seed.unwrap_or(scenario.seed);
+    scenario.seconds = options.seconds.unwrap_or(scenario.seconds);
+    Ok(scenario)
 }
 
-fn read_plan(file: &Path) -> Result<Scenario, Failure> {
+fn read_scenario(file: &Path) -> Result<Scenario, TestbedError> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     Ok(Scenario::read(&text).map_err(|e| format!("{}: {e}", file.display()))?)
 }
 
 /// Runs a scenario with a bar that shows how far it is.
-fn run_with_progress(plan: &Scenario, programs: &Programs) -> Result<RunReport, Failure> {
-    let bar = indicatif::ProgressBar::new((plan.seconds + plan.warm_up_seconds).ceil() as u64);
+fn run_with_progress(scenario: &Scenario, programs: &Programs) -> Result<RunReport, TestbedError> {
+    let bar = indicatif::ProgressBar::new((scenario.seconds + scenario.warm_up_seconds).ceil() as u64);
     bar.set_message("seconds of load");
     let moved = bar.clone();
-    let settle = plan.warm_up_seconds;
+    let settle = scenario.warm_up_seconds;
     let progress = move |at: f64| moved.set_position((at + settle).max(0.0) as u64);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let played = tokio::task::LocalSet::new().block_on(&runtime, runner::run(plan, programs, progress));
+    let report = tokio::task::LocalSet::new().block_on(&runtime, runner::run(scenario, programs, progress));
     bar.finish_and_clear();
-    played
+    report
 }
--- a/crates/foxhold-testbed/src/commands/gossip.rs
+++ b/crates/foxhold-testbed/src/commands/gossip.rs
@@ -1,7 +1,7 @@
 //! `talk`: directors that share state, without clients and servers.
 
 use foxhold_testbed::scenarios::gossip::{self, Scenario};
-use foxhold_testbed::scenarios::replay::Failure;
+use foxhold_testbed::scenarios::replay::TestbedError;
 use std::future::Future;
 use std::path::PathBuf;
 
@@ -22,20 +22,20 @@
 }
 
 /// Runs the scenario and prints its figures; whether every update reached all.
-pub fn run(options: &Options) -> Result<bool, Failure> {
+pub fn run(options: &Options) -> Result<bool, TestbedError> {
     match options.catch_up {
         Some(entries) => catch_up(options, entries),
         None => spread(options),
     }
 }
 
-fn catch_up(options: &Options, entries: u32) -> Result<bool, Failure> {
+fn catch_up(options: &Options, entries: u32) -> Result<bool, TestbedError> {
     let report = block_on(gossip::catch_up(&options.daemon, entries))?;
     println!("{}", serde_json::to_string_pretty(&report)?);
     Ok(report.entries >= u64::from(entries))
 }
 
-fn spread(options: &Options) -> Result<bool, Failure> {
+fn spread(options: &Options) -> Result<bool, TestbedError> {
     let report = block_on(gossip::run(&options.daemon, &options.scenario))?;
     let text = serde_json::to_string_pretty(&report)?;
     println!("{text}");
@@ -45,7 +45,7 @@
     Ok(report.missed == 0)
 }
 
-fn block_on<T>(scenario: impl Future<Output = Result<T, Failure>>) -> Result<T, Failure> {
+fn block_on<T>(scenario: impl Future<Output = Result<T, TestbedError>>) -> Result<T, TestbedError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, scenario)
 }
--- a/crates/foxhold-testbed/src/commands/overhead.rs
+++ b/crates/foxhold-testbed/src/commands/overhead.rs
@@ -1,7 +1,7 @@
 //! `overhead`: what the director costs a request.
 
 use foxhold_testbed::scenarios::overhead::{through_daemon, through_library, Cost};
-use foxhold_testbed::scenarios::replay::Failure;
+use foxhold_testbed::scenarios::replay::TestbedError;
 use foxhold_testbed::servers::in_process::EmulatedFleet;
 use std::path::PathBuf;
 
@@ -29,7 +29,7 @@
 }
 
 /// Measures both before the same emulated servers, and prints their figures.
-pub fn run(options: &Options) -> Result<bool, Failure> {
+pub fn run(options: &Options) -> Result<bool, TestbedError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let (daemon, library) = runtime.block_on(measure(options))?;
     print_cost("daemon", &daemon);
@@ -44,7 +44,7 @@
     Ok(true)
 }
 
-async fn measure(options: &Options) -> Result<(Cost, Cost), Failure> {
+async fn measure(options: &Options) -> Result<(Cost, Cost), TestbedError> {
     let Options { daemon, requests, servers, objects, at_once } = options;
     let parents = (servers / SERVERS_PER_PARENT).max(1);
     let caches = servers.saturating_sub(parents + 1).max(1);
--- a/crates/foxhold-testbed/src/commands/simulate.rs
+++ b/crates/foxhold-testbed/src/commands/simulate.rs
@@ -1,6 +1,6 @@
 //! `hollow`: many directors in one process, over a simulated network.
 
-use foxhold_testbed::scenarios::replay::Failure;
+use foxhold_testbed::scenarios::replay::TestbedError;
 use foxhold_testbed::scenarios::runner::interrupted;
 pub use foxhold_testbed::scenarios::simulated_fleet::Options;
 use foxhold_testbed::scenarios::simulated_fleet::{self, Host};
@@ -9,7 +9,7 @@
 
 /// Runs all sizes, and prints and writes the report; whether every run was complete and no purge was missed.
 /// An interrupt ends it with what was measured until then.
-pub fn run(options: &Options, allocated: fn() -> usize) -> Result<bool, Failure> {
+pub fn run(options: &Options, allocated: fn() -> usize) -> Result<bool, TestbedError> {
     let host = Host { allocated, interrupted: Arc::new(AtomicBool::new(false)) };
     let flag = host.interrupted.clone();
     std::thread::spawn(move || set_on_interrupt(&flag));
--- a/crates/foxhold-testbed/src/commands/trace.rs
+++ b/crates/foxhold-testbed/src/commands/trace.rs
@@ -1,7 +1,7 @@
 //! `draw` and `trace`: drawn traces, and one trace through the daemon and through the library.
 
 use foxhold_testbed::load::trace::{self, Line};
-use foxhold_testbed::scenarios::replay::{compare, replay, Difference, Failure, ReplayResult, Through};
+use foxhold_testbed::scenarios::replay::{compare, replay, Difference, ReplayResult, TestbedError, Through};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
@@ -39,13 +39,13 @@
 }
 
 /// Prints a drawn trace.
-pub fn draw(options: &DrawOptions) -> Result<bool, Failure> {
+pub fn draw(options: &DrawOptions) -> Result<bool, TestbedError> {
     trace::draw(options.requests, options.seed).iter().for_each(|line| println!("{line}"));
     Ok(true)
 }
 
 /// Replays a trace through both, and prints where they differ; whether they do not.
-pub fn compare_daemon_and_library(options: CompareOptions) -> Result<bool, Failure> {
+pub fn compare_daemon_and_library(options: CompareOptions) -> Result<bool, TestbedError> {
     let lines = read_or_draw(&options)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let daemon = runtime.block_on(replay(&lines, &Through::Daemon(options.daemon)))?;
@@ -57,22 +57,22 @@
     Ok(differences.is_empty())
 }
 
-fn read_or_draw(options: &CompareOptions) -> Result<Vec<Line>, Failure> {
+fn read_or_draw(options: &CompareOptions) -> Result<Vec<Line>, TestbedError> {
     match &options.file {
         Some(file) => Ok(trace::parse(&std::fs::read_to_string(file)?)?),
         None => Ok(trace::draw(options.requests, options.seed)),
     }
 }
 
-fn print_summary(name: &str, played: &ReplayResult) {
-    let attempts: usize = played.requests.values().map(|(seen, _)| seen.len()).sum();
+fn print_summary(name: &str, result: &ReplayResult) {
+    let attempts: usize = result.requests.values().map(|(seen, _)| seen.len()).sum();
     let mut statuses = BTreeMap::new();
-    played.requests.values().for_each(|(_, answer)| *statuses.entry(answer.status).or_insert(0) += 1);
+    result.requests.values().for_each(|(_, answer)| *statuses.entry(answer.status).or_insert(0) += 1);
     println!(
         "{name}: {} requests, {attempts} attempts, answers {statuses:?}, {} started late, {:?} at the most",
-        played.requests.len(),
-        played.late,
-        played.latest
+        result.requests.len(),
+        result.late,
+        result.latest
     );
 }
 
--- a/crates/foxhold-testbed/src/faults/peer_network.rs
+++ b/crates/foxhold-testbed/src/faults/peer_network.rs
@@ -4,7 +4,7 @@
 //! Each director has a loopback address of its own and is advertised at its relay's, so all that the others
 //! send to it passes there; who sends is known by the address that a datagram comes from.
 
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -99,7 +99,7 @@
 
 impl Relays {
     /// Opens a relay for each director, and writes the fleet's key into a folder. Needs a `LocalSet`.
-    pub async fn open(directors: usize, seed: u64, folder: &Path) -> Result<Relays, Failure> {
+    pub async fn open(directors: usize, seed: u64, folder: &Path) -> Result<Relays, TestbedError> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         if directors > MAX_DIRECTORS {
             return Err(format!("{directors} directors: {MAX_DIRECTORS} at most").into());
@@ -165,13 +165,13 @@
 }
 
 /// One call at a director's admin endpoint.
-pub async fn call(admin: SocketAddr, line: &str) -> Result<String, Failure> {
+pub async fn call(admin: SocketAddr, line: &str) -> Result<String, TestbedError> {
     let whole = async {
         let mut stream = TcpStream::connect(admin).await?;
         stream.write_all(format!("{line}\n").as_bytes()).await?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
-        Ok::<String, Failure>(answer)
+        Ok::<String, TestbedError>(answer)
     };
     tokio::time::timeout(CALL_TIMEOUT, whole).await?
 }
--- a/crates/foxhold-testbed/src/load/clients.rs
+++ b/crates/foxhold-testbed/src/load/clients.rs
@@ -35,47 +35,48 @@
 }
 
 /// What a fault makes of the load while it lasts, from `at` for `lasts` seconds.
-fn during(plan: &Scenario, what: FaultKind, at: f64) -> Option<&crate::scenarios::scenario::Fault> {
+fn during(scenario: &Scenario, what: FaultKind, at: f64) -> Option<&crate::scenarios::scenario::Fault> {
     let holds = |f: &&crate::scenarios::scenario::Fault| {
         f.kind == what && at >= f.at && f.lasts.is_none_or(|lasts| at < f.at + lasts)
     };
-    plan.faults.iter().filter(holds).max_by(|a, b| a.at.total_cmp(&b.at))
+    scenario.faults.iter().filter(holds).max_by(|a, b| a.at.total_cmp(&b.at))
 }
 
 /// Draws all arrivals of a run, from `settle` seconds before its start.
-pub fn draw(plan: &Scenario, settle: f64) -> Vec<Arrival> {
-    let mut random = StdRng::seed_from_u64(plan.seed);
-    let (Ok(popular), Ok(gap)) = (Zipf::new(plan.objects as f64, plan.zipf), Exp::new(plan.rate)) else {
+pub fn draw(scenario: &Scenario, settle: f64) -> Vec<Arrival> {
+    let mut random = StdRng::seed_from_u64(scenario.seed);
+    let (Ok(popular), Ok(gap)) = (Zipf::new(scenario.objects as f64, scenario.zipf), Exp::new(scenario.rate))
+    else {
         return Vec::new(); // a plan that was checked has good laws
     };
-    let shares: f64 = plan.classes.iter().map(|c| c.share).sum();
+    let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
     // This part of the directors sees several times what the others see.
-    let busy = (plan.often_part * plan.directors as f64).round() as usize;
-    let weight = busy as f64 * plan.often + (plan.directors - busy) as f64;
-    let (mut at, mut arrivals, mut leaves) = (-settle, Vec::new(), Disconnects::new(plan));
+    let busy = (scenario.often_part * scenario.directors as f64).round() as usize;
+    let weight = busy as f64 * scenario.often + (scenario.directors - busy) as f64;
+    let (mut at, mut arrivals, mut leaves) = (-settle, Vec::new(), Disconnects::new(scenario));
     loop {
-        let times = during(plan, FaultKind::Burst, at).map_or(1.0, |f| f.times.max(0.01));
+        let times = during(scenario, FaultKind::Burst, at).map_or(1.0, |f| f.times.max(0.01));
         at += gap.sample(&mut random) / times;
-        if at >= plan.seconds {
+        if at >= scenario.seconds {
             return arrivals;
         }
         let mut left = random.random::<f64>() * weight;
-        let director = if left < busy as f64 * plan.often {
-            (left / plan.often) as usize
+        let director = if left < busy as f64 * scenario.often {
+            (left / scenario.often) as usize
         } else {
-            left -= busy as f64 * plan.often;
+            left -= busy as f64 * scenario.often;
             busy + left as usize
         };
         let mut drawn = random.random::<f64>() * shares;
-        let class = plan.classes.iter().position(|c| {
+        let class = scenario.classes.iter().position(|c| {
             drawn -= c.share;
             drawn < 0.0
         });
         let rank = popular.sample(&mut random) as u64;
-        let hot = during(plan, FaultKind::Hot, at).filter(|f| random.random::<f64>() < f.share);
+        let hot = during(scenario, FaultKind::Hot, at).filter(|f| random.random::<f64>() < f.share);
         arrivals.push(Arrival {
             at,
-            director: director.min(plan.directors - 1),
+            director: director.min(scenario.directors - 1),
             class: class.unwrap_or(0),
             object: hot.map_or(rank, |f| f.object),
             leave: leaves.draw(),
@@ -180,7 +181,7 @@
 
 /// The clients of a run.
 pub struct Clients {
-    plan: Scenario,
+    scenario: Scenario,
     /// By director.
     pub doors: Vec<Rc<DirectorTarget>>,
     /// What came of it.
@@ -189,9 +190,9 @@
 
 impl Clients {
     /// Clients of so many directors.
-    pub fn new(plan: &Scenario) -> Clients {
-        let doors = (0..plan.directors).map(|_| Rc::default()).collect();
-        Clients { plan: plan.clone(), doors, book: Rc::default() }
+    pub fn new(scenario: &Scenario) -> Clients {
+        let doors = (0..scenario.directors).map(|_| Rc::default()).collect();
+        Clients { scenario: scenario.clone(), doors, book: Rc::default() }
     }
 
     /// Sends all arrivals at their times; `zero` is the load's start.
@@ -222,13 +223,13 @@
     }
 
     async fn one(&self, number: u64, arrival: &Arrival, due: Instant) {
-        let class = &self.plan.classes[arrival.class];
+        let class = &self.scenario.classes[arrival.class];
         let target = &self.doors[arrival.director];
         let object = object(arrival.object);
         let kb = size_kb(&object, class.work_ms / 1e3 * TRANSFER_KB_PER_S);
         let head = request_head(number, class, &object, kb);
         let who = format!("director-{}", arrival.director + 1);
-        let planted = self.plan.is_planted(RuleBreach::AskedAfterLeave, &who, arrival.at);
+        let planted = self.scenario.is_planted(RuleBreach::AskedAfterLeave, &who, arrival.at);
         if planted && arrival.leave.is_some() {
             self.record_disconnect(number);
             tokio::time::sleep(PLANTED_LATE).await;
--- a/crates/foxhold-testbed/src/load/disconnects.rs
+++ b/crates/foxhold-testbed/src/load/disconnects.rs
@@ -43,9 +43,9 @@
 
 impl Disconnects {
     /// By the scenario's share and span.
-    pub fn new(plan: &Scenario) -> Disconnects {
-        let random = StdRng::seed_from_u64(plan.seed ^ 0x1ea7e);
-        Disconnects { random, share: plan.leave, within: plan.leave_within_ms / 1e3 }
+    pub fn new(scenario: &Scenario) -> Disconnects {
+        let random = StdRng::seed_from_u64(scenario.seed ^ 0x1ea7e);
+        Disconnects { random, share: scenario.leave, within: scenario.leave_within_ms / 1e3 }
     }
 
     /// The next request's; none: its client stays.
@@ -77,7 +77,7 @@
     /// broken rules beside it. Servers that were stalled, or reached by a faulty link, are left out: bytes
     /// wait there.
     pub fn reckon(
-        plan: &Scenario,
+        scenario: &Scenario,
         zero_ms: u64,
         left: &HashMap<String, u64>,
         notes: &[(String, ServerEvent)],
@@ -91,7 +91,7 @@
                 continue;
             };
             let late = ms - left_ms;
-            if reads_late(plan, server, (*ms as f64 - zero_ms as f64) / 1e3) {
+            if reads_late(scenario, server, (*ms as f64 - zero_ms as f64) / 1e3) {
                 continue;
             }
             after.attempts += 1;
@@ -106,14 +106,14 @@
 }
 
 /// Whether what a server tells of at this moment may have waited at it, or on the way.
-fn reads_late(plan: &Scenario, server: &str, at: f64) -> bool {
+fn reads_late(scenario: &Scenario, server: &str, at: f64) -> bool {
     let lasts = |at: f64, lasts: Option<f64>| at..lasts.map_or(f64::INFINITY, |lasts| at + lasts + READ_LATE);
-    let named = |text: &str| plan.resolve(text).is_some_and(|whom| whom.contains(server));
-    plan.faults.iter().filter(|fault| lasts(fault.at, fault.lasts).contains(&at)).any(|fault| {
-        match fault.kind {
-            FaultKind::Stall => named(&fault.who),
-            FaultKind::Link => fault.link_fault != LinkFault::None && named(&fault.to),
-            _ => false,
-        }
+    let named = |text: &str| scenario.resolve(text).is_some_and(|whom| whom.contains(server));
+    scenario.faults.iter().filter(|fault| lasts(fault.at, fault.lasts).contains(&at)).any(|fault| match fault
+        .kind
+    {
+        FaultKind::Stall => named(&fault.who),
+        FaultKind::Link => fault.link_fault != LinkFault::None && named(&fault.to),
+        _ => false,
     })
 }
--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -9,7 +9,7 @@
 //! nothing to do. Batches outstanding, their rate, attempts for each and the time for all are bounded.
 
 use crate::scenarios::cluster::Fleet;
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::servers::emulated::unix_ms;
 use foxhold::cluster::frame::{Body, FrameCodec, Message};
 use foxhold::cluster::members::Member;
@@ -207,7 +207,7 @@
 
 impl TestClient {
     /// Opens a client of this fleet on a loopback port of its own.
-    pub async fn open(fleet: &Fleet) -> Result<TestClient, Failure> {
+    pub async fn open(fleet: &Fleet) -> Result<TestClient, TestbedError> {
         let socket = UdpSocket::bind("127.0.0.1:0").await?;
         let from = Member::new("test-client", socket.local_addr()?, 1);
         let seal = FrameCodec::new("lab", &fleet.keys()?).ok_or("no key")?;
@@ -293,7 +293,7 @@
     }
 
     /// Delivers so many purges of groups to a director of the fleet, which holds all of them then.
-    pub async fn fill(&mut self, fleet: &Fleet, n: usize, entries: u32) -> Result<Delivered, Failure> {
+    pub async fn fill(&mut self, fleet: &Fleet, n: usize, entries: u32) -> Result<Delivered, TestbedError> {
         let delivered = self.deliver(fleet.reached_at(n), purges(0..entries)).await?;
         let held = fleet.purge_count(n).await?;
         if held < u64::from(entries) {
--- a/crates/foxhold-testbed/src/main.rs
+++ b/crates/foxhold-testbed/src/main.rs
@@ -1,7 +1,7 @@
 //! The testbed's command line.
 
 use clap::{Parser, Subcommand};
-use foxhold_testbed::scenarios::replay::Failure;
+use foxhold_testbed::scenarios::replay::TestbedError;
 use std::process::ExitCode;
 
 mod commands;
@@ -59,7 +59,7 @@
 }
 
 /// Runs a command; whether what it checks held.
-fn run(command: Command) -> Result<bool, Failure> {
+fn run(command: Command) -> Result<bool, TestbedError> {
     match command {
         Command::Draw(options) => commands::trace::draw(&options),
         Command::Trace(options) => commands::trace::compare_daemon_and_library(options),
@@ -71,7 +71,7 @@
     }
 }
 
-fn emulate(start: &str) -> Result<bool, Failure> {
+fn emulate(start: &str) -> Result<bool, TestbedError> {
     foxhold_testbed::servers::emulated::process(serde_json::from_str(start)?)?;
     Ok(true)
 }
--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -5,7 +5,7 @@
 use crate::checks::slow_start_budget::SlowStartUse;
 use crate::load::clients::RequestLog;
 use crate::load::disconnects::SentAfterDisconnect;
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::scenarios::scenario::{FaultKind, Scenario};
 use crate::servers::emulated::ServerEvent;
 use crate::servers::model::{Role, ServerSpec};
@@ -45,7 +45,8 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
     /// The plan, to be run again.
-    pub plan: Scenario,
+    #[serde(rename = "plan")]
+    pub scenario: Scenario,
     /// Broken rules, crashes and panics; a run with any has failed.
     pub breaches: Vec<String>,
     /// Requests by how they ended.
@@ -101,15 +102,15 @@
 }
 
 /// Most requests under way by tenth of a second, without those before the load was measured.
-fn after_warm_up(plan: &Scenario, in_flight: &[usize]) -> Vec<usize> {
-    let skipped = (in_flight.len() as f64 - plan.seconds * 10.0).max(0.0) as usize;
+fn after_warm_up(scenario: &Scenario, in_flight: &[usize]) -> Vec<usize> {
+    let skipped = (in_flight.len() as f64 - scenario.seconds * 10.0).max(0.0) as usize;
     in_flight.get(skipped..).unwrap_or_default().to_vec()
 }
 
 impl RunReport {
     /// Computes the figures.
     pub(crate) fn new(
-        plan: &Scenario,
+        scenario: &Scenario,
         specs: &BTreeMap<String, ServerSpec>,
         zero_ms: u64,
         seen: Observations,
@@ -117,11 +118,12 @@
     ) -> RunReport {
         let mut breaches = book.breaches;
         breaches.extend(seen.panics);
-        let (after_leave, begun_late) = SentAfterDisconnect::reckon(plan, zero_ms, &book.left, &seen.notes);
+        let (after_leave, begun_late) =
+            SentAfterDisconnect::reckon(scenario, zero_ms, &book.left, &seen.notes);
         breaches.extend(begun_late);
-        let servers = ServerActivity::new(plan, specs, zero_ms, &seen.notes);
+        let servers = ServerActivity::new(scenario, specs, zero_ms, &seen.notes);
         breaches.extend(servers.breaches);
-        let requests = RequestSummary::new(plan, &book.ended);
+        let requests = RequestSummary::new(scenario, &book.ended);
         let load = servers.load;
         let role = |name: &str| specs.get(name).map(|s| s.role);
         let caches = caches(&load, specs);
@@ -133,9 +135,9 @@
             let of = load.iter().filter(|(name, _)| role(name) == Some(which));
             of.map(|(_, load)| load.fills).sum::<u64>() as f64 / served
         };
-        let (peak, peak_server) = peaks(plan, &load, &role);
+        let (peak, peak_server) = peaks(scenario, &load, &role);
         RunReport {
-            plan: plan.clone(),
+            scenario: scenario.clone(),
             in_time: requests.in_time(),
             p50: requests.quantile_ms(0.5),
             p99: requests.quantile_ms(0.99),
@@ -152,7 +154,7 @@
             suspicions: seen.suspicions.iter().filter(|s| s.0 >= zero_ms).count(),
             ends: requests.ends,
             service: requests.service,
-            in_flight: after_warm_up(plan, &book.in_flight),
+            in_flight: after_warm_up(scenario, &book.in_flight),
             load,
             slow_starts: servers.slow_starts,
             breaches,
@@ -168,10 +170,10 @@
              busiest over mean {busiest:.2} (worst second {busiest_worst:.2}), idle {:.1} cache-seconds, \
              dispersion {:.2}\n  peak after faults {:.2} of the mean, at one server {:.2}; suspicions {}\n  \
              fills at parents {:.3} and at the origin {:.3} a request served\n",
-            self.plan.name,
-            self.plan.directors,
-            self.plan.caches,
-            self.plan.seed,
+            self.scenario.name,
+            self.scenario.directors,
+            self.scenario.caches,
+            self.scenario.seed,
             ends.join(", "),
             in_time,
             self.idle_cache_s,
@@ -202,7 +204,7 @@
     }
 
     /// One page with the figures, the plots and the scenario.
-    pub fn page(&self) -> Result<String, Failure> {
+    pub fn page(&self) -> Result<String, TestbedError> {
         let tenths = |v: &[u32]| -> Vec<(f64, f64)> {
             let seconds = v.chunks(10).enumerate();
             seconds.map(|(n, c)| (n as f64, c.iter().sum::<u32>() as f64)).collect()
@@ -232,18 +234,18 @@
         let mut page = format!(
             "<!doctype html><meta charset=utf-8><title>{0}</title><style>body{{font:15px sans-serif;margin:2em}}\
              </style><h1>{0}</h1><pre>{1}</pre>",
-            escape(&self.plan.name),
+            escape(&self.scenario.name),
             escape(&self.summary())
         );
         for (title, lines) in charts {
             page += &self.chart(title, &lines)?;
         }
-        let plan = serde_json::to_string_pretty(&self.plan)?;
-        page += &format!("<h2>The plan, to be played again</h2><pre>{}</pre>", escape(&plan));
+        let scenario = serde_json::to_string_pretty(&self.scenario)?;
+        page += &format!("<h2>The plan, to be played again</h2><pre>{}</pre>", escape(&scenario));
         Ok(page)
     }
 
-    fn chart(&self, title: &str, lines: &[(String, Vec<(f64, f64)>)]) -> Result<String, Failure> {
+    fn chart(&self, title: &str, lines: &[(String, Vec<(f64, f64)>)]) -> Result<String, TestbedError> {
         let points = lines.iter().flat_map(|l| &l.1).filter(|p| p.1.is_finite());
         let top = points.map(|p| p.1).fold(0.0, f64::max).max(1e-9) * 1.1;
         let mut svg = String::new();
@@ -254,10 +256,10 @@
                 .margin(8)
                 .x_label_area_size(24)
                 .y_label_area_size(48)
-                .build_cartesian_2d(0.0..self.plan.seconds, 0.0..top)
+                .build_cartesian_2d(0.0..self.scenario.seconds, 0.0..top)
                 .map_err(|e| e.to_string())?;
             chart.configure_mesh().draw().map_err(|e| e.to_string())?;
-            for fault in &self.plan.faults {
+            for fault in &self.scenario.faults {
                 let end = fault.at + fault.lasts.unwrap_or(0.05);
                 let shade = Rectangle::new([(fault.at, 0.0), (end, top)], RED.mix(0.12).filled());
                 chart.draw_series([shade]).map_err(|e| e.to_string())?;
@@ -326,11 +328,15 @@
 }
 
 /// The busiest tenth of a second within 5 s after a fault: over the whole fleet, and at one server.
-fn peaks(plan: &Scenario, load: &BTreeMap<String, Load>, role: &dyn Fn(&str) -> Option<Role>) -> (f64, f64) {
+fn peaks(
+    scenario: &Scenario,
+    load: &BTreeMap<String, Load>,
+    role: &dyn Fn(&str) -> Option<Role>,
+) -> (f64, f64) {
     let tenths = load.values().next().map_or(0, |l| l.tenths.len());
     let after = |bin: usize| {
         let at = bin as f64 * BIN as f64 / 1e3;
-        let faults = plan.faults.iter().filter(|f| !matches!(f.kind, FaultKind::Burst | FaultKind::Hot));
+        let faults = scenario.faults.iter().filter(|f| !matches!(f.kind, FaultKind::Burst | FaultKind::Hot));
         let moments =
             faults.flat_map(|f| [Some(f.at), f.lasts.map(|l| f.at + l)]).flatten().collect::<Vec<_>>();
         moments.iter().any(|m| (*m..m + 5.0).contains(&at))
--- a/crates/foxhold-testbed/src/reports/scenario/activity.rs
+++ b/crates/foxhold-testbed/src/reports/scenario/activity.rs
@@ -18,12 +18,12 @@
 
 impl ServerActivity {
     pub(super) fn new(
-        plan: &Scenario,
+        scenario: &Scenario,
         specs: &BTreeMap<String, ServerSpec>,
         zero_ms: u64,
         events: &[(String, ServerEvent)],
     ) -> ServerActivity {
-        let tenths = (plan.seconds * 1e3 / BIN as f64).ceil() as usize;
+        let tenths = (scenario.seconds * 1e3 / BIN as f64).ceil() as usize;
         let empty = || Load { tenths: vec![0; tenths], ..Load::default() };
         let load = specs.keys().map(|name| (name.clone(), empty())).collect();
         let mut activity = ServerActivity { load, slow_starts: BTreeMap::new(), breaches: Vec::new() };
@@ -81,10 +81,10 @@
 }
 
 impl RequestSummary {
-    pub(super) fn new(plan: &Scenario, ended: &[RequestRecord]) -> RequestSummary {
+    pub(super) fn new(scenario: &Scenario, ended: &[RequestRecord]) -> RequestSummary {
         let mut summary = RequestSummary {
             ends: BTreeMap::new(),
-            service: vec![(0, 0); plan.seconds.ceil() as usize],
+            service: vec![(0, 0); scenario.seconds.ceil() as usize],
             latencies: Histogram::new(3).unwrap_or_else(|_| unreachable!("3 digits are allowed")),
         };
         for request in ended.iter().filter(|request| request.at >= 0.0) {
--- a/crates/foxhold-testbed/src/scenarios/cluster.rs
+++ b/crates/foxhold-testbed/src/scenarios/cluster.rs
@@ -3,7 +3,7 @@
 //! Directors are ended by their ids when the fleet is dropped.
 
 use crate::faults::peer_network::{call, Network, Relays};
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::scenarios::runner::{Process, TemporaryFolder};
 use rustix::process::{prlimit, Pid, Resource, Rlimit, Signal};
 use std::cell::RefCell;
@@ -56,7 +56,7 @@
 
 impl Fleet {
     /// Opens the relays; no director runs yet. Needs a `LocalSet`.
-    pub async fn prepare(director: &Path, config: FleetConfig) -> Result<Fleet, Failure> {
+    pub async fn prepare(director: &Path, config: FleetConfig) -> Result<Fleet, TestbedError> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("foxhold-talk-{}-{number}", std::process::id()));
@@ -70,7 +70,7 @@
     }
 
     /// Opens the relays and starts all directors.
-    pub async fn start(director: &Path, config: FleetConfig) -> Result<Fleet, Failure> {
+    pub async fn start(director: &Path, config: FleetConfig) -> Result<Fleet, TestbedError> {
         let mut fleet = Fleet::prepare(director, config).await?;
         for some in (0..fleet.len()).collect::<Vec<_>>().chunks(50) {
             fleet.start_some(some).await?;
@@ -104,7 +104,7 @@
     }
 
     /// Starts some directors at once, and waits until each serves.
-    pub async fn start_some(&mut self, some: &[usize]) -> Result<(), Failure> {
+    pub async fn start_some(&mut self, some: &[usize]) -> Result<(), TestbedError> {
         let mut started = Vec::new();
         for n in some {
             started.push((*n, self.spawn(*n)?));
@@ -140,7 +140,7 @@
     fn spawn(
         &self,
         n: usize,
-    ) -> Result<(Process, tokio::io::Lines<BufReader<tokio::process::ChildStderr>>), Failure> {
+    ) -> Result<(Process, tokio::io::Lines<BufReader<tokio::process::ChildStderr>>), TestbedError> {
         let folder = &self.folder.0;
         let config = folder.join(format!("config-{n}.json"));
         std::fs::write(&config, platform(self.admin_address(n), n))?;
@@ -177,7 +177,7 @@
     }
 
     /// Files of a running director may grow from now on.
-    pub fn lift_file_limit_of(&self, n: usize) -> Result<(), Failure> {
+    pub fn lift_file_limit_of(&self, n: usize) -> Result<(), TestbedError> {
         let id = self.processes[n].as_ref().and_then(Process::id).ok_or("it does not run")?;
         let unlimited = Rlimit { current: None, maximum: None };
         prlimit(Pid::from_raw(id as i32), Resource::Fsize, unlimited)?;
@@ -216,14 +216,14 @@
     }
 
     /// Where a director's clients come to, in its present run.
-    pub fn clients(&self, n: usize) -> Result<String, Failure> {
+    pub fn clients(&self, n: usize) -> Result<String, TestbedError> {
         let logs = self.logs[n].borrow();
         let line = logs.iter().rev().find_map(|(_, line)| line.split_once("clients on "));
         Ok(line.ok_or("it has not started")?.1.to_owned())
     }
 
     /// The fleet's keys.
-    pub fn keys(&self) -> Result<Vec<Vec<u8>>, Failure> {
+    pub fn keys(&self) -> Result<Vec<Vec<u8>>, TestbedError> {
         let text = std::fs::read_to_string(self.folder.0.join("peers.key"))?;
         Ok(foxhold::cluster::parse_keys(&text)?)
     }
@@ -239,7 +239,7 @@
     }
 
     /// A call at a director's admin endpoint.
-    pub async fn admin_call(&self, n: usize, line: &str) -> Result<String, Failure> {
+    pub async fn admin_call(&self, n: usize, line: &str) -> Result<String, TestbedError> {
         call(self.admin_address(n), line).await
     }
 
@@ -251,13 +251,13 @@
     }
 
     /// What a director shows of its peers, as JSON.
-    pub async fn shown(&self, n: usize) -> Result<serde_json::Value, Failure> {
+    pub async fn shown(&self, n: usize) -> Result<serde_json::Value, TestbedError> {
         let answer = self.admin_call(n, "peers").await?;
         Ok(serde_json::from_str(answer.lines().next().unwrap_or_default())?)
     }
 
     /// Purges that a director says it holds.
-    pub async fn purge_count(&self, n: usize) -> Result<u64, Failure> {
+    pub async fn purge_count(&self, n: usize) -> Result<u64, TestbedError> {
         Ok(self.shown(n).await?["entries"]["purges"].as_u64().unwrap_or(0))
     }
 
@@ -268,7 +268,7 @@
         kind: &str,
         within: Duration,
         pleases: impl Fn(&[String]) -> bool,
-    ) -> Result<Duration, Failure> {
+    ) -> Result<Duration, TestbedError> {
         let begun = Instant::now();
         let mut left: Vec<usize> = some.to_vec();
         loop {
@@ -296,7 +296,12 @@
     }
 
     /// Waits until each of these sees so many others.
-    pub async fn joined(&self, some: &[usize], others: usize, within: Duration) -> Result<Duration, Failure> {
+    pub async fn joined(
+        &self,
+        some: &[usize],
+        others: usize,
+        within: Duration,
+    ) -> Result<Duration, TestbedError> {
         let begun = Instant::now();
         for n in some {
             loop {
--- a/crates/foxhold-testbed/src/scenarios/gossip.rs
+++ b/crates/foxhold-testbed/src/scenarios/gossip.rs
@@ -4,7 +4,7 @@
 use crate::faults::peer_network::LinkConditions;
 use crate::load::gossip_client::TestClient;
 use crate::scenarios::cluster::{Fleet, FleetConfig};
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::path::Path;
@@ -119,7 +119,7 @@
 
 /// One director holds so many purges; another starts, catches up, and is probed meanwhile. Needs a
 /// `LocalSet`.
-pub async fn catch_up(director: &Path, entries: u32) -> Result<CatchUpReport, Failure> {
+pub async fn catch_up(director: &Path, entries: u32) -> Result<CatchUpReport, TestbedError> {
     let keys = format!("entries: {}", entries.max(MIN_ENTRY_BOUND) * 2);
     let mut fleet =
         Fleet::prepare(director, FleetConfig { directors: 2, keys, ..FleetConfig::default() }).await?;
@@ -148,7 +148,7 @@
     })
 }
 
-async fn wait_until_caught_up(fleet: &Fleet, n: usize, begun: Instant) -> Result<(), Failure> {
+async fn wait_until_caught_up(fleet: &Fleet, n: usize, begun: Instant) -> Result<(), TestbedError> {
     while fleet.admin_call(n, "check").await? != "YES caught up\n" {
         if begun.elapsed() > DEADLINE {
             return Err(format!("not within 10 s: {}\n{}", fleet.shown(n).await?, fleet.log(n)).into());
@@ -159,7 +159,7 @@
 }
 
 /// `GET /alive` at a director's front, one each millisecond, for so long.
-async fn probe_alive(address: String, long: Duration) -> Result<Latencies, Failure> {
+async fn probe_alive(address: String, long: Duration) -> Result<Latencies, TestbedError> {
     let mut stream = TcpStream::connect(&address).await?;
     stream.set_nodelay(true)?;
     let (mut all, begun) = (Histogram::<u64>::new(3)?, Instant::now());
@@ -213,7 +213,7 @@
 }
 
 /// Runs a scenario. Needs a `LocalSet`; all directors are ended when it is dropped.
-pub async fn run(director: &Path, scenario: &Scenario) -> Result<SpreadReport, Failure> {
+pub async fn run(director: &Path, scenario: &Scenario) -> Result<SpreadReport, TestbedError> {
     let config = FleetConfig { directors: scenario.directors, seed: scenario.seed, ..FleetConfig::default() };
     let begun = Instant::now();
     let fleet = Fleet::start(director, config).await?;
@@ -255,7 +255,7 @@
 }
 
 /// Sends updates one after the other, each to another director, and waits for each until all hold it.
-async fn measure_spread(fleet: &Fleet, updates: usize) -> Result<Spread, Failure> {
+async fn measure_spread(fleet: &Fleet, updates: usize) -> Result<Spread, TestbedError> {
     let (each, last) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
     let mut spread = Spread { each, last, missed: 0 };
     for update in 0..updates {
@@ -266,7 +266,7 @@
 }
 
 /// Sends one update, and waits until all directors have logged it or the deadline has passed.
-async fn measure_update(fleet: &Fleet, update: usize, spread: &mut Spread) -> Result<(), Failure> {
+async fn measure_update(fleet: &Fleet, update: usize, spread: &mut Spread) -> Result<(), TestbedError> {
     let end = format!("operators' drain set server=update-{update}");
     let sent = Instant::now();
     fleet.admin_call((update * 7) % fleet.len(), &format!("drain update-{update}")).await?;
@@ -288,7 +288,7 @@
 }
 
 /// What directors use with so many purges a second.
-async fn measure_busy(fleet: &Fleet, seconds: u64, rate: u32) -> Result<ResourceUse, Failure> {
+async fn measure_busy(fleet: &Fleet, seconds: u64, rate: u32) -> Result<ResourceUse, TestbedError> {
     let meter = ResourceMeter::read(fleet);
     for n in 0..seconds * u64::from(rate) {
         let due = meter.at + Duration::from_secs(n + 1) / rate;
--- a/crates/foxhold-testbed/src/scenarios/overhead.rs
+++ b/crates/foxhold-testbed/src/scenarios/overhead.rs
@@ -2,7 +2,7 @@
 //! same emulated servers, closed loop.
 
 use crate::load::trace::object;
-use crate::scenarios::replay::{daemon, exchange, ConfigFile, Failure};
+use crate::scenarios::replay::{daemon, exchange, ConfigFile, TestbedError};
 use crate::servers::in_process::EmulatedFleet;
 use foxhold::director::{CacheRequest, Director};
 use hdrhistogram::Histogram;
@@ -27,7 +27,7 @@
 }
 
 /// Ticks of processor time in a `stat` file, in microseconds; the kernel counts 100 a second.
-fn cpu(stat: &str) -> Result<f64, Failure> {
+fn cpu(stat: &str) -> Result<f64, TestbedError> {
     let text = std::fs::read_to_string(stat)?;
     let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or("").split(' ').collect();
     let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
@@ -35,14 +35,14 @@
 }
 
 /// What one of those that ask has seen: how long its answers took, and how many did not serve.
-type Part = Result<(Histogram<u64>, usize), Failure>;
+type Part = Result<(Histogram<u64>, usize), TestbedError>;
 
 /// Has so many ask side by side and reckons what that cost the process or thread of this `stat` file.
 async fn measured(
     stat: &str,
     at_once: usize,
     send: impl Fn(usize) -> JoinHandle<Part>,
-) -> Result<Cost, Failure> {
+) -> Result<Cost, TestbedError> {
     tokio::time::sleep(Duration::from_millis(200)).await;
     let (begun, before) = (Instant::now(), cpu(stat)?);
     let tasks: Vec<_> = (0..at_once).map(send).collect();
@@ -64,7 +64,7 @@
     requests: usize,
     at_once: usize,
     objects: usize,
-) -> Result<Cost, Failure> {
+) -> Result<Cost, TestbedError> {
     let file = ConfigFile::write(fleet, 7)?;
     let (address, running) = daemon(program, &file.0)?;
     let stat = format!("/proc/{}/stat", running.id().ok_or("no process")?);
@@ -97,7 +97,7 @@
     requests: usize,
     at_once: usize,
     objects: usize,
-) -> Result<Cost, Failure> {
+) -> Result<Cost, TestbedError> {
     let file = ConfigFile::write(fleet, 7)?;
     let director = Director::from_file(&file.0)?.start()?;
     let send = |k| {
@@ -119,7 +119,7 @@
 }
 
 /// The `stat` file of this process's thread of that name.
-fn thread_named(name: &str) -> Result<String, Failure> {
+fn thread_named(name: &str) -> Result<String, TestbedError> {
     for entry in std::fs::read_dir("/proc/self/task")? {
         let path = entry?.path();
         if std::fs::read_to_string(path.join("comm"))?.trim() == name {
--- a/crates/foxhold-testbed/src/scenarios/replay.rs
+++ b/crates/foxhold-testbed/src/scenarios/replay.rs
@@ -84,7 +84,7 @@
 /// All that differs between two plays of one trace.
 pub fn compare(one: &ReplayResult, other: &ReplayResult) -> Vec<Difference> {
     let ids: std::collections::BTreeSet<&String> = one.requests.keys().chain(other.requests.keys()).collect();
-    let of = |played: &ReplayResult, id: &String| played.requests.get(id).cloned().unwrap_or_default();
+    let of = |result: &ReplayResult, id: &String| result.requests.get(id).cloned().unwrap_or_default();
     let both = ids.into_iter().map(|id| (id, of(one, id), of(other, id)));
     both.filter(|(_, a, b)| a != b)
         .map(|(id, one, other)| Difference { id: id.clone(), one, other })
@@ -92,10 +92,10 @@
 }
 
 /// An error as one line.
-pub type Failure = Box<dyn std::error::Error + Send + Sync>;
+pub type TestbedError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Runs a trace against a fleet of its own: 3 caches, 3 parents and an origin.
-pub async fn replay(lines: &[Line], through: &Through) -> Result<ReplayResult, Failure> {
+pub async fn replay(lines: &[Line], through: &Through) -> Result<ReplayResult, TestbedError> {
     let fleet = EmulatedFleet::start(3, 3).await?;
     let file = ConfigFile::write(&fleet, SEED)?;
     let (address, running) = match through {
@@ -103,27 +103,27 @@
         Through::Library { altered } => library(&file.0, *altered).await?,
     };
     let (lines, handle) = (lines.to_vec(), tokio::runtime::Handle::current());
-    let (fleet, mut played) = tokio::task::spawn_blocking(move || {
+    let (fleet, mut result) = tokio::task::spawn_blocking(move || {
         let _inside = handle.enter();
-        let played = drive(&lines, &address, &fleet);
-        (fleet, played)
+        let result = drive(&lines, &address, &fleet);
+        (fleet, result)
     })
     .await?;
-    if let Ok(played) = &mut played {
+    if let Ok(result) = &mut result {
         for seen in fleet.seen() {
-            let entry = played.requests.entry(seen.id.clone()).or_default();
+            let entry = result.requests.entry(seen.id.clone()).or_default();
             entry.0.push(seen);
         }
     }
     drop(running);
-    played
+    result
 }
 
 /// The platform's configuration for a director before a fleet, in a file that goes when this is dropped.
 pub(crate) struct ConfigFile(pub(crate) PathBuf);
 
 impl ConfigFile {
-    pub(crate) fn write(fleet: &EmulatedFleet, seed: u64) -> Result<ConfigFile, Failure> {
+    pub(crate) fn write(fleet: &EmulatedFleet, seed: u64) -> Result<ConfigFile, TestbedError> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("foxhold-testbed-{}-{number}.json", std::process::id());
@@ -167,7 +167,7 @@
     }
 }
 
-pub(crate) fn daemon(program: &Path, config: &Path) -> Result<(String, Running), Failure> {
+pub(crate) fn daemon(program: &Path, config: &Path) -> Result<(String, Running), TestbedError> {
     let program = program.canonicalize().map_err(|e| format!("{}: {e}", program.display()))?;
     let mut child = Command::new(&program)
         .env("ROUTER_CONFIG", config)
@@ -188,7 +188,7 @@
     Ok((address.to_owned(), running))
 }
 
-async fn library(config: &Path, altered: Option<usize>) -> Result<(String, Running), Failure> {
+async fn library(config: &Path, altered: Option<usize>) -> Result<(String, Running), TestbedError> {
     let mut builder = Director::from_file(config)?;
     if let Some(nth) = altered {
         let servers = PlatformConfig::read(config)?.upstream_connector();
@@ -289,11 +289,11 @@
     }
 }
 
-fn drive(lines: &[Line], address: &str, fleet: &EmulatedFleet) -> Result<ReplayResult, Failure> {
+fn drive(lines: &[Line], address: &str, fleet: &EmulatedFleet) -> Result<ReplayResult, TestbedError> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
-    let mut played = ReplayResult::default();
+    let mut result = ReplayResult::default();
     exchange(&mut stream, "GET /alive HTTP/1.1\r\nHost: lab\r\n\r\n")?;
     // The board's follower and first probes have settled by then.
     std::thread::sleep(Duration::from_millis(200));
@@ -305,8 +305,8 @@
             Some(wait) => std::thread::sleep(wait),
             None => {
                 let late = due.elapsed();
-                played.latest = played.latest.max(late);
-                played.late += usize::from(late > Duration::from_millis(1));
+                result.latest = result.latest.max(late);
+                result.late += usize::from(late > Duration::from_millis(1));
             }
         }
         match &line.step {
@@ -315,11 +315,11 @@
                 number += 1;
                 let id = format!("{number:016x}");
                 let answer = exchange(&mut stream, &request(asked, &id))?;
-                played.requests.insert(id, (Vec::new(), answer));
+                result.requests.insert(id, (Vec::new(), answer));
             }
         }
     }
-    Ok(played)
+    Ok(result)
 }
 
 fn apply(fleet: &EmulatedFleet, trouble: &TraceFault) {
@@ -342,10 +342,10 @@
     )
 }
 
-pub(crate) fn exchange(stream: &mut TcpStream, request: &str) -> Result<RequestOutcome, Failure> {
+pub(crate) fn exchange(stream: &mut TcpStream, request: &str) -> Result<RequestOutcome, TestbedError> {
     stream.write_all(request.as_bytes())?;
     let (mut bytes, mut scrap) = (Vec::new(), [0; 4096]);
-    let mut more = |bytes: &mut Vec<u8>| -> Result<(), Failure> {
+    let mut more = |bytes: &mut Vec<u8>| -> Result<(), TestbedError> {
         match stream.read(&mut scrap)? {
             0 => return Err("the connection was closed under a request".into()),
             n => bytes.extend_from_slice(&scrap[..n]),
--- a/crates/foxhold-testbed/src/scenarios/runner/directors.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/directors.rs
@@ -4,7 +4,7 @@
 use super::{ScenarioRun, INITIAL_CAPACITY_SHARE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S, WARM_UP_S};
 use crate::faults::relay::Link;
 use crate::load::clients::TRANSFER_KB_PER_S;
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::scenarios::scenario::RequestClass;
 use crate::servers::emulated::unix_ms;
 use std::process::Stdio;
@@ -20,8 +20,8 @@
 const SEED_STEP: u64 = 1_000_003;
 
 impl ScenarioRun {
-    pub(super) async fn start_directors(self: &Rc<Self>) -> Result<(), Failure> {
-        for n in 1..=self.plan.directors {
+    pub(super) async fn start_directors(self: &Rc<Self>) -> Result<(), TestbedError> {
+        for n in 1..=self.scenario.directors {
             let name = format!("director-{n}");
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let mut board = listener.local_addr()?.to_string();
@@ -34,13 +34,13 @@
             }
             self.seen.borrow_mut().boards.insert(name.clone(), board);
         }
-        let names = (1..=self.plan.directors).map(|n| format!("director-{n}"));
+        let names = (1..=self.scenario.directors).map(|n| format!("director-{n}"));
         let there: Vec<String> = names.filter(|name| !self.joins(name)).collect();
         self.start_directors_named(&there).await
     }
 
     /// Starts these directors side by side and waits until they listen.
-    pub(super) async fn start_directors_named(self: &Rc<Self>, names: &[String]) -> Result<(), Failure> {
+    pub(super) async fn start_directors_named(self: &Rc<Self>, names: &[String]) -> Result<(), TestbedError> {
         let starts = names.iter().map(|name| {
             let (run, name) = (Rc::clone(self), name.clone());
             tokio::task::spawn_local(async move { run.start_director(&name).await })
@@ -51,12 +51,12 @@
         Ok(())
     }
 
-    async fn start_director(self: &Rc<Self>, name: &str) -> Result<(), Failure> {
+    async fn start_director(self: &Rc<Self>, name: &str) -> Result<(), TestbedError> {
         let part = &self.parts[name];
         let kept = part.address.borrow().clone();
         let listen = if kept.is_empty() { "127.0.0.1:0".into() } else { kept };
         let number: u64 = name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-        let seed = self.plan.seed.wrapping_mul(SEED_STEP).wrapping_add(number) ^ part.since.get();
+        let seed = self.scenario.seed.wrapping_mul(SEED_STEP).wrapping_add(number) ^ part.since.get();
         let mut child = self
             .director_command(name, number, &listen, seed)?
             .spawn()
@@ -70,7 +70,13 @@
         Ok(())
     }
 
-    fn director_command(&self, name: &str, number: u64, listen: &str, seed: u64) -> Result<Command, Failure> {
+    fn director_command(
+        &self,
+        name: &str,
+        number: u64,
+        listen: &str,
+        seed: u64,
+    ) -> Result<Command, TestbedError> {
         let file = self.programs.folder.join(format!("{name}.json"));
         std::fs::write(&file, self.config(name, listen, seed))?;
         let mut command = Command::new(&self.programs.director);
@@ -115,13 +121,14 @@
 
     /// The platform's configuration.
     fn config(&self, name: &str, listen: &str, seed: u64) -> String {
-        let plan = &self.plan;
+        let scenario = &self.scenario;
         let (notices, rev) = self.events(name, 0);
         let notices = notices.join(",");
         let board = self.seen.borrow().boards[name].clone();
         let ops = self.admin_address_of(name).map(|door| format!(r#","ops":"{door}""#)).unwrap_or_default();
-        let list =
-            |f: &dyn Fn(&RequestClass) -> String| plan.classes.iter().map(f).collect::<Vec<_>>().join(",");
+        let list = |f: &dyn Fn(&RequestClass) -> String| {
+            scenario.classes.iter().map(f).collect::<Vec<_>>().join(",")
+        };
         let services = list(&|c| {
             let effect = if c.write { "at_most_once" } else { "idempotent" };
             let (name, aim, stretch, give_up) = (&c.name, c.objective_ms, c.stretch, c.deadline_ms);
@@ -130,7 +137,7 @@
             )
         });
         let writes = list(&|c| c.write.to_string());
-        let (directors, flow) = (plan.directors, TRANSFER_KB_PER_S);
+        let (directors, flow) = (scenario.directors, TRANSFER_KB_PER_S);
         let (warm, window) = (WARM_UP_S * 1e3, OVERLOAD_WINDOW_S * 1e3);
         format!(
             r#"{{"name":"{name}","listen":"{listen}","seed":"{seed:016x}","limits":{{"cores":1.0,"memory_mb":64,"sockets":512}},
@@ -148,7 +155,10 @@
 }
 
 /// Reads a director's log up to the line that says where clients reach it.
-async fn listening_address(name: &str, lines: &mut Lines<BufReader<ChildStderr>>) -> Result<String, Failure> {
+async fn listening_address(
+    name: &str,
+    lines: &mut Lines<BufReader<ChildStderr>>,
+) -> Result<String, TestbedError> {
     let mut first = String::new();
     while !first.contains("clients on ") {
         let line = tokio::time::timeout(START_TIMEOUT, lines.next_line()).await;
--- a/crates/foxhold-testbed/src/scenarios/runner/discovery.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/discovery.rs
@@ -76,8 +76,8 @@
     /// How late a director hears of the list.
     fn discovery_delay(&self, director: &str) -> Duration {
         let number = number_of(director).unwrap_or(0) as u64;
-        let mut random = StdRng::seed_from_u64(self.plan.seed.wrapping_mul(1_000_003) ^ number);
-        Duration::from_secs_f64(self.plan.list_late * random.random::<f64>())
+        let mut random = StdRng::seed_from_u64(self.scenario.seed.wrapping_mul(1_000_003) ^ number);
+        Duration::from_secs_f64(self.scenario.list_late * random.random::<f64>())
     }
 
     /// The discovery service as one director reaches it.
--- a/crates/foxhold-testbed/src/scenarios/runner/injection.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/injection.rs
@@ -5,7 +5,7 @@
 use crate::faults::peer_network::{call, LinkConditions};
 use crate::faults::relay::LinkFault;
 use crate::load::clients::{object, DirectorTarget, PurgeRecord};
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::scenarios::scenario::{Fault, FaultKind, RuleBreach};
 use crate::servers::emulated::{unix_ms, ServerCommand};
 use rand::rngs::StdRng;
@@ -38,7 +38,7 @@
     /// Injects the scenario's faults at their times after `zero`.
     pub(super) async fn inject_faults(self: Rc<Self>, zero: Instant) {
         let mut schedule: Vec<Step> = Vec::new();
-        for fault in &self.plan.faults {
+        for fault in &self.scenario.faults {
             schedule.push(Step { at: fault.at, fault: fault.clone(), phase: Phase::Begins });
             let end = |lasts| Step { at: fault.at + lasts, fault: fault.clone(), phase: Phase::Ends };
             schedule.extend(fault.lasts.map(end));
@@ -59,8 +59,8 @@
         while steps.join_next().await.is_some() {}
     }
 
-    async fn inject(self: &Rc<Self>, fault: &Fault, phase: Phase) -> Result<(), Failure> {
-        let names: Vec<String> = self.plan.resolve(&fault.who).unwrap_or_default().into_iter().collect();
+    async fn inject(self: &Rc<Self>, fault: &Fault, phase: Phase) -> Result<(), TestbedError> {
+        let names: Vec<String> = self.scenario.resolve(&fault.who).unwrap_or_default().into_iter().collect();
         match (fault.kind, phase) {
             (FaultKind::Kill, Phase::Begins) => self.kill(fault, &names).await?,
             (FaultKind::Kill, Phase::Ends) | (FaultKind::Join, Phase::Begins) => self.restart(&names).await?,
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    async fn kill(self: &Rc<Self>, fault: &Fault, names: &[String]) -> Result<(), Failure> {
+    async fn kill(self: &Rc<Self>, fault: &Fault, names: &[String]) -> Result<(), TestbedError> {
         for name in names {
             self.disturb(name);
             let process = self.parts[name].process.borrow_mut().take();
@@ -109,7 +109,7 @@
     }
 
     fn set_links(&self, fault: &Fault, phase: Phase) {
-        for pair in fault_links(&self.plan, fault) {
+        for pair in fault_links(&self.scenario, fault) {
             if let Some(link) = self.links.borrow().get(&pair) {
                 link.set(if phase == Phase::Begins { fault.link_fault } else { LinkFault::None });
             }
@@ -119,7 +119,7 @@
         }
     }
 
-    async fn drain(&self, fault: &Fault, names: Vec<String>) -> Result<(), Failure> {
+    async fn drain(&self, fault: &Fault, names: Vec<String>) -> Result<(), TestbedError> {
         for name in names {
             match &fault.by {
                 Some(by) => self.admin_command(by, &format!("drain {name}")).await?,
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    async fn undrain(&self, fault: &Fault, names: Vec<String>) -> Result<(), Failure> {
+    async fn undrain(&self, fault: &Fault, names: Vec<String>) -> Result<(), TestbedError> {
         for name in names {
             self.command(&name, &ServerCommand::Undrain).await;
             if let Some(by) = &fault.by {
@@ -145,7 +145,7 @@
 
     fn set_gossip_links(&self, fault: &Fault, phase: Phase) {
         let faulty = LinkConditions { loss: fault.lost, duplication: 0.0, delay_ms: fault.late_ms };
-        for (a, b) in fault_links(&self.plan, fault).into_iter().filter(|(a, b)| a != b) {
+        for (a, b) in fault_links(&self.scenario, fault).into_iter().filter(|(a, b)| a != b) {
             let (Some(from), Some(to)) = (number_of(&a), number_of(&b)) else { continue };
             if let Some(relays) = self.gossip_relays.borrow().as_ref() {
                 let conditions = if phase == Phase::Begins { faulty } else { LinkConditions::default() };
@@ -182,7 +182,7 @@
     }
 
     /// A director's operators say something, which is to be news.
-    async fn admin_command(&self, director: &str, line: &str) -> Result<(), Failure> {
+    async fn admin_command(&self, director: &str, line: &str) -> Result<(), TestbedError> {
         let door = self.admin_address_of(director).ok_or("directors do not talk")?;
         let answer = call(door, line).await?;
         if answer.starts_with("YES") {
@@ -206,7 +206,7 @@
     }
 
     /// Starts these again: directors from nothing, servers cold and empty, of which the list tells later.
-    async fn restart(self: &Rc<Self>, names: &[String]) -> Result<(), Failure> {
+    async fn restart(self: &Rc<Self>, names: &[String]) -> Result<(), TestbedError> {
         let (directors, servers): (Vec<String>, Vec<String>) =
             names.iter().cloned().partition(|n| n.starts_with("director"));
         for name in &directors {
@@ -236,7 +236,7 @@
         }
     }
 
-    async fn purge(self: &Rc<Self>, fault: &Fault) -> Result<(), Failure> {
+    async fn purge(self: &Rc<Self>, fault: &Fault) -> Result<(), TestbedError> {
         let ms = unix_ms();
         let purged = if fault.object > 0 {
             vec![PurgeRecord { object: Some(object(fault.object)), groups: Vec::new(), ms }]
@@ -256,7 +256,7 @@
             }
         }
         // Servers drop their older copies by themselves, each in its own time.
-        let mut random = StdRng::seed_from_u64(self.plan.seed ^ ms);
+        let mut random = StdRng::seed_from_u64(self.scenario.seed ^ ms);
         for name in self.specs.keys().filter(|n| !n.starts_with("origin")) {
             let (run, name) = (Rc::clone(self), name.clone());
             let (purged, after) = (purged.clone(), random.random_range(PURGE_DELAY_S));
--- a/crates/foxhold-testbed/src/scenarios/runner/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/mod.rs
@@ -28,7 +28,7 @@
 use crate::faults::relay::Link;
 use crate::load::clients::{draw, Clients};
 use crate::reports::scenario::{Observations, RunReport};
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::scenarios::scenario::{Fault, FaultKind, Scenario};
 use crate::servers::emulated::unix_ms;
 use crate::servers::model::ServerSpec;
@@ -60,7 +60,7 @@
 }
 
 struct ScenarioRun {
-    plan: Scenario,
+    scenario: Scenario,
     programs: Programs,
     parts: BTreeMap<String, Rc<Participant>>,
     /// By who connects and to whom.
@@ -78,38 +78,38 @@
 
 /// Runs a scenario. Needs a `LocalSet`; `progress` is told the seconds run.
 pub async fn run(
-    plan: &Scenario,
+    scenario: &Scenario,
     programs: &Programs,
     progress: impl Fn(f64) + 'static,
-) -> Result<RunReport, Failure> {
+) -> Result<RunReport, TestbedError> {
     // From the first process on: what is dropped here takes all of them with it.
     tokio::select! {
         biased;
         signal = interrupted() => Err(format!("{}; all processes of the run are ended", signal?).into()),
-        played = run_to_end(plan, programs, progress) => played,
+        report = run_to_end(scenario, programs, progress) => report,
     }
 }
 
 async fn run_to_end(
-    plan: &Scenario,
+    scenario: &Scenario,
     programs: &Programs,
     progress: impl Fn(f64) + 'static,
-) -> Result<RunReport, Failure> {
-    plan.check()?;
-    process::check_descriptors(plan)?;
+) -> Result<RunReport, TestbedError> {
+    scenario.check()?;
+    process::check_descriptors(scenario)?;
     std::fs::create_dir_all(&programs.folder)?;
     let _folder = TemporaryFolder(programs.folder.clone());
-    let run = Rc::new(ScenarioRun::prepare(plan, programs).await?);
-    if plan.peers {
+    let run = Rc::new(ScenarioRun::prepare(scenario, programs).await?);
+    if scenario.peers {
         *run.gossip_relays.borrow_mut() =
-            Some(Relays::open(plan.directors, plan.seed, &programs.folder).await?);
+            Some(Relays::open(scenario.directors, scenario.seed, &programs.folder).await?);
     }
     run.start_servers().await?;
     run.link_servers().await?;
     run.start_directors().await?;
-    let arrivals = draw(plan, plan.warm_up_seconds);
-    let zero = Instant::now() + Duration::from_secs_f64(plan.warm_up_seconds + 0.2);
-    run.zero_ms.set(unix_ms() + ((plan.warm_up_seconds + 0.2) * 1e3) as u64);
+    let arrivals = draw(scenario, scenario.warm_up_seconds);
+    let zero = Instant::now() + Duration::from_secs_f64(scenario.warm_up_seconds + 0.2);
+    run.zero_ms.set(unix_ms() + ((scenario.warm_up_seconds + 0.2) * 1e3) as u64);
     let faults = tokio::task::spawn_local(Rc::clone(&run).inject_faults(zero));
     let ticker = tokio::task::spawn_local(async move {
         loop {
@@ -117,7 +117,7 @@
             tokio::time::sleep(Duration::from_millis(250)).await;
         }
     });
-    Rc::clone(&run.clients).run(arrivals, zero, plan.warm_up_seconds).await;
+    Rc::clone(&run.clients).run(arrivals, zero, scenario.warm_up_seconds).await;
     ticker.abort();
     faults.abort();
     // What is still under way at servers is told before they end.
@@ -127,9 +127,9 @@
 }
 
 impl ScenarioRun {
-    async fn prepare(plan: &Scenario, programs: &Programs) -> Result<ScenarioRun, Failure> {
-        let specs = specs::draw_specs(plan);
-        let names = specs.keys().cloned().chain((1..=plan.directors).map(|n| format!("director-{n}")));
+    async fn prepare(scenario: &Scenario, programs: &Programs) -> Result<ScenarioRun, TestbedError> {
+        let specs = specs::draw_specs(scenario);
+        let names = specs.keys().cloned().chain((1..=scenario.directors).map(|n| format!("director-{n}")));
         let parts = names.map(|name| (name, Rc::default())).collect();
         let (discovery_length, _) = watch::channel(0);
         let mut programs = programs.clone();
@@ -137,13 +137,13 @@
             *program = program.canonicalize().map_err(|e| format!("{}: {e}", program.display()))?;
         }
         Ok(ScenarioRun {
-            plan: plan.clone(),
+            scenario: scenario.clone(),
             programs,
             parts,
             links: RefCell::default(),
             discovery_log: RefCell::default(),
             discovery_length,
-            clients: Rc::new(Clients::new(plan)),
+            clients: Rc::new(Clients::new(scenario)),
             seen: Rc::default(),
             zero_ms: Cell::new(unix_ms()),
             specs,
@@ -154,15 +154,15 @@
 
     /// The links that some fault affects: who connects to whom.
     fn faulty_links(&self) -> Vec<(String, String)> {
-        let faults = self.plan.faults.iter().filter(|f| f.kind == FaultKind::Link);
-        let mut pairs: Vec<(String, String)> = faults.flat_map(|f| fault_links(&self.plan, f)).collect();
+        let faults = self.scenario.faults.iter().filter(|f| f.kind == FaultKind::Link);
+        let mut pairs: Vec<(String, String)> = faults.flat_map(|f| fault_links(&self.scenario, f)).collect();
         pairs.sort();
         pairs.dedup();
         pairs
     }
 
     /// Ends all and hands over what was seen.
-    async fn finish(self: Rc<Self>) -> Result<RunReport, Failure> {
+    async fn finish(self: Rc<Self>) -> Result<RunReport, TestbedError> {
         for (name, part) in &self.parts {
             let process = part.process.borrow_mut().take();
             if let Some(mut process) = process {
@@ -174,7 +174,7 @@
         }
         let seen = std::mem::take(&mut *self.seen.borrow_mut());
         let book = std::mem::take(&mut *self.clients.book.borrow_mut());
-        Ok(RunReport::new(&self.plan, &self.specs, self.zero_ms.get(), seen, book))
+        Ok(RunReport::new(&self.scenario, &self.specs, self.zero_ms.get(), seen, book))
     }
 }
 
@@ -184,11 +184,11 @@
 }
 
 /// Who connects to whom on the links that a fault affects.
-fn fault_links(plan: &Scenario, fault: &Fault) -> Vec<(String, String)> {
+fn fault_links(scenario: &Scenario, fault: &Fault) -> Vec<(String, String)> {
     let to = match fault.to.as_str() {
         "board" => vec!["board".to_owned()],
-        other => plan.resolve(other).unwrap_or_default().into_iter().collect(),
+        other => scenario.resolve(other).unwrap_or_default().into_iter().collect(),
     };
-    let who = plan.resolve(&fault.who).unwrap_or_default();
+    let who = scenario.resolve(&fault.who).unwrap_or_default();
     who.into_iter().flat_map(|w| to.iter().map(move |t| (w.clone(), t.clone())).collect::<Vec<_>>()).collect()
 }
--- a/crates/foxhold-testbed/src/scenarios/runner/process.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/process.rs
@@ -1,6 +1,6 @@
 //! The processes of a run: programs, children that end with their owner, and the folder of their files.
 
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::scenarios::scenario::{FaultKind, Scenario};
 use rustix::process::{kill_process, Pid, Signal};
 use std::path::PathBuf;
@@ -78,9 +78,14 @@
 }
 
 /// Descriptors that this process needs: pipes, boards and clients of each director, pipes of servers, relays.
-pub(super) fn check_descriptors(plan: &Scenario) -> Result<(), Failure> {
-    let relays = plan.faults.iter().filter(|f| f.kind == FaultKind::Link).count() * plan.directors * 6;
-    let needs = plan.directors * 10 + (plan.caches + plan.parents + 1) * 4 + relays + plan.rate as usize + 64;
+pub(super) fn check_descriptors(scenario: &Scenario) -> Result<(), TestbedError> {
+    let relays =
+        scenario.faults.iter().filter(|f| f.kind == FaultKind::Link).count() * scenario.directors * 6;
+    let needs = scenario.directors * 10
+        + (scenario.caches + scenario.parents + 1) * 4
+        + relays
+        + scenario.rate as usize
+        + 64;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     if limit.is_some_and(|limit| limit < needs as u64) {
         return Err(format!(
--- a/crates/foxhold-testbed/src/scenarios/runner/servers.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/servers.rs
@@ -4,7 +4,7 @@
 use super::ScenarioRun;
 use crate::faults::relay::Link;
 use crate::load::clients::TRANSFER_KB_PER_S;
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use crate::scenarios::scenario::FaultKind;
 use crate::servers::emulated::{unix_ms, ContentClass, ServerCommand, ServerConfig, ServerEvent};
 use std::process::Stdio;
@@ -19,7 +19,7 @@
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl ScenarioRun {
-    pub(super) async fn start_servers(&self) -> Result<(), Failure> {
+    pub(super) async fn start_servers(&self) -> Result<(), TestbedError> {
         for name in self.specs.keys().filter(|name| !self.joins(name)) {
             self.start_server(name, false).await?;
         }
@@ -28,11 +28,11 @@
 
     /// Whether somebody is not there at the run's beginning.
     pub(super) fn joins(&self, name: &str) -> bool {
-        let joins = self.plan.faults.iter().filter(|f| f.kind == FaultKind::Join);
-        joins.filter_map(|f| self.plan.resolve(&f.who)).any(|whom| whom.contains(name))
+        let joins = self.scenario.faults.iter().filter(|f| f.kind == FaultKind::Join);
+        joins.filter_map(|f| self.scenario.resolve(&f.who)).any(|whom| whom.contains(name))
     }
 
-    pub(super) async fn start_server(&self, name: &str, cold: bool) -> Result<(), Failure> {
+    pub(super) async fn start_server(&self, name: &str, cold: bool) -> Result<(), TestbedError> {
         let part = &self.parts[name];
         let kept = part.address.borrow().clone();
         let listen = if kept.is_empty() { "127.0.0.1:0".into() } else { kept };
@@ -66,7 +66,7 @@
     }
 
     fn server_config(&self, name: &str, listen: String, cold: bool) -> ServerConfig {
-        let kinds = self.plan.classes.iter().map(|c| ContentClass {
+        let kinds = self.scenario.classes.iter().map(|c| ContentClass {
             name: c.name.clone(),
             share: c.share,
             mean_kb: c.work_ms / 1e3 * TRANSFER_KB_PER_S,
@@ -107,7 +107,7 @@
     }
 
     /// Opens a relay for each link to a server that is to be faulty, and tells the servers of each other.
-    pub(super) async fn link_servers(&self) -> Result<(), Failure> {
+    pub(super) async fn link_servers(&self) -> Result<(), TestbedError> {
         for (who, whom) in self.faulty_links().into_iter().filter(|pair| pair.1 != "board") {
             let address = self.parts[&whom].address.borrow().clone();
             let link = Link::open(address).await?;
--- a/crates/foxhold-testbed/src/scenarios/runner/specs.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/specs.rs
@@ -22,18 +22,18 @@
 const ORIGIN_STOP_S: f64 = 3.0;
 
 /// The servers by name, with what each can do.
-pub(super) fn draw_specs(plan: &Scenario) -> BTreeMap<String, ServerSpec> {
-    let mean_kb = mean_read_kb(plan);
-    let all_kb = mean_kb * plan.objects as f64;
-    let mut random = StdRng::seed_from_u64(plan.seed ^ SIZE_SEED);
+pub(super) fn draw_specs(scenario: &Scenario) -> BTreeMap<String, ServerSpec> {
+    let mean_kb = mean_read_kb(scenario);
+    let all_kb = mean_kb * scenario.objects as f64;
+    let mut random = StdRng::seed_from_u64(scenario.seed ^ SIZE_SEED);
     let mut specs = BTreeMap::new();
-    for (name, count) in [("cache", plan.caches), ("parent", plan.parents), ("origin", 1)] {
+    for (name, count) in [("cache", scenario.caches), ("parent", scenario.parents), ("origin", 1)] {
         for n in 1..=count {
-            let uneven = 1.0 + plan.uneven * (random.random::<f64>() * 2.0 - 1.0);
+            let uneven = 1.0 + scenario.uneven * (random.random::<f64>() * 2.0 - 1.0);
             let spec = match role(name) {
-                Role::Cache => cache(plan, plan.cache_link * uneven, all_kb),
-                Role::Parent => parent(plan, all_kb),
-                Role::Origin => origin(plan, mean_kb),
+                Role::Cache => cache(scenario, scenario.cache_link * uneven, all_kb),
+                Role::Parent => parent(scenario, all_kb),
+                Role::Origin => origin(scenario, mean_kb),
             };
             specs.insert(format!("{name}-{n}"), spec);
         }
@@ -42,9 +42,9 @@
 }
 
 /// The mean size of what is read, in KB.
-fn mean_read_kb(plan: &Scenario) -> f64 {
+fn mean_read_kb(scenario: &Scenario) -> f64 {
     let mean = |c: &RequestClass| c.share * c.work_ms / 1e3 * TRANSFER_KB_PER_S;
-    let reads = plan.classes.iter().filter(|c| !c.write);
+    let reads = scenario.classes.iter().filter(|c| !c.write);
     reads.clone().map(mean).sum::<f64>() / reads.map(|c| c.share).sum::<f64>().max(1e-9)
 }
 
@@ -68,29 +68,29 @@
     }
 }
 
-fn cache(plan: &Scenario, link: f64, all_kb: f64) -> ServerSpec {
+fn cache(scenario: &Scenario, link: f64, all_kb: f64) -> ServerSpec {
     ServerSpec {
         link,
         slots: (link * SLOTS_PER_TRANSFER) as usize,
-        fills: (plan.cache_link * FILLS_PER_TRANSFER) as usize,
-        memory: all_kb * plan.cache_keeps,
+        fills: (scenario.cache_link * FILLS_PER_TRANSFER) as usize,
+        memory: all_kb * scenario.cache_keeps,
         ..common(Role::Cache)
     }
 }
 
-fn parent(plan: &Scenario, all_kb: f64) -> ServerSpec {
+fn parent(scenario: &Scenario, all_kb: f64) -> ServerSpec {
     ServerSpec {
-        link: plan.parent_link,
-        slots: (plan.parent_link * SLOTS_PER_TRANSFER) as usize,
+        link: scenario.parent_link,
+        slots: (scenario.parent_link * SLOTS_PER_TRANSFER) as usize,
         memory: all_kb * PARENT_CACHED_SHARE,
         flow: TRANSFER_KB_PER_S * FILL_PACE,
         ..common(Role::Parent)
     }
 }
 
-fn origin(plan: &Scenario, mean_kb: f64) -> ServerSpec {
+fn origin(scenario: &Scenario, mean_kb: f64) -> ServerSpec {
     ServerSpec {
-        link: plan.origin_rate * mean_kb / TRANSFER_KB_PER_S / FILL_PACE,
+        link: scenario.origin_rate * mean_kb / TRANSFER_KB_PER_S / FILL_PACE,
         flow: TRANSFER_KB_PER_S * FILL_PACE,
         before: ORIGIN_LATENCY_S,
         stop: ORIGIN_STOP_S,
--- a/crates/foxhold-testbed/src/scenarios/scenario.rs
+++ b/crates/foxhold-testbed/src/scenarios/scenario.rs
@@ -259,10 +259,10 @@
 impl Scenario {
     /// Reads a scenario and checks it.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
-        let plan: Scenario = serde_saphyr::from_str(text)
+        let scenario: Scenario = serde_saphyr::from_str(text)
             .map_err(|e| ScenarioError { place: "plan".into(), what: e.to_string() })?;
-        plan.check()?;
-        Ok(plan)
+        scenario.check()?;
+        Ok(scenario)
     }
 
     /// Whether a rule is broken on purpose by, or for, this one at a moment.
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
@@ -9,25 +9,25 @@
 //! | [`scenario`] | what happens to a fleet, and when |
 //! | [`simulation`] | a fleet's run, within its bounds |
 //! | [`measurement`] | what each director spent, and when purges were everywhere |
-//! | [`fit`] | lines through the figures of several sizes |
+//! | [`regression`] | lines through the figures of several sizes |
 //! | [`report`] | the figures as text, JSON and a page with plots |
 //!
 //! All but processor time and memory is decided by the seed.
 
 pub mod clock;
 pub mod director;
-pub mod fit;
 pub mod measurement;
 pub mod network;
+pub mod regression;
 pub mod report;
 pub mod scenario;
 pub mod simulation;
 
-use crate::scenarios::replay::Failure;
-use fit::Axis;
+use crate::scenarios::replay::TestbedError;
 use measurement::Ended;
 use measurement::Measurement;
 use network::Topology;
+use regression::Axis;
 use report::Report;
 use scenario::Scenario;
 use simulation::Simulation;
@@ -123,7 +123,7 @@
 
 impl Options {
     /// The sizes, and along what they differ.
-    fn sizes(&self) -> Result<(Axis, Vec<Size>), Failure> {
+    fn sizes(&self) -> Result<(Axis, Vec<Size>), TestbedError> {
         let several = |list: &[u32]| list.len() > 1;
         let lists = [&self.directors, &self.purges, &self.initial_entries];
         if lists.iter().any(|list| list.is_empty()) || lists.iter().filter(|list| several(list)).count() > 1 {
@@ -157,7 +157,7 @@
 }
 
 /// Runs all sizes with a progress bar, one after the other, and fits lines through what was measured.
-pub fn run(options: &Options, host: &Host) -> Result<Report, Failure> {
+pub fn run(options: &Options, host: &Host) -> Result<Report, TestbedError> {
     let (axis, sizes) = options.sizes()?;
     let seconds = u64::from(options.warm_up + options.seconds + options.arrival_seconds);
     let bar = indicatif::ProgressBar::new(seconds * sizes.len() as u64);
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/fit.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
@@ -74,7 +74,7 @@
 
 /// Why there is no line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum RegressionError {
     /// Too few sizes.
     #[error("a fit needs {SIZES} sizes at least")]
     Sizes,
@@ -88,7 +88,7 @@
 
 /// A line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Fit {
+pub struct Regression {
     /// What it is drawn over.
     pub form: Form,
     /// Its value where the form is zero.
@@ -101,31 +101,32 @@
     pub range: (f64, f64),
 }
 
-impl Fit {
+impl Regression {
     /// The line of least squares through sizes and figures, in the form that lies nearer to them.
-    pub fn through(points: &[(f64, f64)]) -> Result<Fit, Unfit> {
+    pub fn through(points: &[(f64, f64)]) -> Result<Regression, RegressionError> {
         if points.len() < SIZES {
-            return Err(Unfit::Sizes);
+            return Err(RegressionError::Sizes);
         }
         let smallest = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
         let largest = points.iter().map(|p| p.0).fold(0.0, f64::max);
         if smallest <= 0.0 || largest < SPAN * smallest {
-            return Err(Unfit::Span);
+            return Err(RegressionError::Span);
         }
-        let linear = Fit::in_form(Form::Linear, points, (smallest, largest))?;
-        let logarithmic = Fit::in_form(Form::Logarithmic, points, (smallest, largest))?;
+        let linear = Regression::in_form(Form::Linear, points, (smallest, largest))?;
+        let logarithmic = Regression::in_form(Form::Logarithmic, points, (smallest, largest))?;
         Ok(if logarithmic.worst() < linear.worst() { logarithmic } else { linear })
     }
 
-    fn in_form(form: Form, points: &[(f64, f64)], range: (f64, f64)) -> Result<Fit, Unfit> {
+    fn in_form(form: Form, points: &[(f64, f64)], range: (f64, f64)) -> Result<Regression, RegressionError> {
         let drawn: Vec<(f64, f64)> = points.iter().map(|(size, figure)| (form.of(*size), *figure)).collect();
         let (slope, intercept): (f64, f64) =
-            linreg::linear_regression_of(&drawn).map_err(|_| Unfit::Figures)?;
-        let mut fit = Fit { form, intercept, slope, residuals: Vec::new(), range };
-        let share =
-            |(size, figure): &(f64, f64)| (figure - fit.at(*size)) / figure.abs().max(f64::MIN_POSITIVE);
-        fit.residuals = points.iter().map(share).collect();
-        Ok(fit)
+            linreg::linear_regression_of(&drawn).map_err(|_| RegressionError::Figures)?;
+        let mut regression = Regression { form, intercept, slope, residuals: Vec::new(), range };
+        let share = |(size, figure): &(f64, f64)| {
+            (figure - regression.at(*size)) / figure.abs().max(f64::MIN_POSITIVE)
+        };
+        regression.residuals = points.iter().map(share).collect();
+        Ok(regression)
     }
 
     /// The line's value at a size.
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
@@ -1,11 +1,11 @@
 //! The figures as text, as JSON, and as a page with plots on logarithmic axes with the budget drawn in.
 
-use super::fit::{Axis, Fit, Form};
 use super::measurement::Ended;
 use super::measurement::Measurement;
+use super::regression::{Axis, Form, Regression};
 use super::Options;
 use crate::reports::scenario::escape;
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use plotters::prelude::*;
 use serde::Serialize;
 
@@ -38,10 +38,12 @@
 pub struct Line {
     /// The figure.
     pub figure: &'static str,
-    /// The line; none: [`Line::unfit`] says why.
-    pub fit: Option<Fit>,
+    /// The line; none: [`Line::regression_error`] says why.
+    #[serde(rename = "fit")]
+    pub regression: Option<Regression>,
     /// Why there is none.
-    pub unfit: Option<String>,
+    #[serde(rename = "unfit")]
+    pub regression_error: Option<String>,
     /// Its budget.
     pub budget: f64,
     /// Its value at the scenarioned size, extrapolated where that is out of the range.
@@ -67,34 +69,34 @@
     fn through(figure: &Figure, axis: Axis, measured: &[Measurement]) -> Line {
         let complete = measured.iter().filter(|run| run.ended == Ended::Complete);
         let points: Vec<(f64, f64)> = complete.map(|run| (axis.size(run), (figure.of)(run))).collect();
-        let fit = Fit::through(&points);
-        let unfit = fit.as_ref().err().map(ToString::to_string);
-        let fit = fit.ok();
-        let planned = fit.as_ref().map(|fit| fit.at(axis.planned()));
-        let used_up_at = fit.as_ref().and_then(|fit| fit.reaches(figure.budget));
-        Line { figure: figure.name, fit, unfit, budget: figure.budget, planned, used_up_at }
+        let regression = Regression::through(&points);
+        let regression_error = regression.as_ref().err().map(ToString::to_string);
+        let regression = regression.ok();
+        let planned = regression.as_ref().map(|regression| regression.at(axis.planned()));
+        let used_up_at = regression.as_ref().and_then(|regression| regression.reaches(figure.budget));
+        Line { figure: figure.name, regression, regression_error, budget: figure.budget, planned, used_up_at }
     }
 
     fn text(&self, axis: Axis) -> String {
-        let Some(fit) = &self.fit else {
-            return format!("{}: {}\n", self.figure, self.unfit.as_deref().unwrap_or_default());
+        let Some(regression) = &self.regression else {
+            return format!("{}: {}\n", self.figure, self.regression_error.as_deref().unwrap_or_default());
         };
-        let over = match fit.form {
+        let over = match regression.form {
             Form::Linear => axis.name().to_owned(),
             Form::Logarithmic => format!("ln({})", axis.name()),
         };
         let residuals: Vec<String> =
-            fit.residuals.iter().map(|share| format!("{:+.1}%", share * 100.0)).collect();
-        let holds = if fit.holds() { "holds" } else { "DOES NOT HOLD" };
-        let (planned, (from, to)) = (axis.planned(), fit.range);
+            regression.residuals.iter().map(|share| format!("{:+.1}%", share * 100.0)).collect();
+        let holds = if regression.holds() { "holds" } else { "DOES NOT HOLD" };
+        let (planned, (from, to)) = (axis.planned(), regression.range);
         let beyond = if (from..=to).contains(&planned) { "within the range" } else { "extrapolated" };
         let used_up = self.used_up_at.map_or("not by this line".to_owned(), |size| format!("at {size:.0}"));
         format!(
             "{}: {:.5} + {:.7} x {over}, {holds} over {from} to {to}, residuals {}\n  at {planned}: {:.4} ({beyond}); \
              budget {} used up {used_up}\n",
             self.figure,
-            fit.intercept,
-            fit.slope,
+            regression.intercept,
+            regression.slope,
             residuals.join(" "),
             self.planned.unwrap_or(f64::NAN),
             self.budget,
@@ -123,7 +125,7 @@
     }
 
     /// One page with the figures, the plots and the lines.
-    pub fn page(&self) -> Result<String, Failure> {
+    pub fn page(&self) -> Result<String, TestbedError> {
         let mut page = format!(
             "<!doctype html><meta charset=utf-8><title>Hollow directors</title><style>body{{font:15px \
              sans-serif;margin:2em}}</style><h1>Hollow directors</h1><pre>{}</pre>",
@@ -137,7 +139,7 @@
         Ok(page)
     }
 
-    fn plot(&self, figure: &Figure, line: &Line) -> Result<String, Failure> {
+    fn plot(&self, figure: &Figure, line: &Line) -> Result<String, TestbedError> {
         let all = self.measured.iter().map(|run| (self.axis.size(run), (figure.of)(run)));
         let points: Vec<(f64, f64)> = all.filter(|(size, figure)| *size > 0.0 && *figure > 0.0).collect();
         let Some(first) = points.first() else { return Ok(String::new()) };
@@ -145,8 +147,11 @@
         let lowest = points.iter().map(|p| p.1).fold(figure.budget, f64::min) / 2.0;
         let highest = points.iter().map(|p| p.1).fold(figure.budget, f64::max) * 2.0;
         let sizes = (0..=50).map(|step| first.0 * (last / first.0).powf(f64::from(step) / 50.0));
-        let fitted: Vec<(f64, f64)> =
-            line.fit.iter().flat_map(|fit| sizes.clone().map(|size| (size, fit.at(size)))).collect();
+        let fitted: Vec<(f64, f64)> = line
+            .regression
+            .iter()
+            .flat_map(|regression| sizes.clone().map(|size| (size, regression.at(size))))
+            .collect();
         let fitted = fitted.into_iter().filter(|p| (lowest..=highest).contains(&p.1));
         let mut svg = String::new();
         {
--- a/crates/foxhold-testbed/tests/fault_schedule.rs
+++ b/crates/foxhold-testbed/tests/fault_schedule.rs
@@ -6,10 +6,10 @@
 #[test]
 fn a_storm_is_a_good_plan_the_same_for_the_same_seed_and_of_all_kinds() {
     for seed in 1..=5 {
-        let plan = draw(20, 600.0, seed);
-        assert_eq!(plan.check(), Ok(()), "seed {seed}");
-        assert_eq!(plan, draw(20, 600.0, seed));
-        assert_ne!(plan.faults, draw(20, 600.0, seed + 100).faults);
+        let scenario = draw(20, 600.0, seed);
+        assert_eq!(scenario.check(), Ok(()), "seed {seed}");
+        assert_eq!(scenario, draw(20, 600.0, seed));
+        assert_ne!(scenario.faults, draw(20, 600.0, seed + 100).faults);
         for what in [
             FaultKind::Purge,
             FaultKind::Drain,
@@ -18,7 +18,7 @@
             FaultKind::Stall,
             FaultKind::Kill,
         ] {
-            assert!(plan.faults.iter().any(|f| f.kind == what), "{what:?}");
+            assert!(scenario.faults.iter().any(|f| f.kind == what), "{what:?}");
         }
     }
 }
--- a/crates/foxhold-testbed/tests/load_clients.rs
+++ b/crates/foxhold-testbed/tests/load_clients.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn a_seed_draws_the_same_load_and_it_is_as_the_plan_says() {
-    let plan = Scenario::read(
+    let scenario = Scenario::read(
         "{directors: 20, often_part: 0.2, often: 5, rate: 2000, seconds: 10, \
          faults: [{at: 5, do: hot, share: 0.25, object: 9001}]}",
     )
-    .expect("a plan");
-    let arrivals = draw(&plan, 2.0);
-    assert_eq!(arrivals, draw(&plan, 2.0));
-    assert_ne!(arrivals, draw(&Scenario { seed: 2, ..plan.clone() }, 2.0));
+    .expect("a scenario");
+    let arrivals = draw(&scenario, 2.0);
+    assert_eq!(arrivals, draw(&scenario, 2.0));
+    assert_ne!(arrivals, draw(&Scenario { seed: 2, ..scenario.clone() }, 2.0));
     let count = arrivals.len() as f64;
     assert!((count / 24_000.0 - 1.0).abs() < 0.03, "{count}");
     let hot = |from: f64, to: f64| {
--- a/crates/foxhold-testbed/tests/simulated_fleet.rs
+++ b/crates/foxhold-testbed/tests/simulated_fleet.rs
@@ -2,10 +2,10 @@
 //! `foxhold-testbed hollow`.
 
 use clap::Parser;
-use foxhold_testbed::scenarios::simulated_fleet::fit::{Fit, Form, Unfit};
 use foxhold_testbed::scenarios::simulated_fleet::measurement::Ended;
 use foxhold_testbed::scenarios::simulated_fleet::measurement::Measurement;
 use foxhold_testbed::scenarios::simulated_fleet::network::{Fate, Network, Topology};
+use foxhold_testbed::scenarios::simulated_fleet::regression::{Form, Regression, RegressionError};
 use foxhold_testbed::scenarios::simulated_fleet::{run, Host, Options};
 use rustix::process::{kill_process, Pid, Signal};
 use std::process::{Command, Stdio};
@@ -149,7 +149,7 @@
     let report = run(&options("--directors 6,60,600"), &host(|| 0, true)).expect("a run");
     assert_eq!(report.measured.len(), 1, "no further size is begun");
     assert_eq!(report.measured[0].ended, Ended::Interrupted);
-    assert!(report.lines.iter().all(|line| line.fit.is_none()));
+    assert!(report.lines.iter().all(|line| line.regression.is_none()));
     // The process, by a signal.
     let mut command = Command::new(env!("CARGO_BIN_EXE_foxhold-testbed"));
     command.args("hollow --directors 30 --seconds 100000".split(' ')).stdout(Stdio::piped());
@@ -167,21 +167,25 @@
 fn a_fit_recovers_a_known_line_in_either_form_and_says_where_there_is_none() {
     let sizes = [10.0, 30.0, 100.0, 300.0];
     let linear: Vec<(f64, f64)> = sizes.iter().map(|n| (*n, 5.0 + 0.25 * n)).collect();
-    let fit = Fit::through(&linear).expect("a line");
-    assert_eq!((fit.form, fit.range), (Form::Linear, (10.0, 300.0)));
-    assert!((fit.intercept - 5.0).abs() < 1e-6 && (fit.slope - 0.25).abs() < 1e-9 && fit.holds());
-    assert!((fit.reaches(30.0).expect("it grows") - 100.0).abs() < 1e-6);
+    let regression = Regression::through(&linear).expect("a line");
+    assert_eq!((regression.form, regression.range), (Form::Linear, (10.0, 300.0)));
+    assert!(
+        (regression.intercept - 5.0).abs() < 1e-6
+            && (regression.slope - 0.25).abs() < 1e-9
+            && regression.holds()
+    );
+    assert!((regression.reaches(30.0).expect("it grows") - 100.0).abs() < 1e-6);
     let slow: Vec<(f64, f64)> = sizes.iter().map(|n| (*n, 2.0 + 3.0 * f64::ln(*n))).collect();
-    let fit = Fit::through(&slow).expect("a line");
-    assert_eq!(fit.form, Form::Logarithmic);
-    assert!((fit.slope - 3.0).abs() < 1e-9 && (fit.at(1_000.0) - 22.723_265).abs() < 1e-4);
+    let regression = Regression::through(&slow).expect("a line");
+    assert_eq!(regression.form, Form::Logarithmic);
+    assert!((regression.slope - 3.0).abs() < 1e-9 && (regression.at(1_000.0) - 22.723_265).abs() < 1e-4);
     let mut bent = linear.clone();
     bent[2].1 *= 2.0;
-    assert!(!Fit::through(&bent).expect("a line").holds());
-    assert_eq!(Fit::through(&linear[..2]).err(), Some(Unfit::Sizes));
-    assert_eq!(Fit::through(&linear[1..]).map(|fit| fit.range), Ok((30.0, 300.0)));
-    assert_eq!(Fit::through(&[(1.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(), Some(Unfit::Span));
-    assert_eq!(Fit::through(&[(0.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(), Some(Unfit::Span));
+    assert!(!Regression::through(&bent).expect("a line").holds());
+    assert_eq!(Regression::through(&linear[..2]).err(), Some(RegressionError::Sizes));
+    assert_eq!(Regression::through(&linear[1..]).map(|regression| regression.range), Ok((30.0, 300.0)));
+    assert_eq!(Regression::through(&[(1.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(), Some(RegressionError::Span));
+    assert_eq!(Regression::through(&[(0.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(), Some(RegressionError::Span));
 }
 
 #[test]
@@ -189,7 +193,7 @@
     let host = host(|| 0, false);
     let report = run(&options("--directors 3,10,30 --purges 10"), &host).expect("a run");
     assert!(report.good(), "{}", report.text());
-    assert!(report.lines.iter().any(|line| line.fit.is_some()));
+    assert!(report.lines.iter().any(|line| line.regression.is_some()));
     let page = report.page().expect("a page");
     assert!(page.matches("<svg").count() >= 4 && page.contains("red: the budget"));
 }
