--- a/crates/foxhold-testbed/src/faults/peer_network.rs
+++ b/crates/foxhold-testbed/src/faults/peer_network.rs
@@ -5,7 +5,7 @@
 //! that the others send to it passes the relay. The relay identifies the sender by the source address of a
 //! datagram.
 
-use crate::scenarios::replay::Failure;
+use crate::scenarios::replay::TestbedError;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -102,7 +102,7 @@
 
 impl Relays {
     /// Opens a relay for each director, and writes the fleet's key into a folder. Needs a `LocalSet`.
-    pub async fn open(directors: usize, seed: u64, folder: &Path) -> Result<Relays, Failure> {
+    pub async fn open(directors: usize, seed: u64, folder: &Path) -> Result<Relays, TestbedError> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         if directors > MAX_DIRECTORS {
             return Err(
@@ -172,13 +172,13 @@
 }
 
 /// Calls a director's admin endpoint and returns the response.
-pub async fn call(admin: SocketAddr, line: &str) -> Result<String, Failure> {
+pub async fn call(admin: SocketAddr, line: &str) -> Result<String, TestbedError> {
     let exchange = async {
         let mut stream = TcpStream::connect(admin).await?;
         stream.write_all(format!("{line}\n").as_bytes()).await?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
-        Ok::<String, Failure>(answer)
+        Ok::<String, TestbedError>(answer)
     };
     tokio::time::timeout(CALL_TIMEOUT, exchange).await?
 }
--- a/crates/foxhold-testbed/src/load/disconnects.rs
+++ b/crates/foxhold-testbed/src/load/disconnects.rs
@@ -44,9 +44,9 @@
 
 impl Disconnects {
     /// Draws by the scenario's `leave` and `leave_within_ms`.
-    pub fn new(plan: &Scenario) -> Disconnects {
-        let random = StdRng::seed_from_u64(plan.seed ^ 0x1ea7e);
-        Disconnects { random, share: plan.leave, within: plan.leave_within_ms / 1e3 }
+    pub fn new(scenario: &Scenario) -> Disconnects {
+        let random = StdRng::seed_from_u64(scenario.seed ^ 0x1ea7e);
+        Disconnects { random, share: scenario.leave, within: scenario.leave_within_ms / 1e3 }
     }
 
     /// Draws the disconnect of the next request's client. Returns `None` if the client waits for the
@@ -79,7 +79,7 @@
     /// milliseconds by request id. Returns the figures and the broken rules. Requests at servers that were
     /// stalled or behind a faulty link are left out, because bytes may wait there before they are read.
     pub fn reckon(
-        plan: &Scenario,
+        scenario: &Scenario,
         zero_ms: u64,
         left: &HashMap<String, u64>,
         notes: &[(String, ServerEvent)],
@@ -93,7 +93,7 @@
                 continue;
             };
             let late = ms - left_ms;
-            if may_read_late(plan, server, (*ms as f64 - zero_ms as f64) / 1e3) {
+            if may_read_late(scenario, server, (*ms as f64 - zero_ms as f64) / 1e3) {
                 continue;
             }
             after.attempts += 1;
@@ -108,16 +108,16 @@
 }
 
 /// Returns whether a request that a server reports at this time may have waited at the server or on the link.
-fn may_read_late(plan: &Scenario, server: &str, at: f64) -> bool {
+fn may_read_late(scenario: &Scenario, server: &str, at: f64) -> bool {
     let lasts = |at: f64, lasts: Option<f64>| {
         at..lasts.map_or(f64::INFINITY, |lasts| at + lasts + DELAYED_READ_SECONDS)
     };
-    let named = |text: &str| plan.resolve(text).is_some_and(|whom| whom.contains(server));
-    plan.faults.iter().filter(|fault| lasts(fault.at, fault.lasts).contains(&at)).any(|fault| {
-        match fault.kind {
-            FaultKind::Stall => named(&fault.who),
-            FaultKind::Link => fault.link_fault != LinkFault::None && named(&fault.to),
-            _ => false,
-        }
+    let named = |text: &str| scenario.resolve(text).is_some_and(|whom| whom.contains(server));
+    scenario.faults.iter().filter(|fault| lasts(fault.at, fault.lasts).contains(&at)).any(|fault| match fault
+        .kind
+    {
+        FaultKind::Stall => named(&fault.who),
+        FaultKind::Link => fault.link_fault != LinkFault::None && named(&fault.to),
+        _ => false,
     })
 }
