--- a/crates/foxhold-testbed/src/scenarios/cluster.rs
+++ b/crates/foxhold-testbed/src/scenarios/cluster.rs
@@ -1,6 +1,6 @@
-//! A fleet of directors that share state: real processes, each behind its relay of a [`Network`].
+//! A fleet of director processes that gossip with each other, each through its own relay of a [`Network`].
 //!
-//! Directors are ended by their ids when the fleet is dropped.
+//! The processes are killed by their process ids when the fleet is dropped.
 
 use crate::faults::peer_network::{call, Network, Relays};
 use crate::scenarios::replay::TestbedError;
@@ -20,15 +20,15 @@
 /// How a fleet of directors is configured.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// How many there are.
+    /// Number of directors.
     pub directors: usize,
-    /// Further keys of the section `peers`, in YAML flow form: `horizon_s: 10`.
+    /// Further keys of the section `peers` in the operator's file, in YAML flow form: `horizon_s: 10`.
     pub keys: String,
-    /// Each keeps its state on disk, in a folder of its own.
+    /// Each director persists its state, in its own folder.
     pub persistent: bool,
-    /// No file of the directors may grow over so many KB, as if their disk were full.
+    /// Largest size of a file that directors write, in KB, to emulate a full disk. `None`: unlimited.
     pub file_limit_kb: Option<u32>,
-    /// Seed of losses and delays.
+    /// Seed of message loss and delays.
     pub seed: u64,
 }
 
@@ -38,24 +38,24 @@
     }
 }
 
-/// Lines of a director's log, with when they came.
+/// Lines of a director's log, with the times at which they were read.
 type Log = Rc<RefCell<Vec<(Instant, String)>>>;
 
-/// A fleet of directors that gossip.
+/// A fleet of running or stopped directors that gossip with each other.
 pub struct Fleet {
     config: FleetConfig,
     director: PathBuf,
     folder: TemporaryFolder,
     relays: Relays,
-    /// By director; none: not running.
+    /// By director; `None` if it is not running.
     processes: Vec<Option<Process>>,
     logs: Vec<Log>,
-    /// The paths between them.
+    /// Conditions of the paths between the directors.
     pub net: Rc<Network>,
 }
 
 impl Fleet {
-    /// Opens the relays; no director runs yet. Needs a `LocalSet`.
+    /// Opens the relays without starting a director. Needs a `LocalSet`.
     pub async fn prepare(director: &Path, config: FleetConfig) -> Result<Fleet, TestbedError> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -72,57 +72,59 @@
     /// Opens the relays and starts all directors.
     pub async fn start(director: &Path, config: FleetConfig) -> Result<Fleet, TestbedError> {
         let mut fleet = Fleet::prepare(director, config).await?;
-        for some in (0..fleet.len()).collect::<Vec<_>>().chunks(50) {
-            fleet.start_some(some).await?;
+        for chosen in (0..fleet.len()).collect::<Vec<_>>().chunks(50) {
+            fleet.start_some(chosen).await?;
         }
         Ok(fleet)
     }
 
-    /// Directors, running or not.
+    /// Returns the number of directors, running or not.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether the fleet has no directors.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
 
-    /// The folder of a director's state.
+    /// Returns the folder of a director's persisted state.
     pub fn state_folder(&self, n: usize) -> PathBuf {
         self.folder.0.join(format!("state-{n}"))
     }
 
-    /// Where others reach a director: its relay.
+    /// Returns the address of a director's relay, at which its peers reach it.
     pub fn reached_at(&self, n: usize) -> SocketAddr {
         self.relays.reached_at(n)
     }
 
-    /// A director's admin endpoint.
+    /// Returns the address of a director's admin endpoint.
     pub fn admin_address(&self, n: usize) -> SocketAddr {
         self.relays.admin_address(n)
     }
 
-    /// Starts some directors at once, and waits until each serves.
-    pub async fn start_some(&mut self, some: &[usize]) -> Result<(), TestbedError> {
+    /// Starts directors concurrently, and waits until each serves clients.
+    pub async fn start_some(&mut self, chosen: &[usize]) -> Result<(), TestbedError> {
         let mut started = Vec::new();
-        for n in some {
+        for n in chosen {
             started.push((*n, self.spawn(*n)?));
         }
         for (n, (process, mut lines)) in started {
             loop {
                 let line = tokio::time::timeout(Duration::from_secs(30), lines.next_line()).await??;
-                let line = line.ok_or_else(|| format!("director {n} ended at once\n{}", self.log(n)))?;
+                let line = line.ok_or_else(|| {
+                    format!("director {n} exited before it served clients; its log:\n{}", self.log(n))
+                })?;
                 let serves = line.contains("clients on ");
                 self.logs[n].borrow_mut().push((Instant::now(), line));
                 if serves {
                     break;
                 }
             }
-            // Its admin endpoint opens just after.
-            let begun = Instant::now();
+            // The admin endpoint opens shortly after the one for clients.
+            let started_at = Instant::now();
             while TcpStream::connect(self.admin_address(n)).await.is_err()
-                && begun.elapsed() < Duration::from_secs(2)
+                && started_at.elapsed() < Duration::from_secs(2)
             {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
@@ -157,7 +159,7 @@
         let mut command = match self.config.file_limit_kb {
             None => Command::new(&self.director),
             Some(kb) => {
-                // The shell's blocks are of 512 bytes; the signal that comes with a file's limit is let be.
+                // `ulimit -f` counts blocks of 512 bytes. SIGXFSZ is ignored, so that writes fail instead.
                 let mut shell = Command::new("sh");
                 let words = format!("trap '' XFSZ; ulimit -S -f {}; exec \"$0\"", 2 * kb);
                 shell.arg("-c").arg(words).arg(&self.director);
@@ -167,18 +169,23 @@
         command.env("ROUTER_CONFIG", &config).env("FOXHOLD_FRONT", &file).env_remove("FOXHOLD_LOG");
         command.current_dir(folder).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         let mut child = command.kill_on_drop(true).spawn()?;
-        let lines = BufReader::new(child.stderr.take().ok_or("no log")?).lines();
+        let lines =
+            BufReader::new(child.stderr.take().ok_or("standard error of the child process is not piped")?)
+                .lines();
         Ok((Process::new(child), lines))
     }
 
-    /// Files may grow from the next start of a director on.
+    /// Removes the limit of file sizes for directors that start from now on.
     pub fn lift_file_limit(&mut self) {
         self.config.file_limit_kb = None;
     }
 
-    /// Files of a running director may grow from now on.
+    /// Removes the limit of file sizes of a running director.
     pub fn lift_file_limit_of(&self, n: usize) -> Result<(), TestbedError> {
-        let id = self.processes[n].as_ref().and_then(Process::id).ok_or("it does not run")?;
+        let id = self.processes[n]
+            .as_ref()
+            .and_then(Process::id)
+            .ok_or_else(|| format!("director {n} is not running"))?;
         let unlimited = Rlimit { current: None, maximum: None };
         prlimit(Pid::from_raw(id as i32), Resource::Fsize, unlimited)?;
         Ok(())
@@ -198,7 +205,7 @@
         }
     }
 
-    /// The processor time that a director has used, in seconds.
+    /// Returns the processor time that a director's process has used, in seconds.
     pub fn processor_time(&self, n: usize) -> Option<f64> {
         let id = self.processes[n].as_ref()?.id()?;
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
@@ -207,7 +214,7 @@
         Some(ticks / 100.0)
     }
 
-    /// A director's memory, in MB.
+    /// Returns the resident memory of a director's process, in MB.
     pub fn memory(&self, n: usize) -> Option<f64> {
         let id = self.processes[n].as_ref()?.id()?;
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
@@ -215,111 +222,120 @@
         Some(line.split_whitespace().nth(1)?.parse::<f64>().ok()? / 1024.0)
     }
 
-    /// Where a director's clients come to, in its present run.
+    /// Returns the address for clients that a director logged at its last start.
     pub fn clients(&self, n: usize) -> Result<String, TestbedError> {
         let logs = self.logs[n].borrow();
         let line = logs.iter().rev().find_map(|(_, line)| line.split_once("clients on "));
-        Ok(line.ok_or("it has not started")?.1.to_owned())
+        Ok(line.ok_or_else(|| format!("director {n} has not logged its address for clients"))?.1.to_owned())
     }
 
-    /// The fleet's keys.
+    /// Returns the keys that authenticate the fleet's gossip.
     pub fn keys(&self) -> Result<Vec<Vec<u8>>, TestbedError> {
         let text = std::fs::read_to_string(self.folder.0.join("peers.key"))?;
         Ok(foxhold::cluster::parse_keys(&text)?)
     }
 
-    /// What a director has logged, in all its runs.
+    /// Returns a director's log since the fleet was prepared, over all restarts.
     pub fn log(&self, n: usize) -> String {
         self.logs[n].borrow().iter().map(|(_, line)| format!("{line}\n")).collect()
     }
 
-    /// When a director first logged a line that ends like this.
+    /// Returns the time at which a director first logged a line with this end.
     pub fn logged(&self, n: usize, end: &str) -> Option<Instant> {
         self.logs[n].borrow().iter().find(|(_, line)| line.ends_with(end)).map(|(at, _)| *at)
     }
 
-    /// A call at a director's admin endpoint.
+    /// Sends a command to a director's admin endpoint and returns the answer.
     pub async fn admin_call(&self, n: usize, line: &str) -> Result<String, TestbedError> {
         call(self.admin_address(n), line).await
     }
 
-    /// A director's entries of a kind, a line each; none: it does not answer.
+    /// Returns a director's replicated entries of a kind, one per line, or `None` if it does not answer.
     pub async fn state(&self, n: usize, kind: &str) -> Option<Vec<String>> {
         let answer = self.admin_call(n, &format!("state {kind}")).await.ok()?;
         let lines = answer.strip_suffix("END\n")?;
         Some(lines.lines().map(str::to_owned).collect())
     }
 
-    /// What a director shows of its peers, as JSON.
+    /// Returns a director's answer to the admin command `peers`, as JSON.
     pub async fn shown(&self, n: usize) -> Result<serde_json::Value, TestbedError> {
         let answer = self.admin_call(n, "peers").await?;
         Ok(serde_json::from_str(answer.lines().next().unwrap_or_default())?)
     }
 
-    /// Purges that a director says it holds.
+    /// Returns the number of purges that a director holds.
     pub async fn purge_count(&self, n: usize) -> Result<u64, TestbedError> {
         Ok(self.shown(n).await?["entries"]["purges"].as_u64().unwrap_or(0))
     }
 
-    /// Waits until some directors hold a kind of state that pleases, all of them; how long that took.
+    /// Waits until the entries of a kind satisfy `satisfied` at all of these directors. Returns the time that
+    /// took.
     pub async fn until(
         &self,
-        some: &[usize],
+        chosen: &[usize],
         kind: &str,
         within: Duration,
-        pleases: impl Fn(&[String]) -> bool,
+        satisfied: impl Fn(&[String]) -> bool,
     ) -> Result<Duration, TestbedError> {
-        let begun = Instant::now();
-        let mut left: Vec<usize> = some.to_vec();
+        let started_at = Instant::now();
+        let mut waiting: Vec<usize> = chosen.to_vec();
         loop {
-            let mut still = Vec::new();
-            for n in left {
+            let mut unsatisfied = Vec::new();
+            for n in waiting {
                 match self.state(n, kind).await {
-                    Some(state) if pleases(&state) => {}
-                    _ => still.push(n),
+                    Some(state) if satisfied(&state) => {}
+                    _ => unsatisfied.push(n),
                 }
             }
-            if still.is_empty() {
-                return Ok(begun.elapsed());
+            if unsatisfied.is_empty() {
+                return Ok(started_at.elapsed());
             }
-            if begun.elapsed() > within {
-                let n = still[0];
+            if started_at.elapsed() > within {
+                let n = unsatisfied[0];
                 let state = self.state(n, kind).await;
                 let log = self.log(n);
-                return Err(
-                    format!("{} not within {within:?}; director {n}: {state:?}\n{log}", still.len()).into()
-                );
+                return Err(format!(
+                    "{} directors did not reach the expected {kind} within {within:?}; director {n} holds \
+                     {state:?}; its log:\n{log}",
+                    unsatisfied.len()
+                )
+                .into());
             }
-            left = still;
+            waiting = unsatisfied;
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Waits until each of these sees so many others.
+    /// Waits until each of these directors has at least `others` peers. Returns the time that took.
     pub async fn joined(
         &self,
-        some: &[usize],
+        chosen: &[usize],
         others: usize,
         within: Duration,
     ) -> Result<Duration, TestbedError> {
-        let begun = Instant::now();
-        for n in some {
+        let started_at = Instant::now();
+        for n in chosen {
             loop {
                 let seen = self.shown(*n).await.ok().and_then(|s| s["peers"].as_array().map(Vec::len));
                 if seen.is_some_and(|seen| seen >= others) {
                     break;
                 }
-                if begun.elapsed() > within {
-                    return Err(format!("director {n} sees {seen:?} others\n{}", self.log(*n)).into());
+                if started_at.elapsed() > within {
+                    return Err(format!(
+                        "director {n} has {seen:?} peers after {within:?}, expected {others}; its log:\n{}",
+                        self.log(*n)
+                    )
+                    .into());
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
-        Ok(begun.elapsed())
+        Ok(started_at.elapsed())
     }
 }
 
-/// The platform's configuration of a director: a list of its own, no board, a door.
+/// Returns a director's platform configuration: a fixed list of servers, no discovery service, an admin
+/// endpoint.
 fn platform(admin: SocketAddr, n: usize) -> String {
     let member = |name: &str, kind: &str, zone: &str, since: u64| {
         format!(
--- a/crates/foxhold-testbed/src/scenarios/gossip.rs
+++ b/crates/foxhold-testbed/src/scenarios/gossip.rs
@@ -1,5 +1,5 @@
-//! Scenarios of directors that share state, at any number of them: what that costs, how fast an update is
-//! with all, and how fast one that starts catches up. The command is `foxhold-testbed talk`.
+//! Scenarios for gossip among directors: its cost, the time until all directors hold an update, and the time
+//! that a starting director takes to catch up. The command is `foxhold-testbed talk`.
 
 use crate::faults::peer_network::LinkConditions;
 use crate::load::gossip_client::TestClient;
@@ -13,42 +13,44 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// An update that not all hold within this is missed, and catching up takes no longer.
+/// Time limit of an update, after which it counts as missed, and of catching up.
 const DEADLINE: Duration = Duration::from_secs(10);
-/// All directors know each other within this.
+/// Time limit until all directors know each other.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(120);
-/// Between joining and the first measurement.
+/// Pause between joining and the first measurement.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
-/// Between two updates, and between two looks at the directors' logs.
+/// Pause between two updates.
 const UPDATE_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which the directors' logs are searched for an update.
 const LOG_POLL: Duration = Duration::from_millis(5);
-/// Between two looks at how far a director has come.
+/// Interval at which the catch-up state of a director is read.
 const CATCH_UP_POLL: Duration = Duration::from_millis(5);
-/// A director that catches up is probed for so long, before and meanwhile.
+/// Duration of the probes before catching up.
 const QUIET_PROBES: Duration = Duration::from_secs(2);
+/// Duration of the probes during catching up.
 const CATCH_UP_PROBES: Duration = Duration::from_secs(1);
-/// No director is given room for less than twice so many entries.
+/// Smallest number of entries from which the bound on entries, twice that number, is calculated.
 const MIN_ENTRY_BOUND: u32 = 1_000;
 
-/// A scenario: so many updates, each sent to another director, and what reaches the others.
+/// A scenario in which updates are sent to one director after the other.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Scenario {
-    /// Directors
+    /// Number of directors
     #[arg(long, default_value_t = 30)]
     pub directors: usize,
-    /// Share of messages that is lost
+    /// Share of gossip messages that are lost
     #[arg(long, default_value_t = 0.0)]
     pub lost: f64,
-    /// Updates, each sent to another director, one after the other
+    /// Number of updates, sent one after the other, each to another director
     #[arg(long, alias = "words", default_value_t = 20)]
     pub updates: usize,
-    /// Seconds without an update, in which idle traffic is measured, and as many with purges
+    /// Seconds without updates in which idle traffic is measured, and again as many seconds with purges
     #[arg(long, default_value_t = 10)]
     pub seconds: u64,
-    /// Purges a second meanwhile
+    /// Purges a second in the seconds with purges
     #[arg(long, default_value_t = 10)]
     pub rate: u32,
-    /// Seed of losses
+    /// Seed of message loss
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
@@ -56,69 +58,69 @@
 /// Latencies of many operations, in milliseconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Latencies {
-    /// Operations.
+    /// Number of operations.
     pub count: u64,
     /// Median.
     pub p50: f64,
     /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// What one director used, on the mean over some seconds.
+/// Resource use of one director, as a mean over all directors and the time measured.
 #[derive(Clone, Debug, Serialize)]
 pub struct ResourceUse {
-    /// Bytes that arrived, a second.
+    /// Gossip bytes received a second.
     pub bytes: f64,
-    /// Datagrams that arrived, a second.
+    /// Gossip datagrams received a second.
     pub datagrams: f64,
-    /// Share of a core.
+    /// Processor time, as a share of a core.
     pub processor: f64,
 }
 
-/// What a scenario measured.
+/// Results of a scenario.
 #[derive(Clone, Debug, Serialize)]
 pub struct SpreadReport {
-    /// Directors.
+    /// Number of directors in the fleet.
     pub directors: usize,
-    /// Share of messages lost.
+    /// Share of gossip messages that the relays dropped.
     pub lost: f64,
     /// Seconds until each director knew all others.
     pub joined_s: f64,
-    /// From an update sent to one director until each other held it.
+    /// Time from sending an update until a director held it, over all directors.
     pub each: Latencies,
-    /// From an update sent until the last director held it.
+    /// Time from sending an update until the last director held it.
     pub last: Latencies,
-    /// Updates that some director did not hold within 10 s.
+    /// Number of updates that at least one director did not hold within 10 s.
     pub missed: usize,
-    /// Without updates.
+    /// Resource use without updates.
     pub idle: ResourceUse,
-    /// With purges, at the rate that was asked for.
+    /// Resource use with purges, at the rate of the scenario.
     pub busy: ResourceUse,
-    /// MB of a director at the end.
+    /// Mean resident memory of a director at the end, in MB.
     pub memory_mb: f64,
 }
 
-/// What catching up with many entries took: a replica's state transfer.
+/// Results of a catch-up with many entries by state transfer.
 #[derive(Clone, Debug, Serialize)]
 pub struct CatchUpReport {
-    /// Entries.
+    /// Number of entries that the starting director held at the end.
     pub entries: u64,
-    /// Milliseconds from the start of the process until it had all.
+    /// Milliseconds from the start of the process until it had caught up.
     pub ms: f64,
-    /// MB of the one that had them.
+    /// Resident memory of the director that held the entries from the beginning, in MB.
     pub memory_mb: f64,
-    /// `GET /alive` at the director that catches up, one each millisecond: without entries to catch up with.
+    /// Latency of `GET /alive` at the starting director, one each millisecond, in a start without entries.
     pub quiet: Latencies,
-    /// The same while it caught up.
+    /// The same latency while it catches up.
     pub meanwhile: Latencies,
-    /// The same at the director that it caught up from, meanwhile.
+    /// The same latency at the director that it catches up from.
     pub source: Latencies,
 }
 
-/// One director holds so many purges; another starts, catches up, and is probed meanwhile. Needs a
-/// `LocalSet`.
+/// Measures the catch-up of a starting director with one that holds `entries` purges, with probes of both in
+/// the meantime. Needs a `LocalSet`.
 pub async fn catch_up(director: &Path, entries: u32) -> Result<CatchUpReport, TestbedError> {
     let keys = format!("entries: {}", entries.max(MIN_ENTRY_BOUND) * 2);
     let mut fleet =
@@ -128,16 +130,16 @@
     let quiet = probe_alive(fleet.clients(1)?, QUIET_PROBES).await?;
     fleet.kill(1).await;
     TestClient::open(&fleet).await?.fill(&fleet, 0, entries).await?;
-    // No director can catch up from one that is not sure itself that it has all.
+    // A director can't catch up from one that is still catching up itself.
     while fleet.admin_call(0, "check").await? == "YES catching up\n" {
         sleep(CATCH_UP_POLL * 10).await;
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.start_some(&[1]).await?;
     let meanwhile = tokio::task::spawn_local(probe_alive(fleet.clients(1)?, CATCH_UP_PROBES));
     let source = tokio::task::spawn_local(probe_alive(fleet.clients(0)?, CATCH_UP_PROBES));
-    wait_until_caught_up(&fleet, 1, begun).await?;
-    let took = begun.elapsed();
+    wait_until_caught_up(&fleet, 1, started_at).await?;
+    let took = started_at.elapsed();
     Ok(CatchUpReport {
         entries: fleet.purge_count(1).await?,
         ms: took.as_secs_f64() * 1e3,
@@ -148,29 +150,34 @@
     })
 }
 
-async fn wait_until_caught_up(fleet: &Fleet, n: usize, begun: Instant) -> Result<(), TestbedError> {
+async fn wait_until_caught_up(fleet: &Fleet, n: usize, started_at: Instant) -> Result<(), TestbedError> {
     while fleet.admin_call(n, "check").await? != "YES caught up\n" {
-        if begun.elapsed() > DEADLINE {
-            return Err(format!("not within 10 s: {}\n{}", fleet.shown(n).await?, fleet.log(n)).into());
+        if started_at.elapsed() > DEADLINE {
+            return Err(format!(
+                "director {n} did not catch up within {DEADLINE:?}: {}; its log:\n{}",
+                fleet.shown(n).await?,
+                fleet.log(n)
+            )
+            .into());
         }
         sleep(CATCH_UP_POLL).await;
     }
     Ok(())
 }
 
-/// `GET /alive` at a director's front, one each millisecond, for so long.
-async fn probe_alive(address: String, long: Duration) -> Result<Latencies, TestbedError> {
+/// Sends `GET /alive` to a director's address for clients each millisecond, for `duration`.
+async fn probe_alive(address: String, duration: Duration) -> Result<Latencies, TestbedError> {
     let mut stream = TcpStream::connect(&address).await?;
     stream.set_nodelay(true)?;
-    let (mut all, begun) = (Histogram::<u64>::new(3)?, Instant::now());
+    let (mut all, started_at) = (Histogram::<u64>::new(3)?, Instant::now());
     let mut bytes = vec![0; 4096];
-    while begun.elapsed() < long {
-        let asked = Instant::now();
+    while started_at.elapsed() < duration {
+        let sent = Instant::now();
         stream.write_all(b"GET /alive HTTP/1.1\r\nHost: lab\r\n\r\n").await?;
         if stream.read(&mut bytes).await? == 0 {
-            return Err("the director closed the connection".into());
+            return Err("the director closed the connection before it answered GET /alive".into());
         }
-        all.record(asked.elapsed().as_micros() as u64)?;
+        all.record(sent.elapsed().as_micros() as u64)?;
         sleep(Duration::from_millis(1)).await;
     }
     Ok(latencies(&all))
@@ -186,7 +193,7 @@
     }
 }
 
-/// The cost of one director over a time.
+/// Counters of the whole fleet at a moment; [`ResourceUse`] is the difference of two readings.
 struct ResourceMeter {
     at: Instant,
     arrived: (u64, u64),
@@ -212,15 +219,15 @@
     }
 }
 
-/// Runs a scenario. Needs a `LocalSet`; all directors are ended when it is dropped.
+/// Runs a scenario. Needs a `LocalSet`; all directors are killed when the future is dropped.
 pub async fn run(director: &Path, scenario: &Scenario) -> Result<SpreadReport, TestbedError> {
     let config = FleetConfig { directors: scenario.directors, seed: scenario.seed, ..FleetConfig::default() };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let fleet = Fleet::start(director, config).await?;
     let everyone: Vec<usize> = (0..fleet.len()).collect();
     fleet.joined(&everyone, fleet.len() - 1, JOIN_TIMEOUT).await?;
-    let joined_s = begun.elapsed().as_secs_f64();
-    // Membership updates about who joined die down.
+    let joined_s = started_at.elapsed().as_secs_f64();
+    // Until then, membership updates about the joins are still spreading.
     sleep(SETTLING_TIME).await;
     fleet.net.set_all(LinkConditions { loss: scenario.lost, ..LinkConditions::default() });
     let idle = measure_idle(&fleet, scenario.seconds).await;
@@ -240,14 +247,14 @@
     })
 }
 
-/// What directors use without updates.
+/// Measures the resource use of directors without updates.
 async fn measure_idle(fleet: &Fleet, seconds: u64) -> ResourceUse {
     let meter = ResourceMeter::read(fleet);
     sleep(Duration::from_secs(seconds)).await;
     meter.since(fleet)
 }
 
-/// How fast updates were with the other directors, in microseconds.
+/// Latencies of updates, in microseconds; the fields are those of [`SpreadReport`].
 struct Spread {
     each: Histogram<u64>,
     last: Histogram<u64>,
@@ -270,11 +277,11 @@
     let end = format!("operators' drain set server=update-{update}");
     let sent = Instant::now();
     fleet.admin_call((update * 7) % fleet.len(), &format!("drain update-{update}")).await?;
-    let mut without: Vec<usize> = (0..fleet.len()).collect();
+    let mut waiting: Vec<usize> = (0..fleet.len()).collect();
     let mut latest = Duration::ZERO;
-    while !without.is_empty() && sent.elapsed() < DEADLINE {
+    while !waiting.is_empty() && sent.elapsed() < DEADLINE {
         sleep(LOG_POLL).await;
-        without.retain(|n| {
+        waiting.retain(|n| {
             let Some(at) = fleet.logged(*n, &end) else { return true };
             let latency = at.saturating_duration_since(sent);
             latest = latest.max(latency);
@@ -282,12 +289,12 @@
             false
         });
     }
-    spread.missed += usize::from(!without.is_empty());
+    spread.missed += usize::from(!waiting.is_empty());
     spread.last.record(latest.as_micros() as u64)?;
     Ok(())
 }
 
-/// What directors use with so many purges a second.
+/// Measures the resource use of directors with `rate` purges a second.
 async fn measure_busy(fleet: &Fleet, seconds: u64, rate: u32) -> Result<ResourceUse, TestbedError> {
     let meter = ResourceMeter::read(fleet);
     for n in 0..seconds * u64::from(rate) {
--- a/crates/foxhold-testbed/src/scenarios/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/mod.rs
@@ -1,14 +1,14 @@
-//! What is run: scenarios as data, and their runners.
+//! Scenarios that the testbed runs, and their runners.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`cluster`] | a fleet of directors that share state, as processes |
-//! | [`gossip`] | what sharing state costs, and how fast an update is with all |
-//! | [`overhead`] | what the director costs a request, as daemon and as library |
-//! | [`scenario`] | a scenario of many processes as data: who takes part, what is asked, what goes wrong |
-//! | [`replay`] | a trace through the daemon or the library, and the comparison |
-//! | [`runner`] | the run of a scenario: processes of directors and servers, links and faults |
-//! | [`simulated_fleet`] | many directors in one process, over a simulated network in simulated time |
+//! | [`cluster`] | director processes that replicate state among themselves |
+//! | [`gossip`] | costs of replication, and the time until all directors hold an update |
+//! | [`overhead`] | the director's overhead per request, as daemon and as library |
+//! | [`scenario`] | a scenario as data: participants, load and faults |
+//! | [`replay`] | replay of a trace through the daemon or the library, and the comparison of two runs |
+//! | [`runner`] | the run of a scenario: director and server processes, links and faults |
+//! | [`simulated_fleet`] | many directors in one process, with a simulated network and simulated time |
 
 pub mod cluster;
 pub mod gossip;
--- a/crates/foxhold-testbed/src/scenarios/overhead.rs
+++ b/crates/foxhold-testbed/src/scenarios/overhead.rs
@@ -1,5 +1,5 @@
-//! What the director costs a request: the daemon over loopback and the library by function call, before the
-//! same emulated servers, closed loop.
+//! The director's overhead per request: the daemon over loopback and the library by function call, with the
+//! same emulated servers and a closed loop of requests.
 
 use crate::load::trace::object;
 use crate::scenarios::replay::{daemon, exchange, ConfigFile, TestbedError};
@@ -11,22 +11,22 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
 
-/// What one way cost.
+/// Overhead of one form of the director.
 #[derive(Clone, Debug)]
 pub struct Cost {
-    /// Requests a second.
+    /// Completed requests a second.
     pub rate: f64,
-    /// Of the whole answer, in microseconds.
+    /// Median time until the complete response, in microseconds.
     pub p50: u64,
-    /// See `p50`.
+    /// 99th percentile of that time, in microseconds.
     pub p99: u64,
-    /// Processor time of the director's process or thread, in microseconds a request.
+    /// Processor time of the director's process or thread per request, in microseconds.
     pub cpu: f64,
-    /// Answers that did not serve.
+    /// Number of responses that did not serve the object.
     pub others: usize,
 }
 
-/// Ticks of processor time in a `stat` file, in microseconds; the kernel counts 100 a second.
+/// Returns the processor time in a `stat` file, in microseconds. The kernel counts 100 ticks a second.
 fn cpu(stat: &str) -> Result<f64, TestbedError> {
     let text = std::fs::read_to_string(stat)?;
     let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or("").split(' ').collect();
@@ -34,17 +34,18 @@
     Ok((ticks(11) + ticks(12)) * 10_000.0)
 }
 
-/// What one of those that ask has seen: how long its answers took, and how many did not serve.
+/// Result of one task: its response times, and the number of responses that did not serve the object.
 type Part = Result<(Histogram<u64>, usize), TestbedError>;
 
-/// Has so many ask side by side and reckons what that cost the process or thread of this `stat` file.
+/// Runs `at_once` tasks concurrently and calculates the overhead of the process or thread of this `stat`
+/// file.
 async fn measured(
     stat: &str,
     at_once: usize,
     send: impl Fn(usize) -> JoinHandle<Part>,
 ) -> Result<Cost, TestbedError> {
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let (begun, before) = (Instant::now(), cpu(stat)?);
+    let (started_at, before) = (Instant::now(), cpu(stat)?);
     let tasks: Vec<_> = (0..at_once).map(send).collect();
     let (mut all, mut others) = (Histogram::<u64>::new(3)?, 0);
     for task in tasks {
@@ -52,12 +53,12 @@
         all.add(part)?;
         others += failed;
     }
-    let (count, took, used) = (all.len() as f64, begun.elapsed().as_secs_f64(), cpu(stat)? - before);
+    let (count, took, used) = (all.len() as f64, started_at.elapsed().as_secs_f64(), cpu(stat)? - before);
     let (p50, p99) = (all.value_at_quantile(0.5), all.value_at_quantile(0.99));
     Ok(Cost { rate: count / took, p50, p99, cpu: used / count, others })
 }
 
-/// The daemon, asked on so many connections at once.
+/// Measures the daemon with requests on `at_once` concurrent connections.
 pub async fn through_daemon(
     program: &Path,
     fleet: &EmulatedFleet,
@@ -67,7 +68,7 @@
 ) -> Result<Cost, TestbedError> {
     let file = ConfigFile::write(fleet, 7)?;
     let (address, running) = daemon(program, &file.0)?;
-    let stat = format!("/proc/{}/stat", running.id().ok_or("no process")?);
+    let stat = format!("/proc/{}/stat", running.id().ok_or("the daemon has no process id")?);
     let send = |k| {
         let address = address.clone();
         tokio::task::spawn_blocking(move || {
@@ -80,9 +81,9 @@
                      X-Allow-Ms: 5000\r\nX-Ram-Kb: 5\r\n\r\n",
                     object((n % objects + 1) as u64)
                 );
-                let begun = Instant::now();
+                let started_at = Instant::now();
                 let answer = exchange(&mut stream, &request)?;
-                times.record(begun.elapsed().as_micros() as u64)?;
+                times.record(started_at.elapsed().as_micros() as u64)?;
                 others += usize::from(answer.status != 200);
             }
             Ok((times, others))
@@ -91,7 +92,7 @@
     measured(&stat, at_once, send).await
 }
 
-/// The library, asked by so many tasks at once.
+/// Measures the library with requests from `at_once` concurrent tasks.
 pub async fn through_library(
     fleet: &EmulatedFleet,
     requests: usize,
@@ -106,10 +107,10 @@
             let (mut times, mut others) = (Histogram::<u64>::new(3)?, 0);
             for n in (k..requests).step_by(at_once) {
                 let object = object((n % objects + 1) as u64);
-                let question = CacheRequest::new("guide-videos", object).size_kb(5.0);
-                let begun = Instant::now();
-                let answer = director.send(question).await;
-                times.record(begun.elapsed().as_micros() as u64)?;
+                let request = CacheRequest::new("guide-videos", object).size_kb(5.0);
+                let started_at = Instant::now();
+                let answer = director.send(request).await;
+                times.record(started_at.elapsed().as_micros() as u64)?;
                 others += usize::from(!matches!(answer, Ok(foxhold::dispatch::ClientResponse::Served(_))));
             }
             Ok((times, others))
@@ -118,7 +119,7 @@
     measured(&thread_named("foxhold")?, at_once, send).await
 }
 
-/// The `stat` file of this process's thread of that name.
+/// Returns the path of the `stat` file of the thread of this name in this process.
 fn thread_named(name: &str) -> Result<String, TestbedError> {
     for entry in std::fs::read_dir("/proc/self/task")? {
         let path = entry?.path();
@@ -126,5 +127,5 @@
             return Ok(path.join("stat").display().to_string());
         }
     }
-    Err(format!("no thread named {name}").into())
+    Err(format!("this process has no thread named {name}").into())
 }
--- a/crates/foxhold-testbed/src/scenarios/replay.rs
+++ b/crates/foxhold-testbed/src/scenarios/replay.rs
@@ -1,10 +1,11 @@
-//! One trace through the daemon's process or through the library in an axum host, and what differs.
+//! Replays one trace through the daemon's process or through the library in an axum host, and compares the
+//! results.
 //!
-//! What timing alone could make differ is fixed: requests go one after the other on one connection, each at
-//! its own time of the trace ([`STEP_MS`](crate::load::trace::STEP_MS) says how these are chosen) and none
-//! before the one before is answered; troubles stand alone, with room round them; the seed of the decisions'
-//! random numbers is the same; and servers take no time that the trace does not tell. A request that had to
-//! start later than its time is counted, and a run with any that started over a millisecond late says so.
+//! Differences that come from timing alone are excluded: requests go one after the other on one connection,
+//! each at its time in the trace ([`STEP_MS`](crate::load::trace::STEP_MS) says how these are chosen) and
+//! none before the previous response; faults are separated from requests by idle time; the random numbers of
+//! the policy have the same seed; and emulated servers add no delay that the trace does not contain. Requests
+//! that start more than a millisecond late are counted and reported.
 
 use crate::load::trace::{Line, Step, TraceFault, TraceRequest};
 use crate::servers::in_process::{EmulatedFleet, ReceivedRequest};
@@ -30,58 +31,58 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Seed of the decisions' random numbers in every play.
+/// Seed of the policy's random numbers in every run.
 const SEED: u64 = 0x8c1f_30d2_7a5b_e964;
 
-/// What a trace is run through.
+/// The form of the director through which a trace is replayed.
 #[derive(Clone, Debug)]
 pub enum Through {
-    /// The daemon's process, from this program.
+    /// A daemon process, started from this program.
     Daemon(PathBuf),
-    /// The library, in an axum application of this process.
+    /// The library, in an axum application within this process.
     Library {
-        /// The fill of this number is sent to another parent than was decided: shows that a difference is
-        /// seen.
+        /// Number of the fill from a parent, counted from 0, that gets another fill source than the policy
+        /// chose. Shows that the comparison detects a difference.
         altered: Option<usize>,
     },
 }
 
-/// The final answer as a client got it.
+/// The final response as a client received it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestOutcome {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The copy's tag.
+    /// `ETag` header, if any.
     pub tag: Option<String>,
-    /// Milliseconds to stay away.
+    /// `X-Wait-Ms` header, if any: milliseconds until the client may retry.
     pub wait_ms: Option<String>,
-    /// The bytes.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// What came of one play.
+/// Results of replaying a trace once.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayResult {
-    /// By the request's id: what servers were asked, in its order, and the final answer.
+    /// By request id: the attempts that servers received, in their order, and the final response.
     pub requests: BTreeMap<String, (Vec<ReceivedRequest>, RequestOutcome)>,
-    /// How late the latest request started, and how many started over a millisecond late.
+    /// Longest delay of a request or fault after its time in the trace.
     pub latest: Duration,
-    /// See `latest`.
+    /// Number of requests and faults that started more than a millisecond late.
     pub late: usize,
 }
 
-/// A request that went otherwise.
+/// A request whose attempts or response differ between two runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// Its id, which is its number in the trace.
+    /// Request id: its number in the trace, in hexadecimal.
     pub id: String,
-    /// As it went in the one play.
+    /// Attempts and response in the first run.
     pub one: (Vec<ReceivedRequest>, RequestOutcome),
-    /// And in the other.
+    /// Attempts and response in the second run.
     pub other: (Vec<ReceivedRequest>, RequestOutcome),
 }
 
-/// All that differs between two plays of one trace.
+/// Returns the requests that differ between two runs of one trace.
 pub fn compare(one: &ReplayResult, other: &ReplayResult) -> Vec<Difference> {
     let ids: std::collections::BTreeSet<&String> = one.requests.keys().chain(other.requests.keys()).collect();
     let of = |result: &ReplayResult, id: &String| result.requests.get(id).cloned().unwrap_or_default();
@@ -91,10 +92,10 @@
         .collect()
 }
 
-/// An error as one line.
+/// An error of the testbed, displayed as one line.
 pub type TestbedError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Runs a trace against a fleet of its own: 3 caches, 3 parents and an origin.
+/// Replays a trace against a new fleet of 3 caches, 3 parents and an origin.
 pub async fn replay(lines: &[Line], through: &Through) -> Result<ReplayResult, TestbedError> {
     let fleet = EmulatedFleet::start(3, 3).await?;
     let file = ConfigFile::write(&fleet, SEED)?;
@@ -119,7 +120,7 @@
     result
 }
 
-/// The platform's configuration for a director before a fleet, in a file that goes when this is dropped.
+/// A file with the platform configuration of a director for an emulated fleet; removed when this is dropped.
 pub(crate) struct ConfigFile(pub(crate) PathBuf);
 
 impl ConfigFile {
@@ -139,35 +140,35 @@
     }
 }
 
-/// What ends with a run.
-pub(crate) enum Running {
+/// A running director, which is stopped when this is dropped.
+pub(crate) enum RunningDirector {
     Process(Child),
     Host(tokio::task::JoinHandle<()>),
 }
 
-impl Running {
-    /// The daemon's process.
+impl RunningDirector {
+    /// Returns the process id of the daemon, or `None` for the library.
     pub(crate) fn id(&self) -> Option<u32> {
         match self {
-            Running::Process(child) => Some(child.id()),
-            Running::Host(_) => None,
+            RunningDirector::Process(child) => Some(child.id()),
+            RunningDirector::Host(_) => None,
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningDirector {
     fn drop(&mut self) {
         match self {
-            Running::Process(child) => {
+            RunningDirector::Process(child) => {
                 let _ = child.kill();
                 let _ = child.wait();
             }
-            Running::Host(task) => task.abort(),
+            RunningDirector::Host(task) => task.abort(),
         }
     }
 }
 
-pub(crate) fn daemon(program: &Path, config: &Path) -> Result<(String, Running), TestbedError> {
+pub(crate) fn daemon(program: &Path, config: &Path) -> Result<(String, RunningDirector), TestbedError> {
     let program = program.canonicalize().map_err(|e| format!("{}: {e}", program.display()))?;
     let mut child = Command::new(&program)
         .env("ROUTER_CONFIG", config)
@@ -177,22 +178,28 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .map_err(|e| format!("{}: {e}", program.display()))?;
-    let log = child.stderr.take().ok_or("no log")?;
-    let running = Running::Process(child);
+        .map_err(|e| format!("can't start {}: {e}", program.display()))?;
+    let log = child.stderr.take().ok_or("standard error of the child process is not piped")?;
+    let running = RunningDirector::Process(child);
     let (mut log, mut line) = (BufReader::new(log), String::new());
     log.read_line(&mut line)?;
-    // Read on, so that nothing is lost of what it says on its end.
+    // Reads to the end, so that the daemon never blocks on a full pipe or fails to write its last log lines.
     std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-    let address = line.trim_end().rsplit(' ').next().filter(|a| a.contains(':')).ok_or(line.clone())?;
+    let address = line
+        .trim_end()
+        .rsplit(' ')
+        .next()
+        .filter(|a| a.contains(':'))
+        .ok_or_else(|| format!("no address in log line: {line}"))?;
     Ok((address.to_owned(), running))
 }
 
-async fn library(config: &Path, altered: Option<usize>) -> Result<(String, Running), TestbedError> {
+async fn library(config: &Path, altered: Option<usize>) -> Result<(String, RunningDirector), TestbedError> {
     let mut builder = Director::from_file(config)?;
     if let Some(nth) = altered {
         let servers = PlatformConfig::read(config)?.upstream_connector();
-        builder = builder.connector(AlteredTrace { servers, left: Arc::new(AtomicUsize::new(nth)) });
+        builder =
+            builder.connector(AlteringConnector { servers, remaining: Arc::new(AtomicUsize::new(nth)) });
     }
     let app = axum::Router::new()
         .route("/alive", any(|| async {}))
@@ -203,11 +210,11 @@
     let task = tokio::spawn(async move {
         let _ = axum::serve(listener, app).await;
     });
-    Ok((address, Running::Host(task)))
+    Ok((address, RunningDirector::Host(task)))
 }
 
-/// The host application: reads what the platform's clients send, asks the director by function call, and
-/// words its answers by the platform's page.
+/// Serves the platform's clients as a host application does: parses their requests, passes them to the
+/// director by function call, and encodes the responses as the platform specifies.
 async fn host(
     State(director): State<Director>,
     Target((class, object)): Target<(String, String)>,
@@ -217,25 +224,25 @@
 ) -> Response {
     let header = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
     let number = |name: &str| header(name).and_then(|v| v.parse::<f64>().ok());
-    let mut question = CacheRequest::new(class, object).body(body);
+    let mut cache_request = CacheRequest::new(class, object).body(body);
     if let Some(id) = header("x-job-id") {
-        question = question.id(id);
+        cache_request = cache_request.id(id);
     }
     if let Some(part) = query.as_deref().and_then(|q| q.strip_prefix("block=")).and_then(|p| p.parse().ok()) {
-        question = question.part(part);
+        cache_request = cache_request.part(part);
     }
     if let Some(group) = number("x-family") {
-        question = question.group(group as u32);
+        cache_request = cache_request.group(group as u32);
     }
     if let Some(size) = number("x-ram-kb") {
-        question = question.size_kb(size);
+        cache_request = cache_request.size_kb(size);
     }
     if let Some(allow) = number("x-allow-ms") {
-        question = question.timeout(Duration::from_secs_f64(allow / 1e3));
+        cache_request = cache_request.timeout(Duration::from_secs_f64(allow / 1e3));
     }
     let status = |code: u16| StatusCode::from_u16(code).unwrap_or_default();
     let tagged = |tag: Option<Arc<str>>| tag.map(|t| [("etag", format!("\"{t}\""))]);
-    match director.send(question).await {
+    match director.send(cache_request).await {
         Ok(ClientResponse::Served(copy)) => match tagged(copy.etag) {
             Some(tag) => (tag, copy.body).into_response(),
             None => copy.body.into_response(),
@@ -251,13 +258,13 @@
     }
 }
 
-/// The line protocol, with one decision changed on its way.
-struct AlteredTrace {
+/// The connector for upstream servers, which replaces the fill source of one request.
+struct AlteringConnector {
     servers: UpstreamConnector,
-    left: Arc<AtomicUsize>,
+    remaining: Arc<AtomicUsize>,
 }
 
-impl EndpointConnector for AlteredTrace {
+impl EndpointConnector for AlteringConnector {
     fn connect(
         &mut self,
         server: ServerId,
@@ -265,27 +272,27 @@
         reports: DispatcherSender,
     ) -> mpsc::Sender<EndpointCommand> {
         let inner = self.servers.connect(server, listing, reports);
-        let (mailbox, mut orders) = mpsc::channel(512);
-        let left = self.left.clone();
+        let (sender, mut commands) = mpsc::channel(512);
+        let remaining = self.remaining.clone();
         tokio::task::spawn_local(async move {
-            while let Some(mut order) = orders.recv().await {
-                if let EndpointCommand::Send(want) = &mut order {
-                    let parent = want.fill_source.as_ref().is_some_and(|v| v.starts_with("parent"));
-                    if parent && left.fetch_sub(1, Ordering::Relaxed) == 0 {
-                        let other = if want.fill_source.as_deref() == Some("parent-1") {
+            while let Some(mut command) = commands.recv().await {
+                if let EndpointCommand::Send(attempt) = &mut command {
+                    let parent = attempt.fill_source.as_ref().is_some_and(|v| v.starts_with("parent"));
+                    if parent && remaining.fetch_sub(1, Ordering::Relaxed) == 0 {
+                        let other = if attempt.fill_source.as_deref() == Some("parent-1") {
                             "parent-3"
                         } else {
                             "parent-1"
                         };
-                        want.fill_source = Some(other.into());
+                        attempt.fill_source = Some(other.into());
                     }
                 }
-                if inner.send(order).await.is_err() {
+                if inner.send(command).await.is_err() {
                     return;
                 }
             }
         });
-        mailbox
+        sender
     }
 }
 
@@ -295,12 +302,12 @@
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
     let mut result = ReplayResult::default();
     exchange(&mut stream, "GET /alive HTTP/1.1\r\nHost: lab\r\n\r\n")?;
-    // The board's follower and first probes have settled by then.
+    // By then, the watch of the discovery service is open and the first probe requests are done.
     std::thread::sleep(Duration::from_millis(200));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut number = 0;
     for line in lines {
-        let due = begun + Duration::from_secs_f64(line.at_ms / 1e3);
+        let due = started_at + Duration::from_secs_f64(line.at_ms / 1e3);
         match due.checked_duration_since(Instant::now()) {
             Some(wait) => std::thread::sleep(wait),
             None => {
@@ -310,11 +317,11 @@
             }
         }
         match &line.step {
-            Step::Trouble(trouble) => apply(fleet, trouble),
-            Step::Request(asked) => {
+            Step::Trouble(fault) => apply(fleet, fault),
+            Step::Request(trace_request) => {
                 number += 1;
                 let id = format!("{number:016x}");
-                let answer = exchange(&mut stream, &request(asked, &id))?;
+                let answer = exchange(&mut stream, &request(trace_request, &id))?;
                 result.requests.insert(id, (Vec::new(), answer));
             }
         }
@@ -322,8 +329,8 @@
     Ok(result)
 }
 
-fn apply(fleet: &EmulatedFleet, trouble: &TraceFault) {
-    match trouble {
+fn apply(fleet: &EmulatedFleet, fault: &TraceFault) {
+    match fault {
         TraceFault::Drain(name) => fleet.drain(name),
         TraceFault::Crash(name) => fleet.crash(name),
         TraceFault::Back(name) => fleet.back(name),
@@ -332,8 +339,8 @@
     }
 }
 
-fn request(asked: &TraceRequest, id: &str) -> String {
-    let TraceRequest { class, object, part, group, size_kb, allow_ms } = asked;
+fn request(trace_request: &TraceRequest, id: &str) -> String {
+    let TraceRequest { class, object, part, group, size_kb, allow_ms } = trace_request;
     let (method, body) = if class == "filing-submit" { ("PUT", "a filing") } else { ("GET", "") };
     let length = body.len();
     format!(
@@ -344,11 +351,11 @@
 
 pub(crate) fn exchange(stream: &mut TcpStream, request: &str) -> Result<RequestOutcome, TestbedError> {
     stream.write_all(request.as_bytes())?;
-    let (mut bytes, mut scrap) = (Vec::new(), [0; 4096]);
+    let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
     let mut more = |bytes: &mut Vec<u8>| -> Result<(), TestbedError> {
-        match stream.read(&mut scrap)? {
-            0 => return Err("the connection was closed under a request".into()),
-            n => bytes.extend_from_slice(&scrap[..n]),
+        match stream.read(&mut buffer)? {
+            0 => return Err("the director closed the connection before the response was complete".into()),
+            n => bytes.extend_from_slice(&buffer[..n]),
         }
         Ok(())
     };
@@ -367,7 +374,10 @@
     while bytes.len() < end + 4 + length {
         more(&mut bytes)?;
     }
-    let status = head.get(9..12).and_then(|s| s.parse().ok()).ok_or("no status")?;
+    let status = head
+        .get(9..12)
+        .and_then(|s| s.parse().ok())
+        .ok_or_else(|| format!("no status code in response head: {head}"))?;
     let body = bytes[end + 4..end + 4 + length].to_vec();
     Ok(RequestOutcome { status, tag: header("etag"), wait_ms: header("x-wait-ms"), body })
 }
--- a/crates/foxhold-testbed/src/scenarios/runner/directors.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/directors.rs
@@ -14,9 +14,9 @@
 use tokio::net::TcpListener;
 use tokio::process::{ChildStderr, Command};
 
-/// A director that does not listen by then does not start.
+/// Time within which a director must log its address for clients.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Spreads the seeds of directors.
+/// Multiplier of the scenario's seed; keeps the directors' seeds of one scenario apart from those of another.
 const SEED_STEP: u64 = 1_000_003;
 
 impl ScenarioRun {
@@ -35,11 +35,11 @@
             self.seen.borrow_mut().boards.insert(name.clone(), board);
         }
         let names = (1..=self.scenario.directors).map(|n| format!("director-{n}"));
-        let there: Vec<String> = names.filter(|name| !self.joins(name)).collect();
-        self.start_directors_named(&there).await
+        let initial: Vec<String> = names.filter(|name| !self.joins(name)).collect();
+        self.start_directors_named(&initial).await
     }
 
-    /// Starts these directors side by side and waits until they listen.
+    /// Starts directors concurrently, and waits until all listen.
     pub(super) async fn start_directors_named(self: &Rc<Self>, names: &[String]) -> Result<(), TestbedError> {
         let starts = names.iter().map(|name| {
             let (run, name) = (Rc::clone(self), name.clone());
@@ -52,19 +52,21 @@
     }
 
     async fn start_director(self: &Rc<Self>, name: &str) -> Result<(), TestbedError> {
-        let part = &self.parts[name];
-        let kept = part.address.borrow().clone();
-        let listen = if kept.is_empty() { "127.0.0.1:0".into() } else { kept };
+        let participant = &self.participants[name];
+        let previous = participant.address.borrow().clone();
+        let listen = if previous.is_empty() { "127.0.0.1:0".into() } else { previous };
         let number: u64 = name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-        let seed = self.scenario.seed.wrapping_mul(SEED_STEP).wrapping_add(number) ^ part.since.get();
+        let seed = self.scenario.seed.wrapping_mul(SEED_STEP).wrapping_add(number) ^ participant.since.get();
         let mut child = self
             .director_command(name, number, &listen, seed)?
             .spawn()
-            .map_err(|e| format!("{name}: {e}"))?;
-        let mut lines = BufReader::new(child.stderr.take().ok_or("no log")?).lines();
-        *part.process.borrow_mut() = Some(Process::new(child));
+            .map_err(|e| format!("can't start {name}: {e}"))?;
+        let mut lines =
+            BufReader::new(child.stderr.take().ok_or("standard error of the child process is not piped")?)
+                .lines();
+        *participant.process.borrow_mut() = Some(Process::new(child));
         let address = listening_address(name, &mut lines).await?;
-        *part.address.borrow_mut() = address.clone();
+        *participant.address.borrow_mut() = address.clone();
         *self.clients.doors[number as usize - 1].address.borrow_mut() = address;
         tokio::task::spawn_local(Rc::clone(self).follow_log(name.to_owned(), lines));
         Ok(())
@@ -98,7 +100,8 @@
         Ok(command)
     }
 
-    /// Follows a director's log to its end, which is the process's: one that nobody asked for is a crash.
+    /// Reads a director's log until the process exits. An exit without a kill by the run is recorded as a
+    /// crash.
     async fn follow_log(self: Rc<Self>, name: String, mut lines: Lines<BufReader<ChildStderr>>) {
         let (seen, run) = (Rc::clone(&self.seen), Rc::downgrade(&self));
         drop(self);
@@ -111,15 +114,15 @@
             }
         }
         let Some(run) = run.upgrade().filter(|run| !run.ending.get()) else { return };
-        let part = Rc::clone(&run.parts[&name]);
-        let asked = part.process.borrow().is_none();
+        let participant = Rc::clone(&run.participants[&name]);
+        let killed = participant.process.borrow().is_none();
         drop(run);
-        if !asked {
-            part.crashed.set(true);
+        if !killed {
+            participant.crashed.set(true);
         }
     }
 
-    /// The platform's configuration.
+    /// Returns the director's platform configuration, as JSON.
     fn config(&self, name: &str, listen: &str, seed: u64) -> String {
         let scenario = &self.scenario;
         let (notices, rev) = self.events(name, 0);
@@ -154,17 +157,18 @@
     }
 }
 
-/// Reads a director's log up to the line that says where clients reach it.
+/// Reads a director's log up to the line with its address for clients, and returns that address.
 async fn listening_address(
     name: &str,
     lines: &mut Lines<BufReader<ChildStderr>>,
 ) -> Result<String, TestbedError> {
-    let mut first = String::new();
-    while !first.contains("clients on ") {
+    let mut last_line = String::new();
+    while !last_line.contains("clients on ") {
         let line = tokio::time::timeout(START_TIMEOUT, lines.next_line()).await;
-        let line = line.map_err(|_| format!("{name} does not start"))??;
-        first = line.ok_or(format!("{name} ended at once: {first}"))?;
+        let line = line.map_err(|_| format!("{name} did not log its address within {START_TIMEOUT:?}"))??;
+        last_line =
+            line.ok_or(format!("{name} exited before it logged its address; last line: {last_line}"))?;
     }
-    let address = first.trim_end().rsplit(' ').next().filter(|a| a.contains(':'));
-    Ok(address.ok_or(format!("{name}: {first}"))?.to_owned())
+    let address = last_line.trim_end().rsplit(' ').next().filter(|a| a.contains(':'));
+    Ok(address.ok_or(format!("{name}: no address in log line: {last_line}"))?.to_owned())
 }
--- a/crates/foxhold-testbed/src/scenarios/runner/discovery.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/discovery.rs
@@ -1,4 +1,4 @@
-//! The emulated discovery service of a run: what directors are told of servers and purges.
+//! The emulated discovery service of a run: sends directors the events about servers and purges.
 
 use super::{number_of, ScenarioRun};
 use crate::load::clients::PurgeRecord;
@@ -11,10 +11,10 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How often the number of the last event is sent.
+/// Interval at which the number of the last event is sent while there are no new events.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A change of which directors are told.
+/// A change that the discovery service publishes.
 #[derive(Clone, Debug)]
 pub(super) enum DiscoveryChange {
     Member { name: String, phase: &'static str, since: u64 },
@@ -24,16 +24,16 @@
 impl ScenarioRun {
     fn member(&self, director: &str, name: &str, phase: &str, since: u64) -> String {
         let spec = &self.specs[name];
-        let (kind, address, size) = (spec.role.kind(), self.reaches(director, name), spec.link);
+        let (kind, address, size) = (spec.role.kind(), self.address_for(director, name), spec.link);
         let zone = if spec.role == Role::Cache { "branch" } else { "hub" };
         format!(
             r#"{{"id":"{name}","host_port":"{address}","locality":"{zone}","flavor":"{kind}","phase":"{phase}","size":{size:.3},"up_since_ms":{since}}}"#
         )
     }
 
-    /// An event as a director is told of it.
-    fn event(&self, director: &str, rev: usize, news: &DiscoveryChange) -> String {
-        match news {
+    /// Returns the event of a change as JSON, with the server address that this director is to use.
+    fn event(&self, director: &str, rev: usize, change: &DiscoveryChange) -> String {
+        match change {
             DiscoveryChange::Member { name, phase, since } => {
                 let member = self.member(director, name, phase, *since);
                 format!(
@@ -43,7 +43,7 @@
             DiscoveryChange::Purge(PurgeRecord { object: Some(object), ms, .. }) => {
                 format!(r#"{{"rev":{rev},"flush":{{"asset":"{object}","ms":{ms}}}}}"#)
             }
-            // The news of a purge of many groups is one event for each.
+            // A purge of several groups is published as one event per group.
             DiscoveryChange::Purge(PurgeRecord { groups, ms, .. }) => {
                 let group = groups.first().copied().unwrap_or(0);
                 format!(r#"{{"rev":{rev},"flush":{{"collection":{group},"ms":{ms}}}}}"#)
@@ -51,9 +51,10 @@
         }
     }
 
-    /// All events from the one after `last` on; the first is the whole list.
+    /// Returns the events after number `last`, and the number of the last one. Event 1 is the full list of
+    /// servers.
     pub(super) fn events(&self, director: &str, last: usize) -> (Vec<String>, usize) {
-        let news = self.discovery_log.borrow();
+        let changes = self.discovery_log.borrow();
         let mut lines = Vec::new();
         if last < 1 {
             let listed = self.specs.keys().filter(|name| !self.joins(name));
@@ -64,23 +65,23 @@
             ));
         }
         let skip = last.max(1) - 1;
-        lines.extend(news.iter().enumerate().skip(skip).map(|(n, e)| self.event(director, n + 2, e)));
-        (lines, news.len() + 1)
+        lines.extend(changes.iter().enumerate().skip(skip).map(|(n, e)| self.event(director, n + 2, e)));
+        (lines, changes.len() + 1)
     }
 
-    pub(super) fn publish(&self, news: DiscoveryChange) {
-        self.discovery_log.borrow_mut().push(news);
+    pub(super) fn publish(&self, change: DiscoveryChange) {
+        self.discovery_log.borrow_mut().push(change);
         self.discovery_length.send_replace(self.discovery_log.borrow().len());
     }
 
-    /// How late a director hears of the list.
+    /// Returns the delay of events to a director, which is fixed for a run.
     fn discovery_delay(&self, director: &str) -> Duration {
         let number = number_of(director).unwrap_or(0) as u64;
         let mut random = StdRng::seed_from_u64(self.scenario.seed.wrapping_mul(1_000_003) ^ number);
         Duration::from_secs_f64(self.scenario.list_late * random.random::<f64>())
     }
 
-    /// The discovery service as one director reaches it.
+    /// Accepts the connections of one director to the discovery service.
     pub(super) async fn serve_discovery(self: Rc<Self>, director: String, listener: TcpListener) {
         let mut watches = tokio::task::JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Sends what is new, or the number of the last event.
+    /// Sends the events after `last`, or the number of the last event if there are none.
     async fn send_events(
         &self,
         director: &str,
--- a/crates/foxhold-testbed/src/scenarios/runner/injection.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/injection.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, and when.
+//! Injection of a scenario's faults.
 
 use super::discovery::DiscoveryChange;
 use super::{fault_links, number_of, ScenarioRun, DISCOVERY_DELAY_S};
@@ -15,19 +15,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Groups of objects, as the platform has them.
+/// Number of object groups on the platform.
 const GROUPS: f64 = 32.0;
-/// Servers drop purged copies by themselves, each within this many seconds.
+/// Delay in seconds until a server drops purged objects, drawn for each server and purge.
 const PURGE_DELAY_S: std::ops::Range<f64> = 0.1..4.0;
 
-/// Whether a fault begins or is over.
+/// Whether a step starts or ends a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Begins,
     Ends,
 }
 
-/// A step of the schedule.
+/// A step of the fault schedule, at a time in seconds of load.
 struct Step {
     at: f64,
     fault: Fault,
@@ -35,7 +35,7 @@
 }
 
 impl ScenarioRun {
-    /// Injects the scenario's faults at their times after `zero`.
+    /// Injects the scenario's faults at their times after `zero`, the start of the load.
     pub(super) async fn inject_faults(self: Rc<Self>, zero: Instant) {
         let mut schedule: Vec<Step> = Vec::new();
         for fault in &self.scenario.faults {
@@ -48,7 +48,7 @@
         for Step { at, fault, phase } in schedule {
             tokio::time::sleep_until((zero + Duration::from_secs_f64(at)).into()).await;
             let run = Rc::clone(&self);
-            // Side by side: a restart of a hundred does not hold up what is due next.
+            // Concurrently: a restart of a hundred processes must not delay the next step.
             steps.spawn_local(async move {
                 if let Err(error) = run.inject(&fault, phase).await {
                     run.seen.borrow_mut().panics.push(format!("fault at {at} s: {error}"));
@@ -72,7 +72,7 @@
             (FaultKind::GossipLink, _) => self.set_gossip_links(fault, phase),
             (FaultKind::Plant, Phase::Begins) => self.plant(fault, names).await,
             (FaultKind::Slow, _) => self.slow_down(fault, names, phase).await,
-            // Drawn with the load; or over at once.
+            // Bursts and hot objects are part of the load; the others have no end step.
             (FaultKind::Hot | FaultKind::Burst, _)
             | (
                 FaultKind::Join | FaultKind::Purge | FaultKind::Drain | FaultKind::Undrain | FaultKind::Plant,
@@ -85,7 +85,7 @@
     async fn kill(self: &Rc<Self>, fault: &Fault, names: &[String]) -> Result<(), TestbedError> {
         for name in names {
             self.disturb(name);
-            let process = self.parts[name].process.borrow_mut().take();
+            let process = self.participants[name].process.borrow_mut().take();
             if let Some(mut process) = process {
                 process.kill().await;
             }
@@ -102,7 +102,7 @@
         for name in names {
             self.disturb(name);
             self.with_target(name, |target| target.stopped.set(phase == Phase::Begins));
-            if let Some(process) = self.parts[name].process.borrow_mut().as_mut() {
+            if let Some(process) = self.participants[name].process.borrow_mut().as_mut() {
                 process.signal(signal);
             }
         }
@@ -176,25 +176,26 @@
         }
     }
 
-    /// Where a director's operators ask, where directors gossip.
+    /// Returns the address of a director's admin endpoint, or `None` without gossip.
     pub(super) fn admin_address_of(&self, name: &str) -> Option<SocketAddr> {
         Some(self.gossip_relays.borrow().as_ref()?.admin_address(number_of(name)?))
     }
 
-    /// A director's operators say something, which is to be news.
+    /// Sends a command to a director's admin endpoint. The answer must be positive (`YES`).
     async fn admin_command(&self, director: &str, line: &str) -> Result<(), TestbedError> {
-        let door = self.admin_address_of(director).ok_or("directors do not talk")?;
-        let answer = call(door, line).await?;
+        let admin =
+            self.admin_address_of(director).ok_or("no admin endpoint: gossip between directors is off")?;
+        let answer = call(admin, line).await?;
         if answer.starts_with("YES") {
             Ok(())
         } else {
-            Err(format!("{director}: {line}: {answer}").into())
+            Err(format!("{director} rejected '{line}': {answer}").into())
         }
     }
 
-    fn with_target(&self, name: &str, f: impl FnOnce(&DirectorTarget)) {
+    fn with_target(&self, name: &str, change: impl FnOnce(&DirectorTarget)) {
         if let Some(target) = number_of(name).and_then(|n| self.clients.doors.get(n)) {
-            f(target);
+            change(target);
         }
     }
 
@@ -205,27 +206,28 @@
         });
     }
 
-    /// Starts these again: directors from nothing, servers cold and empty, of which the list tells later.
+    /// Restarts participants: directors without state, servers cold and with an empty cache. The discovery
+    /// service publishes the servers later.
     async fn restart(self: &Rc<Self>, names: &[String]) -> Result<(), TestbedError> {
         let (directors, servers): (Vec<String>, Vec<String>) =
             names.iter().cloned().partition(|n| n.starts_with("director"));
         for name in &directors {
-            self.parts[name].since.set(unix_ms());
+            self.participants[name].since.set(unix_ms());
         }
         self.start_directors_named(&directors).await?;
         for name in &servers {
             self.start_server(name, true).await?;
         }
-        // One that joins has an address that nobody knew.
+        // The address of a server that joins is not known to the others yet.
         for name in self.specs.keys().filter(|_| !servers.is_empty()) {
-            self.tell_peers(name).await;
+            self.send_peer_addresses(name).await;
         }
         let since = unix_ms();
         self.publish_phase(&servers, "in_service", since).await;
         Ok(())
     }
 
-    /// The list tells of servers, late.
+    /// Publishes the phase of servers after the discovery delay.
     async fn publish_phase(&self, names: &[String], phase: &'static str, since: u64) {
         let servers: Vec<&String> = names.iter().filter(|n| self.specs.contains_key(*n)).collect();
         if !servers.is_empty() {
@@ -255,7 +257,7 @@
                 None => self.publish(DiscoveryChange::Purge(purge.clone())),
             }
         }
-        // Servers drop their older copies by themselves, each in its own time.
+        // Servers drop the purged copies independently of each other, each after its own delay.
         let mut random = StdRng::seed_from_u64(self.scenario.seed ^ ms);
         for name in self.specs.keys().filter(|n| !n.starts_with("origin")) {
             let (run, name) = (Rc::clone(self), name.clone());
--- a/crates/foxhold-testbed/src/scenarios/runner/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/mod.rs
@@ -1,18 +1,17 @@
-//! The run of a scenario with many processes: directors, emulated servers, the links between them, and what
-//! goes wrong.
+//! Runs a scenario with many processes: directors, emulated servers, the links between them, and faults.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | `process` | programs, child processes, temporary files |
-//! | `specs` | what the servers can do |
-//! | `servers` | the servers' processes and links |
+//! | `process` | program paths, child processes, temporary files |
+//! | `specs` | server capacities |
+//! | `servers` | server processes and links |
 //! | `discovery` | the emulated discovery service |
-//! | `directors` | the directors' processes and configurations |
-//! | `injection` | the schedule of faults |
+//! | `directors` | director processes and configurations |
+//! | `injection` | the fault schedule |
 //!
-//! All processes are this run's own children; they are ended by their ids when it ends, is interrupted or
-//! panics. Directors get the platform's configuration, each with addresses of its own where a link of its is
-//! to be faulty.
+//! All processes are children of this process. They are killed by their process ids when the run finishes, is
+//! interrupted or panics. Each director gets its own platform configuration, in which a link that a fault
+//! affects has the address of a relay.
 
 mod directors;
 mod discovery;
@@ -39,31 +38,33 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// The list tells of a process that ended or started so many seconds late.
+/// Delay in seconds until the discovery service publishes the start or end of a server process.
 const DISCOVERY_DELAY_S: f64 = 1.5;
-/// Seconds until a cache or parent that started cold is warm, and the share that it starts with.
+/// Seconds until a cache or parent that started cold has its full capacity.
 const WARM_UP_S: f64 = 8.0;
+/// Share of its capacity that a cold cache or parent starts with.
 const INITIAL_CAPACITY_SHARE: f64 = 0.17;
-/// Sent more than so many times what it can do for `OVERLOAD_WINDOW_S` seconds, a cold server falls over.
+/// A cold server fails if its load exceeds this multiple of its capacity for `OVERLOAD_WINDOW_S` seconds.
 const OVERLOAD_MULTIPLE: f64 = 2.5;
+/// See `OVERLOAD_MULTIPLE`.
 const OVERLOAD_WINDOW_S: f64 = 3.0;
 
-/// A emulated server or director: its process, and what is needed to start it once more.
+/// An emulated server or a director: its process, and what a restart needs.
 #[derive(Default)]
 struct Participant {
     process: RefCell<Option<Process>>,
     address: RefCell<String>,
-    /// Unix milliseconds of a start after the run's beginning.
+    /// Unix time of the last start by a fault, in milliseconds; 0 if there was none.
     since: Cell<u64>,
-    /// Ends that nobody asked for.
+    /// Whether the process exited without being killed by the run.
     crashed: Cell<bool>,
 }
 
 struct ScenarioRun {
     scenario: Scenario,
     programs: Programs,
-    parts: BTreeMap<String, Rc<Participant>>,
-    /// By who connects and to whom.
+    participants: BTreeMap<String, Rc<Participant>>,
+    /// Relayed links, by the names of the connecting participant and of the other end.
     links: RefCell<HashMap<(String, String), Link>>,
     discovery_log: RefCell<Vec<DiscoveryChange>>,
     discovery_length: watch::Sender<usize>,
@@ -72,20 +73,20 @@
     zero_ms: Cell<u64>,
     specs: BTreeMap<String, ServerSpec>,
     ending: Cell<bool>,
-    /// Relays between directors, where they talk.
+    /// Relays between directors; `None` without gossip.
     gossip_relays: RefCell<Option<Relays>>,
 }
 
-/// Runs a scenario. Needs a `LocalSet`; `progress` is told the seconds run.
+/// Runs a scenario. Needs a `LocalSet`; `progress` is called with the seconds since the start of the load.
 pub async fn run(
     scenario: &Scenario,
     programs: &Programs,
     progress: impl Fn(f64) + 'static,
 ) -> Result<RunReport, TestbedError> {
-    // From the first process on: what is dropped here takes all of them with it.
+    // Signals are handled from before the first process starts; dropping the run kills all its processes.
     tokio::select! {
         biased;
-        signal = interrupted() => Err(format!("{}; all processes of the run are ended", signal?).into()),
+        signal = interrupted() => Err(format!("{}; all processes of the run were killed", signal?).into()),
         report = run_to_end(scenario, programs, progress) => report,
     }
 }
@@ -120,7 +121,7 @@
     Rc::clone(&run.clients).run(arrivals, zero, scenario.warm_up_seconds).await;
     ticker.abort();
     faults.abort();
-    // What is still under way at servers is told before they end.
+    // Servers report the requests that are still in flight before they are killed.
     tokio::time::sleep(Duration::from_millis(300)).await;
     run.ending.set(true);
     run.finish().await
@@ -130,7 +131,7 @@
     async fn prepare(scenario: &Scenario, programs: &Programs) -> Result<ScenarioRun, TestbedError> {
         let specs = specs::draw_specs(scenario);
         let names = specs.keys().cloned().chain((1..=scenario.directors).map(|n| format!("director-{n}")));
-        let parts = names.map(|name| (name, Rc::default())).collect();
+        let participants = names.map(|name| (name, Rc::default())).collect();
         let (discovery_length, _) = watch::channel(0);
         let mut programs = programs.clone();
         for program in [&mut programs.director, &mut programs.testbed] {
@@ -139,7 +140,7 @@
         Ok(ScenarioRun {
             scenario: scenario.clone(),
             programs,
-            parts,
+            participants,
             links: RefCell::default(),
             discovery_log: RefCell::default(),
             discovery_length,
@@ -152,7 +153,7 @@
         })
     }
 
-    /// The links that some fault affects: who connects to whom.
+    /// Returns the links that any fault affects, as pairs of connecting participant and other end.
     fn faulty_links(&self) -> Vec<(String, String)> {
         let faults = self.scenario.faults.iter().filter(|f| f.kind == FaultKind::Link);
         let mut pairs: Vec<(String, String)> = faults.flat_map(|f| fault_links(&self.scenario, f)).collect();
@@ -161,14 +162,14 @@
         pairs
     }
 
-    /// Ends all and hands over what was seen.
+    /// Kills all processes and returns the report.
     async fn finish(self: Rc<Self>) -> Result<RunReport, TestbedError> {
-        for (name, part) in &self.parts {
-            let process = part.process.borrow_mut().take();
+        for (name, participant) in &self.participants {
+            let process = participant.process.borrow_mut().take();
             if let Some(mut process) = process {
-                process.kill().await; // one that is stopped too
+                process.kill().await; // also ends a stopped process
             }
-            if part.crashed.get() {
+            if participant.crashed.get() {
                 self.seen.borrow_mut().panics.push(format!("{name} ended by itself"));
             }
         }
@@ -178,12 +179,12 @@
     }
 }
 
-/// A director's place.
+/// Returns the index of a director, counted from 0, or `None` if the name is not that of a director.
 fn number_of(name: &str) -> Option<usize> {
     name.strip_prefix("director-")?.parse::<usize>().ok()?.checked_sub(1)
 }
 
-/// Who connects to whom on the links that a fault affects.
+/// Returns the links that a fault affects, as pairs of connecting participant and other end.
 fn fault_links(scenario: &Scenario, fault: &Fault) -> Vec<(String, String)> {
     let to = match fault.to.as_str() {
         "board" => vec!["board".to_owned()],
--- a/crates/foxhold-testbed/src/scenarios/runner/process.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/process.rs
@@ -1,4 +1,5 @@
-//! The processes of a run: programs, children that end with their owner, and the folder of their files.
+//! The processes of a run: program paths, child processes that are killed on drop, and the folder of their
+//! files.
 
 use crate::scenarios::replay::TestbedError;
 use crate::scenarios::scenario::{FaultKind, Scenario};
@@ -7,19 +8,20 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::process::{Child, ChildStdin};
 
-/// The programs of a run.
+/// The programs that a run starts, and its folder.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The director's.
+    /// The daemon, started for each director.
     pub director: PathBuf,
-    /// The testbed's own, for emulated servers.
+    /// The testbed program, started for each emulated server.
     pub testbed: PathBuf,
-    /// Where configurations are written; removed with all in it at the end.
+    /// Folder for configuration files; removed with its contents when the run finishes.
     pub folder: PathBuf,
 }
 
 impl Programs {
-    /// The director's program, with this one for emulated servers and a new folder under the temporary one.
+    /// Returns the programs with this executable as the testbed, and a new name in the system's temporary
+    /// folder.
     pub fn of(director: PathBuf) -> std::io::Result<Programs> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -28,11 +30,11 @@
     }
 }
 
-/// A child that ends with this.
+/// A child process that is killed when this is dropped.
 pub(crate) struct Process {
     child: Child,
     pid: Option<Pid>,
-    /// Taken while something is written to it.
+    /// `None` while a command is being written to it.
     pub(super) stdin: Option<ChildStdin>,
 }
 
@@ -48,7 +50,7 @@
     }
 
     pub(crate) fn signal(&mut self, signal: Signal) {
-        // A child that has not been waited for keeps its id: nobody else can have it.
+        // The process id can't be reused before the child has been waited for.
         if let (Some(pid), Ok(None)) = (self.pid, self.child.try_wait()) {
             let _ = kill_process(pid, signal);
         }
@@ -59,7 +61,7 @@
     }
 }
 
-/// A folder that goes with this.
+/// A folder that is removed when this is dropped.
 pub(crate) struct TemporaryFolder(pub(crate) PathBuf);
 
 impl Drop for TemporaryFolder {
@@ -68,16 +70,17 @@
     }
 }
 
-/// Which signal came that ends a run.
+/// Waits for SIGINT or SIGTERM, and returns the wording for the error message.
 pub async fn interrupted() -> std::io::Result<&'static str> {
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     tokio::select! {
         ctrl_c = tokio::signal::ctrl_c() => ctrl_c.map(|()| "interrupted"),
-        _ = term.recv() => Ok("told to end"),
+        _ = term.recv() => Ok("asked to shut down"),
     }
 }
 
-/// Descriptors that this process needs: pipes, boards and clients of each director, pipes of servers, relays.
+/// Checks the limit of file descriptors against what this process needs: pipes, discovery connections and
+/// clients of each director, pipes of servers, and relays.
 pub(super) fn check_descriptors(scenario: &Scenario) -> Result<(), TestbedError> {
     let relays =
         scenario.faults.iter().filter(|f| f.kind == FaultKind::Link).count() * scenario.directors * 6;
--- a/crates/foxhold-testbed/src/scenarios/runner/servers.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/servers.rs
@@ -13,9 +13,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::process::Command;
 
-/// A server that does not listen by then does not start.
+/// Time within which a server must report its address.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a command waits for room in a server's pipe.
+/// Longest wait until a command is written to a server's pipe.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl ScenarioRun {
@@ -26,39 +26,42 @@
         Ok(())
     }
 
-    /// Whether somebody is not there at the run's beginning.
+    /// Returns whether a participant starts only by a `join` fault.
     pub(super) fn joins(&self, name: &str) -> bool {
         let joins = self.scenario.faults.iter().filter(|f| f.kind == FaultKind::Join);
-        joins.filter_map(|f| self.scenario.resolve(&f.who)).any(|whom| whom.contains(name))
+        joins.filter_map(|f| self.scenario.resolve(&f.who)).any(|participants| participants.contains(name))
     }
 
     pub(super) async fn start_server(&self, name: &str, cold: bool) -> Result<(), TestbedError> {
-        let part = &self.parts[name];
-        let kept = part.address.borrow().clone();
-        let listen = if kept.is_empty() { "127.0.0.1:0".into() } else { kept };
+        let participant = &self.participants[name];
+        let previous = participant.address.borrow().clone();
+        let listen = if previous.is_empty() { "127.0.0.1:0".into() } else { previous };
         let config = self.server_config(name, listen, cold);
         let mut command = Command::new(&self.programs.testbed);
         command.arg("emulate").arg(serde_json::to_string(&config)?);
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null()).kill_on_drop(true);
-        let mut child = command.spawn().map_err(|e| format!("{name}: {e}"))?;
-        let mut lines = BufReader::new(child.stdout.take().ok_or("no output")?).lines();
+        let mut child = command.spawn().map_err(|e| format!("can't start {name}: {e}"))?;
+        let mut lines =
+            BufReader::new(child.stdout.take().ok_or("standard output of the child process is not piped")?)
+                .lines();
         let process = Process::new(child);
         let first = tokio::time::timeout(START_TIMEOUT, lines.next_line()).await;
-        let first =
-            first.map_err(|_| format!("{name} does not start"))??.ok_or(format!("{name} ended at once"))?;
+        let first = first
+            .map_err(|_| format!("{name} did not report its address within {START_TIMEOUT:?}"))??
+            .ok_or(format!("{name} exited before it reported its address"))?;
         let ServerEvent::Listens(address) = serde_json::from_str(&first)? else {
-            return Err(format!("{name}: {first}").into());
+            return Err(format!("{name}: expected its address, got: {first}").into());
         };
-        *part.address.borrow_mut() = address;
-        *part.process.borrow_mut() = Some(process);
+        *participant.address.borrow_mut() = address;
+        *participant.process.borrow_mut() = Some(process);
         if cold {
-            part.since.set(unix_ms());
+            participant.since.set(unix_ms());
         }
         let (seen, name) = (Rc::clone(&self.seen), name.to_owned());
         tokio::task::spawn_local(async move {
             while let Ok(Some(line)) = lines.next_line().await {
-                if let Ok(note) = serde_json::from_str(&line) {
-                    seen.borrow_mut().notes.push((name.clone(), note));
+                if let Ok(event) = serde_json::from_str(&line) {
+                    seen.borrow_mut().notes.push((name.clone(), event));
                 }
             }
         });
@@ -66,7 +69,7 @@
     }
 
     fn server_config(&self, name: &str, listen: String, cold: bool) -> ServerConfig {
-        let kinds = self.scenario.classes.iter().map(|c| ContentClass {
+        let classes = self.scenario.classes.iter().map(|c| ContentClass {
             name: c.name.clone(),
             share: c.share,
             mean_kb: c.work_ms / 1e3 * TRANSFER_KB_PER_S,
@@ -76,7 +79,7 @@
             name: name.into(),
             listen,
             spec: self.specs[name].clone(),
-            kinds: kinds.collect(),
+            kinds: classes.collect(),
             slow_start: cold,
         }
     }
@@ -84,37 +87,38 @@
     pub(super) async fn command(&self, name: &str, command: &ServerCommand) {
         let Ok(mut line) = serde_json::to_vec(command) else { return };
         line.push(b'\n');
-        let pipe = self.parts[name].process.borrow_mut().as_mut().and_then(|p| p.stdin.take());
+        let pipe = self.participants[name].process.borrow_mut().as_mut().and_then(|p| p.stdin.take());
         let Some(mut pipe) = pipe else { return };
-        // A server that is stopped reads later; what fits the pipe is enough for all that it is ever told.
+        // A stopped server reads its commands later; the pipe's buffer holds all commands of a run.
         let _ = tokio::time::timeout(COMMAND_TIMEOUT, pipe.write_all(&line)).await;
-        if let Some(process) = self.parts[name].process.borrow_mut().as_mut() {
+        if let Some(process) = self.participants[name].process.borrow_mut().as_mut() {
             process.stdin = Some(pipe);
         }
     }
 
-    /// Where this one reaches that one: by a relay, where some fault affects the link between them.
-    pub(super) fn reaches(&self, who: &str, whom: &str) -> String {
+    /// Returns the address at which `from` reaches `to`: a relay if a fault affects the link between them.
+    pub(super) fn address_for(&self, from: &str, to: &str) -> String {
         let links = self.links.borrow();
-        let link = links.get(&(who.to_owned(), whom.to_owned()));
-        link.map_or_else(|| self.parts[whom].address.borrow().clone(), |link| link.address.clone())
+        let link = links.get(&(from.to_owned(), to.to_owned()));
+        link.map_or_else(|| self.participants[to].address.borrow().clone(), |link| link.address.clone())
     }
 
-    pub(super) async fn tell_peers(&self, name: &str) {
+    pub(super) async fn send_peer_addresses(&self, name: &str) {
         let others = self.specs.keys().filter(|n| *n != name);
-        let peers = others.map(|n| (n.clone(), self.reaches(name, n))).collect();
+        let peers = others.map(|n| (n.clone(), self.address_for(name, n))).collect();
         self.command(name, &ServerCommand::Peers(peers)).await;
     }
 
-    /// Opens a relay for each link to a server that is to be faulty, and tells the servers of each other.
+    /// Opens a relay for each link to a server that a fault affects, and sends each server the others'
+    /// addresses.
     pub(super) async fn link_servers(&self) -> Result<(), TestbedError> {
-        for (who, whom) in self.faulty_links().into_iter().filter(|pair| pair.1 != "board") {
-            let address = self.parts[&whom].address.borrow().clone();
+        for (from, to) in self.faulty_links().into_iter().filter(|pair| pair.1 != "board") {
+            let address = self.participants[&to].address.borrow().clone();
             let link = Link::open(address).await?;
-            self.links.borrow_mut().insert((who, whom), link);
+            self.links.borrow_mut().insert((from, to), link);
         }
         for name in self.specs.keys().filter(|name| !self.joins(name)) {
-            self.tell_peers(name).await;
+            self.send_peer_addresses(name).await;
         }
         Ok(())
     }
--- a/crates/foxhold-testbed/src/scenarios/runner/specs.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/specs.rs
@@ -1,4 +1,4 @@
-//! What the servers of a run can do, drawn from its scenario.
+//! Capacities of a run's servers, drawn from its scenario.
 
 use super::{INITIAL_CAPACITY_SHARE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S, WARM_UP_S};
 use crate::load::clients::TRANSFER_KB_PER_S;
@@ -8,20 +8,22 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Separates the draws of servers' sizes from all others of the same seed.
+/// Added to the scenario's seed for the draws of server sizes, so that they are independent of other draws.
 const SIZE_SEED: u64 = 0x5eed;
-/// Requests that a server has room for, and fills of a cache, by each transfer of its link.
+/// Requests that a server holds at once, per transfer that its link carries.
 const SLOTS_PER_TRANSFER: f64 = 12.0;
+/// Fills that a cache has in flight at most, per transfer that its link carries on average.
 const FILLS_PER_TRANSFER: f64 = 4.0;
-/// What a parent keeps, as a share of all objects' bytes.
+/// Memory of a parent, as a share of the bytes of all objects.
 const PARENT_CACHED_SHARE: f64 = 0.6;
-/// How many times faster than to clients parents and the origin send.
+/// Transfer rate of parents and of the origin, as a multiple of the rate to clients.
 const FILL_PACE: f64 = 3.0;
-/// Seconds that the origin takes before it sends, and for which it stops when it is overloaded.
+/// Seconds that the origin takes before it starts to send.
 const ORIGIN_LATENCY_S: f64 = 0.03;
+/// Seconds for which an overloaded origin stops serving.
 const ORIGIN_STOP_S: f64 = 3.0;
 
-/// The servers by name, with what each can do.
+/// Draws the capacities of all servers, by server name.
 pub(super) fn draw_specs(scenario: &Scenario) -> BTreeMap<String, ServerSpec> {
     let mean_kb = mean_read_kb(scenario);
     let all_kb = mean_kb * scenario.objects as f64;
@@ -41,7 +43,7 @@
     specs
 }
 
-/// The mean size of what is read, in KB.
+/// Returns the mean size of objects that are read, in KB.
 fn mean_read_kb(scenario: &Scenario) -> f64 {
     let mean = |c: &RequestClass| c.share * c.work_ms / 1e3 * TRANSFER_KB_PER_S;
     let reads = scenario.classes.iter().filter(|c| !c.write);
@@ -56,7 +58,7 @@
     }
 }
 
-/// What all servers of a role have alike.
+/// Returns the values that all servers of a role have in common.
 fn common(role: Role) -> ServerSpec {
     ServerSpec {
         flow: TRANSFER_KB_PER_S,
--- a/crates/foxhold-testbed/src/scenarios/scenario.rs
+++ b/crates/foxhold-testbed/src/scenarios/scenario.rs
@@ -1,7 +1,7 @@
-//! A run of many processes as data: who takes part, what is asked, and what goes wrong when.
+//! A scenario as data: the processes that take part, the load, and the fault schedule.
 //!
 //! ```yaml
-//! name: a cache dies
+//! name: a cache is killed
 //! directors: 200
 //! caches: 24
 //! seconds: 12
@@ -18,189 +18,193 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Most processes of one play.
+/// Largest number of processes in one run.
 pub const MAX_PROCESSES: usize = 700;
-/// Most requests of one play.
+/// Largest number of requests in one run.
 pub const MAX_REQUESTS: f64 = 2_000_000.0;
-/// Longest play, in seconds.
+/// Longest duration of the load, in seconds.
 pub const MAX_SECONDS: f64 = 5_400.0;
 
-/// A class of requests.
+/// A class of requests, with its share of the load and its latency objective.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
-    /// Its name.
+    /// The class name in request URLs and in the report.
     pub name: String,
-    /// Its share of the requests.
+    /// Share of the requests, relative to the shares of the other classes.
     pub share: f64,
-    /// Milliseconds of sending at full pace, on average.
+    /// Mean transfer time at full rate, in milliseconds.
     pub work_ms: f64,
-    /// Milliseconds in which an answer is wanted, beside `stretch` times its own sending time.
+    /// Latency objective in milliseconds, to which `stretch` times the transfer time is added.
     #[serde(rename = "aim_ms", alias = "objective_ms")]
     pub objective_ms: f64,
-    /// See `aim_ms`.
+    /// Multiple of the transfer time that is added to `aim_ms`.
     #[serde(default)]
     pub stretch: f64,
-    /// Milliseconds after which the client gives up.
+    /// The client's deadline, in milliseconds.
     #[serde(rename = "give_up_ms", alias = "deadline_ms")]
     pub deadline_ms: f64,
-    /// Runs at the origin, and must never run twice.
+    /// The request is executed at the origin and must not be executed more than once.
     #[serde(default)]
     pub write: bool,
 }
 
-/// What goes wrong at a moment.
+/// An entry of the fault schedule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Seconds after the load's start.
+    /// Seconds after the start of the load.
     pub at: f64,
-    /// Seconds until it is over; none: not at all, or (of restarts) at once.
+    /// Duration in seconds. `None`: a killed process restarts at once; any other fault lasts to the end of
+    /// the run.
     #[serde(default, rename = "for")]
     pub lasts: Option<f64>,
-    /// What is done.
+    /// Kind of the fault.
     #[serde(rename = "do")]
     pub kind: FaultKind,
-    /// Whom it meets: `cache-3`, `parents`, `directors 1-100`, `directors 1/3`, `origin-1`.
+    /// Participants that are affected: `cache-3`, `parents`, `directors 1-100`, `directors 1/3`, `origin-1`.
     #[serde(default)]
     pub who: String,
-    /// The other end of a link: a server's name, or `board`.
+    /// The other end of a link: participants, or `board` for the discovery service.
     #[serde(default)]
     pub to: String,
-    /// What is done to a link.
+    /// The condition of a faulty link.
     #[serde(default, rename = "hurt", alias = "link_fault")]
     pub link_fault: LinkFault,
-    /// A share of the requests (hot), of the groups (purge).
+    /// Share of the requests (`hot`) or of the groups (`purge`).
     #[serde(default)]
     pub share: f64,
-    /// An object's number.
+    /// Number of the object (`hot`, `purge`); 0 purges groups instead of an object.
     #[serde(default)]
     pub object: u64,
-    /// How many times slower.
+    /// Factor of the service time (`slow`) or of the load (`burst`).
     #[serde(default)]
     pub times: f64,
-    /// The rule that a scenarioted fault breaks.
+    /// The rule that a `plant` fault breaks.
     #[serde(default)]
     pub breach: Option<RuleBreach>,
-    /// The director whose operators tell of a drain, undrain or purge; none: the discovery service does.
+    /// The director at whose admin endpoint a drain, undrain or purge is requested. `None`: the discovery
+    /// service publishes it.
     #[serde(default)]
     pub by: Option<String>,
-    /// The share of messages that the gossip between directors loses; 1: all.
+    /// Share of gossip messages that are lost; 1 loses all.
     #[serde(default)]
     pub lost: f64,
-    /// And up to how many milliseconds late each comes.
+    /// Longest delay of a gossip message, in milliseconds.
     #[serde(default)]
     pub late_ms: u64,
 }
 
-/// Kinds of faults.
+/// Kinds of faults that a scenario can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// SIGKILL; started again when it is over, cold and empty.
+    /// Kills processes (SIGKILL). They restart when the fault ends, cold and with an empty cache.
     Kill,
-    /// Not there before: a server starts cold and is listed then, a director starts then.
+    /// Starts participants that did not run before: servers start cold and are then listed.
     Join,
-    /// SIGSTOP; SIGCONT when it is over.
+    /// Stops processes (SIGSTOP), and continues them (SIGCONT) when the fault ends.
     Stall,
-    /// A link faulty.
+    /// Makes links faulty, as `hurt` says.
     Link,
-    /// An object draws this share of all requests.
+    /// Directs this share of all requests to one object.
     Hot,
-    /// The board and the servers are told of a purge: of an object, or of a share of all groups.
+    /// Purges an object, or a share of all groups, at the directors and the servers.
     Purge,
-    /// The board tells that a server drains, or a director's operators do.
+    /// Drains servers, by the discovery service or by a director's admin endpoint.
     Drain,
-    /// A director's operators take that back.
+    /// Removes a drain override at a director's admin endpoint.
     Undrain,
-    /// What directors say to each other, between `who` and `to` both ways, is lost or late.
+    /// Loses or delays gossip between `who` and `to`, in both directions.
     #[serde(rename = "talk", alias = "gossip-link")]
     GossipLink,
-    /// A server takes so many times as long.
+    /// Multiplies the service time of servers.
     Slow,
-    /// So many times the load.
+    /// Multiplies the load.
     Burst,
-    /// A server breaks a rule by itself, to show that the check finds it.
+    /// Makes a participant break a rule, to show that the checks detect it.
     Plant,
 }
 
 impl FaultKind {
-    /// Whether a fault of this kind needs `who`.
+    /// Returns whether a fault of this kind needs `who`.
     fn names_participants(self) -> bool {
         !matches!(self, FaultKind::Hot | FaultKind::Purge | FaultKind::Burst)
     }
 }
 
-/// Rules that can be broken on purpose.
+/// Rules that a `plant` fault can break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RuleBreach {
-    /// The server gives copies older than a purge, and than it was asked for.
+    /// The server returns copies older than a purge and older than the request allows.
     OldCopy,
-    /// It drains, and no director is told.
+    /// The server drains without notifying the directors.
     SecretDrain,
-    /// It runs every write twice.
+    /// The server executes every write twice.
     #[serde(rename = "twice", alias = "duplicate-write")]
     DuplicateWrite,
-    /// It says of each fill that it has the bytes of another object.
+    /// The server alters the last byte of each representation, as if it were of another object.
     OtherBytes,
-    /// Clients of this director that leave are said to have left 0.2 s before they ask.
+    /// The director's clients that disconnect are recorded as having left 0.2 s before they send their
+    /// requests.
     AskedAfterLeave,
-    /// It starts anew, cold and empty, and the list does not tell.
+    /// The server restarts cold and with an empty cache, and the discovery service does not report it.
     SecretRestart,
 }
 
-/// All of a run.
+/// A scenario: participants, load and fault schedule. Missing keys have default values.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// What it is called.
+    /// Name of the scenario in reports.
     pub name: String,
-    /// Processes of the director.
+    /// Number of director processes.
     pub directors: usize,
-    /// Caches.
+    /// Number of cache servers.
     pub caches: usize,
-    /// Parents.
+    /// Number of parent servers; at least two.
     pub parents: usize,
-    /// Seconds of load.
+    /// Seconds of measured load.
     pub seconds: f64,
-    /// Seconds of load before these, in which caches fill and nothing is measured.
+    /// Seconds of load before the measured load, in which caches fill.
     #[serde(rename = "settle", alias = "warm_up_seconds")]
     pub warm_up_seconds: f64,
-    /// Requests a second over the fleet.
+    /// Requests a second, over all directors.
     pub rate: f64,
-    /// Objects.
+    /// Number of objects that clients request.
     pub objects: u64,
-    /// How uneven their popularity is.
+    /// Exponent of the Zipf distribution of object popularity.
     pub zipf: f64,
-    /// Transfers at full pace on a cache's link; sizes of single caches follow `uneven`.
+    /// Mean number of transfers that a cache's link carries at full rate; `uneven` spreads it over the
+    /// caches.
     pub cache_link: f64,
-    /// The smallest and largest cache are so far from the mean, as a share of it.
+    /// Largest deviation of a cache's `cache_link` from the mean, as a share of the mean.
     pub uneven: f64,
-    /// Transfers at full pace on a parent's link.
+    /// Number of transfers that a parent's link carries at full rate.
     pub parent_link: f64,
-    /// What a cache keeps, as a share of all objects' bytes.
+    /// Memory of a cache, as a share of the bytes of all objects.
     pub cache_keeps: f64,
-    /// Calls a second that the origin can answer.
+    /// Requests a second that the origin can serve.
     pub origin_rate: f64,
-    /// This part of the directors sees `often` times what the others see.
+    /// Share of the directors that receive `often` times as many requests as the others.
     pub often_part: f64,
-    /// See `often_part`.
+    /// Load of a director in `often_part`, as a multiple of that of another director.
     pub often: f64,
-    /// The clients of this part of the requests leave, each at a moment drawn from those within
-    /// `leave_within_ms` after its request, by closing or resetting its connection.
+    /// Share of requests whose client closes or resets its connection, at a time drawn from the
+    /// `leave_within_ms` after the request.
     pub leave: f64,
-    /// See `leave`.
+    /// Latest disconnect after a request, in milliseconds; see `leave`.
     pub leave_within_ms: f64,
-    /// Each director hears of the list up to so many seconds late, always the same.
+    /// Longest delay of discovery events, in seconds. Each director has one fixed delay up to this.
     pub list_late: f64,
-    /// Directors gossip among themselves.
+    /// Directors gossip with each other.
     pub peers: bool,
-    /// The classes.
+    /// Request classes of the load.
     pub classes: Vec<RequestClass>,
-    /// What goes wrong.
+    /// The fault schedule.
     pub faults: Vec<Fault>,
-    /// Seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -246,18 +250,18 @@
     }
 }
 
-/// Why a scenario can't be run.
+/// Reason why a scenario is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {what}")]
 pub struct ScenarioError {
-    /// The key, or the fault by its number from 1.
+    /// The key, or the number of the fault, counted from 1.
     pub place: String,
-    /// What is wrong.
+    /// What was met, and what is allowed.
     pub what: String,
 }
 
 impl Scenario {
-    /// Reads a scenario and checks it.
+    /// Parses a scenario (YAML or JSON) and checks it.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = serde_saphyr::from_str(text)
             .map_err(|e| ScenarioError { place: "plan".into(), what: e.to_string() })?;
@@ -265,16 +269,17 @@
         Ok(scenario)
     }
 
-    /// Whether a rule is broken on purpose by, or for, this one at a moment.
+    /// Returns whether a `plant` fault makes participant `who` break the rule at time `at`, in seconds of
+    /// load.
     pub fn is_planted(&self, breach: RuleBreach, who: &str, at: f64) -> bool {
         let planted = |f: &&Fault| f.kind == FaultKind::Plant && f.breach == Some(breach) && at >= f.at;
         self.faults
             .iter()
             .filter(planted)
-            .any(|f| self.resolve(&f.who).is_some_and(|whom| whom.contains(who)))
+            .any(|f| self.resolve(&f.who).is_some_and(|participants| participants.contains(who)))
     }
 
-    /// Everybody's name, by the group's.
+    /// Returns the name prefix and the number of members of a group, or `None` if there is no such group.
     pub fn group(&self, name: &str) -> Option<(&'static str, usize)> {
         Some(match name {
             "director" | "directors" => ("director", self.directors),
@@ -285,8 +290,9 @@
         })
     }
 
-    /// Who is meant: one by its name, a group, a stretch of it by numbers (`directors 1-100`) or a part of it
-    /// (`directors 1/3`: every third).
+    /// Returns the participants that a text names: a single name, a group, a range of numbers (`directors
+    /// 1-100`) or a fraction of a group (`directors 1/3`: every third). Returns `None` if it names an unknown
+    /// one.
     pub fn resolve(&self, text: &str) -> Option<BTreeSet<String>> {
         let (name, numbers) = match text.split_once([' ', '-']) {
             Some((name, rest)) => (name, Some(rest.trim())),
@@ -297,9 +303,9 @@
         let numbers: Vec<usize> = match numbers {
             None => (1..=count).collect(),
             Some(part) if part.contains('/') => {
-                let (some, of) = part.split_once('/')?;
-                let (some, of) = (number(some)?, number(of).filter(|of| *of > 0)?);
-                (1..=count).filter(|n| n % of < some).collect()
+                let (part_size, of) = part.split_once('/')?;
+                let (part_size, of) = (number(part_size)?, number(of).filter(|of| *of > 0)?);
+                (1..=count).filter(|n| n % of < part_size).collect()
             }
             Some(span) => match span.split_once('-') {
                 Some((first, last)) => (number(first)?..=number(last)?).collect(),
--- a/crates/foxhold-testbed/src/scenarios/scenario/checks.rs
+++ b/crates/foxhold-testbed/src/scenarios/scenario/checks.rs
@@ -2,27 +2,27 @@
 
 use super::{Fault, FaultKind, Scenario, ScenarioError, MAX_PROCESSES, MAX_REQUESTS, MAX_SECONDS};
 
-/// Why a fault can't be injected.
+/// Reason why a fault can't be injected.
 #[derive(Debug, thiserror::Error)]
 enum FaultError {
-    #[error("at {0} is outside of the run")]
-    OutsideOfRun(f64),
-    #[error("who: nobody here is called '{0}'")]
+    #[error("at: {at} is not between 0 and {seconds}, the length of the run")]
+    OutsideOfRun { at: f64, seconds: f64 },
+    #[error("who: '{0}' names no participant of this scenario")]
     UnknownParticipant(String),
-    #[error("breach: the rule to break is missing")]
+    #[error("breach: missing; a fault of kind plant needs the rule to break")]
     MissingBreach,
-    #[error("directors talk only where the plan says peers: true")]
+    #[error("the fault needs gossip between directors: set peers: true")]
     WithoutGossip,
-    #[error("by: is not one director")]
-    NotOneDirector,
-    #[error("by: the director that is told is missing")]
+    #[error("by: '{0}' is not the name of one director")]
+    NotOneDirector(String),
+    #[error("by: missing; undrain needs the director that receives the command")]
     MissingDirector,
-    #[error("to: nobody here is called '{0}'")]
+    #[error("to: '{0}' names no participant of this scenario")]
     UnknownOtherEnd(String),
 }
 
 impl Scenario {
-    /// Whether it can be run.
+    /// Checks that the scenario can be run: sizes, ranges, and each fault.
     pub fn check(&self) -> Result<(), ScenarioError> {
         self.check_size()?;
         self.check_ranges()?;
@@ -38,13 +38,19 @@
         let error = |place: &str, what: String| Err(ScenarioError { place: place.into(), what });
         let processes = self.directors + self.caches + self.parents + 1;
         if processes > MAX_PROCESSES {
-            return error("directors", format!("{processes} processes in all, {MAX_PROCESSES} at most"));
+            return error(
+                "directors",
+                format!("{processes} processes in all, at most {MAX_PROCESSES} are allowed"),
+            );
         }
         if !(0.1..=MAX_SECONDS).contains(&self.seconds) {
             return error("seconds", format!("{} is not between 0.1 and {MAX_SECONDS}", self.seconds));
         }
         if !(self.rate > 0.0 && self.rate * self.seconds <= MAX_REQUESTS) {
-            return error("rate", format!("over all the time 1 to {MAX_REQUESTS} requests"));
+            return error(
+                "rate",
+                format!("rate times seconds must be positive and at most {MAX_REQUESTS} requests"),
+            );
         }
         Ok(())
     }
@@ -73,10 +79,10 @@
         }
     }
 
-    /// Whether a fault can be injected; the error says what is wrong.
+    /// Checks that a fault can be injected.
     fn check_fault(&self, fault: &Fault) -> Result<(), FaultError> {
         if !(0.0..=self.seconds).contains(&fault.at) {
-            return Err(FaultError::OutsideOfRun(fault.at));
+            return Err(FaultError::OutsideOfRun { at: fault.at, seconds: self.seconds });
         }
         if fault.kind.names_participants() && self.resolve(&fault.who).is_none_or(|w| w.is_empty()) {
             return Err(FaultError::UnknownParticipant(fault.who.clone()));
@@ -90,7 +96,7 @@
         }
         let one = |name: &String| self.resolve(name).filter(|w| w.len() == 1 && name.starts_with("director"));
         if fault.by.as_ref().is_some_and(|by| one(by).is_none()) {
-            return Err(FaultError::NotOneDirector);
+            return Err(FaultError::NotOneDirector(fault.by.clone().unwrap_or_default()));
         }
         if fault.kind == FaultKind::Undrain && fault.by.is_none() {
             return Err(FaultError::MissingDirector);
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/clock.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/clock.rs
@@ -1,12 +1,12 @@
-//! Simulated time: one queue of events, in the order of their times and, at one time, of their scheduling.
+//! Simulated time: an event queue ordered by time and, at equal times, by the order of scheduling.
 
 use foxhold::policy::types::Micros;
 use foxhold::replication::state::ClockReading;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Unix time at the start of a simulation, in microseconds. Any would do: it is fixed so that a seed decides
-/// all.
+/// Unix time at the start of a simulation, in microseconds. It is fixed so that a run depends on the seed
+/// alone.
 pub const UNIX_START: Micros = 1_800_000_000_000_000;
 
 struct Scheduled<E> {
@@ -37,12 +37,12 @@
 
 impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The greatest of a `BinaryHeap` is popped first.
+        // Reversed: a `BinaryHeap` pops its greatest element first.
         other.order().cmp(&self.order())
     }
 }
 
-/// The clock and the events to come.
+/// The simulated clock and its queue of future events.
 pub struct Clock<E> {
     now: Micros,
     sequence: u64,
@@ -51,22 +51,23 @@
 }
 
 impl<E> Clock<E> {
-    /// At time zero, with room for so many events at a time.
-    pub fn new(most: usize) -> Clock<E> {
-        Clock { now: 0, sequence: 0, max_events: most, queue: BinaryHeap::new() }
+    /// Creates a clock at time zero that queues at most `max_events` events.
+    pub fn new(max_events: usize) -> Clock<E> {
+        Clock { now: 0, sequence: 0, max_events, queue: BinaryHeap::new() }
     }
 
-    /// The time, in microseconds since the start.
+    /// Returns the time in microseconds since the start.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// The time as the replicated state takes it: a director's steady clock starts near Unix time too.
+    /// Returns the time in the form that the replicated state uses. As in a director, the monotonic clock
+    /// starts near Unix time.
     pub fn host_time(&self) -> ClockReading {
         ClockReading { monotonic: UNIX_START + self.now, unix: UNIX_START + self.now }
     }
 
-    /// Schedules an event after a delay. False: the queue is full and the event is not taken.
+    /// Schedules an event after a delay. Returns false, without scheduling it, if the queue is full.
     #[must_use]
     pub fn schedule(&mut self, after: Micros, event: E) -> bool {
         if self.queue.len() >= self.max_events {
@@ -77,7 +78,8 @@
         true
     }
 
-    /// The next event before a time, to which the clock then goes; none: the clock stands at that time.
+    /// Returns the next event before `end` and advances the clock to it. If there is none, returns `None` and
+    /// advances the clock to `end`.
     pub fn next_until(&mut self, end: Micros) -> Option<E> {
         if self.queue.peek().is_none_or(|next| next.at >= end) {
             self.now = end;
@@ -88,7 +90,7 @@
         Some(next.event)
     }
 
-    /// Forgets all events, and the memory that they took.
+    /// Removes all events and frees their memory.
     pub fn clear(&mut self) {
         self.queue = BinaryHeap::new();
     }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
@@ -1,5 +1,5 @@
-//! One simulated director: the real membership, conversation, replay window and seal, put together as the
-//! actor in [`foxhold::cluster`] does it, without its socket, its disk and its core.
+//! A simulated director: the production membership, gossip, replay window and frame authentication, combined
+//! as the actor in [`foxhold::cluster`] does, without its socket, its disk and the policy core.
 
 use foxhold::cluster::frame::{Body, FrameCodec, Message};
 use foxhold::cluster::members::{Member, Members, ProtocolOutput, Timer};
@@ -17,23 +17,23 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-/// The port of all simulated directors; nothing is opened there.
+/// Port in the addresses of all simulated directors; no socket is opened.
 const PORT: u16 = 7_300;
-/// Seeds that directors are set up with, as operators do.
+/// Number of seeds that each director is configured with.
 const SEED_DIRECTORS: usize = 3;
 
-/// What a director wants done.
+/// Effects of an event that the simulation carries out.
 #[derive(Default)]
 pub struct Output {
-    /// Datagrams to send.
+    /// Datagrams to send, with the number of the receiving director.
     pub datagrams: Vec<(usize, Vec<u8>)>,
-    /// Timers to give back after so many microseconds.
+    /// Timers to start, with their delays in microseconds.
     pub timers: Vec<(Micros, Timer)>,
-    /// Keys of which it came to hold something new.
+    /// Keys of replicated entries that were added or updated.
     pub learned: Vec<Key>,
 }
 
-/// The address of a director.
+/// Returns the address of a director.
 pub fn address(director: usize) -> SocketAddr {
     let [_, a, b, c] = (director as u32).to_be_bytes();
     (Ipv4Addr::new(10, a, b, c), PORT).into()
@@ -46,17 +46,17 @@
     }
 }
 
-/// A director as membership knows it, started with this incarnation.
+/// Returns the member entry of a director with this incarnation.
 pub fn member(director: usize, incarnation: u64) -> Member {
     Member::new(&format!("director-{director}"), address(director), incarnation)
 }
 
-/// The director.
+/// A simulated director.
 pub struct Director {
     me: usize,
     run: u64,
     sent: u64,
-    seal: Rc<FrameCodec>,
+    codec: Rc<FrameCodec>,
     members: Members,
     gossip: GossipProtocol<SocketAddr>,
     replay_window: ReplayWindow<SocketAddr>,
@@ -70,19 +70,19 @@
 }
 
 impl Director {
-    /// One of so many directors, at its start.
-    pub fn new(me: usize, directors: usize, seal: Rc<FrameCodec>, seed: u64, now: ClockReading) -> Director {
+    /// Creates a director of a fleet of `directors`, as it is after a start without state.
+    pub fn new(me: usize, directors: usize, codec: Rc<FrameCodec>, seed: u64, now: ClockReading) -> Director {
         let mut random = StdRng::seed_from_u64(seed ^ (me as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let run: u64 = random.random();
         let members = Members::new(member(me, now.unix), directors as u32, run);
-        let talk = GossipProtocol::new(ReplicatedState::new(Incarnation(run), Bounds::default()), run, now);
+        let gossip = GossipProtocol::new(ReplicatedState::new(Incarnation(run), Bounds::default()), run, now);
         Director {
             me,
             run,
             sent: 0,
-            seal,
+            codec,
             members,
-            gossip: talk,
+            gossip,
             replay_window: ReplayWindow::new(REMEMBERED_SENDERS),
             last_received: HashMap::new(),
             known: HashSet::new(),
@@ -94,44 +94,44 @@
         }
     }
 
-    /// Takes others for known, as in a fleet that has long been up.
+    /// Adds other directors as known members, as in a fleet that has long been running.
     pub fn know(&mut self, others: impl Iterator<Item = Member>) -> Output {
         let mut output = Output::default();
-        let asked = self.members.know(others);
-        self.apply_membership(asked, &mut output);
+        let membership_output = self.members.know(others);
+        self.apply_membership(membership_output, &mut output);
         self.peers_known = self.gossip.peers().len();
         output
     }
 
-    /// Holds a purge of that time, as if it had long been told.
+    /// Adds a purge with an earlier time to the replicated state, without sending it to peers.
     pub fn hold(&mut self, key: Key, at: Micros, now: ClockReading) {
-        // Refused only past the bound on entries, which the report shows by the entries held.
+        // Fails only if the bound on entries is reached; the report shows that by the number of entries held.
         let _ = self.gossip.state.purge(key, at, now);
     }
 
-    /// The entries that it holds.
+    /// Returns the replicated state.
     pub fn state(&self) -> &ReplicatedState {
         &self.gossip.state
     }
 
-    /// The others that it takes to be there.
+    /// Returns the number of peers that it considers alive.
     pub fn others(&self) -> usize {
         self.gossip.peers().len()
     }
 
-    /// Whether it is still pulling what others hold.
+    /// Returns whether the director is still catching up.
     pub fn catches_up(&self) -> bool {
         self.gossip.stage() == Stage::CatchingUp
     }
 
-    /// What is due by itself, each [`foxhold::cluster::TICK`].
+    /// Handles periodic work; due each [`foxhold::cluster::TICK`].
     pub fn tick(&mut self, now: ClockReading) -> Output {
         let mut output = Output::default();
-        self.converse(now, &mut output);
+        self.run_gossip(now, &mut output);
         if now.monotonic >= self.next_seeds {
             self.next_seeds = now.monotonic
                 + (SEED_INTERVAL.as_micros() as f64 * self.random.random_range(0.5..1.5)) as Micros;
-            self.look_for_seeds(&mut output);
+            self.greet_missing_seeds(&mut output);
         }
         if now.monotonic >= self.next_discovery {
             self.next_discovery = now.monotonic + DISCOVERY_INTERVAL.as_micros() as Micros;
@@ -140,21 +140,21 @@
         output
     }
 
-    fn converse(&mut self, now: ClockReading, output: &mut Output) {
-        let mut said = Vec::new();
-        self.gossip.tick(now, &mut said);
-        self.send_message(said, output);
+    fn run_gossip(&mut self, now: ClockReading, output: &mut Output) {
+        let mut messages = Vec::new();
+        self.gossip.tick(now, &mut messages);
+        self.send_message(messages, output);
     }
 
-    fn look_for_seeds(&mut self, output: &mut Output) {
-        let there: BTreeSet<SocketAddr> = self.members.peers().iter().map(|m| m.address).collect();
+    fn greet_missing_seeds(&mut self, output: &mut Output) {
+        let known_addresses: BTreeSet<SocketAddr> = self.members.peers().iter().map(|m| m.address).collect();
         let seeds = (0..SEED_DIRECTORS).filter(|seed| *seed != self.me).map(address);
-        let missing: Vec<SocketAddr> = seeds.filter(|seed| !there.contains(seed)).collect();
+        let missing: Vec<SocketAddr> = seeds.filter(|seed| !known_addresses.contains(seed)).collect();
         for seed in missing {
-            let asked = self.members.announce(seed);
-            self.apply_membership(asked, output);
+            let membership_output = self.members.announce(seed);
+            self.apply_membership(membership_output, output);
         }
-        // The actor looks at the names of all members here.
+        // Keeps the processor time of the check for duplicate names, which the actor runs here.
         let _duplicates = self.members.duplicate_names();
     }
 
@@ -165,33 +165,33 @@
         }
         for _ in 0..DISCOVERY_FANOUT {
             let one = others[self.random.random_range(0..others.len())];
-            let asked = self.members.announce(one);
-            self.apply_membership(asked, output);
+            let membership_output = self.members.announce(one);
+            self.apply_membership(membership_output, output);
         }
     }
 
-    /// An operator's purge, told here now.
+    /// Handles an operator's purge at this director.
     pub fn purge(&mut self, key: Key, now: ClockReading) -> Output {
         let mut output = Output::default();
         let change = self.gossip.state.purge(key, now.unix, now).ok().flatten();
         output.learned.extend(change.iter().map(|(key, _)| key.clone()));
         self.gossip.publish(change);
-        self.converse(now, &mut output);
+        self.run_gossip(now, &mut output);
         output
     }
 
-    /// A timer rang.
+    /// Handles an expired timer.
     pub fn rang(&mut self, timer: Timer) -> Output {
         let mut output = Output::default();
-        let asked = self.members.handle_timer(timer);
-        self.apply_membership(asked, &mut output);
+        let membership_output = self.members.handle_timer(timer);
+        self.apply_membership(membership_output, &mut output);
         output
     }
 
-    /// A datagram came.
+    /// Handles a received datagram.
     pub fn datagram(&mut self, bytes: &[u8], now: ClockReading) -> Output {
         let mut output = Output::default();
-        let Ok(message) = self.seal.decode(bytes) else { return output };
+        let Ok(message) = self.codec.decode(bytes) else { return output };
         let from = message.from.address;
         if from == address(self.me) || !self.replay_window.accept(&from, message.incarnation, message.number)
         {
@@ -200,37 +200,37 @@
         self.last_received.insert(from, now.monotonic);
         if now.monotonic >= self.next_greeting && !self.known.contains(&message.from) {
             self.next_greeting = now.monotonic + GREETING_INTERVAL.as_micros() as Micros;
-            let asked = self.members.announce(from);
-            self.apply_membership(asked, &mut output);
+            let membership_output = self.members.announce(from);
+            self.apply_membership(membership_output, &mut output);
         }
         match message.body {
             Body::Swim(bytes) => {
-                let asked = self.members.handle_message(&bytes);
-                self.apply_membership(asked, &mut output);
+                let membership_output = self.members.handle_message(&bytes);
+                self.apply_membership(membership_output, &mut output);
             }
-            Body::Gossip(say) => {
-                let mut said = Vec::new();
-                self.gossip.handle_message(&from, say, now, &mut said);
-                self.send_message(said, &mut output);
+            Body::Gossip(message_body) => {
+                let mut messages = Vec::new();
+                self.gossip.handle_message(&from, message_body, now, &mut messages);
+                self.send_message(messages, &mut output);
             }
         }
         output
     }
 
-    fn send_message(&mut self, said: Vec<(SocketAddr, GossipMessage)>, output: &mut Output) {
-        for (to, say) in said {
-            self.send(to, Body::Gossip(say), output);
+    fn send_message(&mut self, messages: Vec<(SocketAddr, GossipMessage)>, output: &mut Output) {
+        for (to, message_body) in messages {
+            self.send(to, Body::Gossip(message_body), output);
         }
-        output.learned.extend(self.gossip.take_updates().into_iter().map(|news| news.key));
+        output.learned.extend(self.gossip.take_updates().into_iter().map(|update| update.key));
     }
 
-    fn apply_membership(&mut self, asked: ProtocolOutput, output: &mut Output) {
-        for (to, bytes) in asked.messages {
+    fn apply_membership(&mut self, membership_output: ProtocolOutput, output: &mut Output) {
+        for (to, bytes) in membership_output.messages {
             self.send(to, Body::Swim(bytes), output);
         }
-        let timers = asked.timers.into_iter();
+        let timers = membership_output.timers.into_iter();
         output.timers.extend(timers.map(|(after, timer)| (after.as_micros() as Micros, timer)));
-        if asked.changes.is_empty() {
+        if membership_output.changes.is_empty() {
             return;
         }
         self.known = self.members.peers().into_iter().collect();
@@ -244,13 +244,14 @@
         self.sent += 1;
         let from = self.members.local().clone();
         let message = Message { from, incarnation: self.run, number: self.sent, body };
-        if let (Some(datagram), Some(to)) = (self.seal.encode(&message), number(&to)) {
+        if let (Some(datagram), Some(to)) = (self.codec.encode(&message), number(&to)) {
             output.datagrams.push((to, datagram));
         }
     }
 }
 
-/// In one order: that of a `HashSet` is another in each process, and the draws of members go by it.
+/// Sorts addresses: the order of a `HashSet` differs between processes, and random draws of members depend on
+/// it.
 fn sorted(mut others: Vec<SocketAddr>) -> Vec<SocketAddr> {
     others.sort_unstable();
     others
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/measurement.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/measurement.rs
@@ -1,4 +1,4 @@
-//! What each director spent, and when purges were everywhere.
+//! Measurements of a run: resource use of the directors, and the time until all of them hold a purge.
 
 use super::network::HEADERS;
 use foxhold::policy::types::Micros;
@@ -7,66 +7,66 @@
 use serde::Serialize;
 
 const SECOND: f64 = 1e6;
-/// The longest time that is told apart: an hour.
+/// Longest time that histograms distinguish: one hour, in microseconds.
 const LONGEST: Micros = 3_600_000_000;
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Ended {
-    /// Its time was over.
+    /// The simulated time is over.
     Complete,
-    /// It was interrupted.
+    /// The process received SIGINT or SIGTERM.
     Interrupted,
-    /// As many events waited as may.
+    /// The bound on queued events was reached.
     EventsBound,
-    /// As much memory was allocated as may be.
+    /// The bound on allocated memory was reached.
     MemoryBound,
-    /// It took as long as it may.
+    /// The bound on real time was reached.
     WallBound,
 }
 
-/// What went through one director while it was measured.
+/// Resource use of one director during the measurement.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUse {
-    /// Datagrams that arrived.
+    /// Datagrams received.
     pub datagrams_in: u64,
-    /// Their bytes, with headers.
+    /// Bytes received, with headers.
     pub bytes_in: u64,
     /// Datagrams sent.
     pub datagrams_out: u64,
-    /// Their bytes, with headers.
+    /// Bytes sent, with headers.
     pub bytes_out: u64,
-    /// Processor time in its handlers, in nanoseconds.
+    /// Processor time in event handlers, in nanoseconds.
     pub processor_ns: u64,
 }
 
 impl ResourceUse {
-    /// A datagram of so many bytes arrived.
+    /// Counts a received datagram with this number of payload bytes.
     pub fn arrived(&mut self, bytes: usize) {
         self.datagrams_in += 1;
         self.bytes_in += (bytes + HEADERS) as u64;
     }
 
-    /// A datagram of so many bytes was sent.
+    /// Counts a sent datagram with this number of payload bytes.
     pub fn sent(&mut self, bytes: usize) {
         self.datagrams_out += 1;
         self.bytes_out += (bytes + HEADERS) as u64;
     }
 }
 
-/// The form of the keys that are purged.
+/// Kind of the keys that are purged.
 #[derive(Clone, Copy, Debug)]
 pub enum KeyForm {
     /// Objects with names of 16 bytes.
     Objects,
-    /// Groups.
+    /// Groups of objects, by number.
     Groups,
 }
 
 const NAME: &str = "purge-";
 
 impl KeyForm {
-    /// The key of a purge.
+    /// Returns the key of the purge with this number.
     pub fn key(self, purge: usize) -> Key {
         match self {
             KeyForm::Objects => Key::Object(format!("{NAME}{purge:010}")),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The purge of a key; none: of one that was held from the start.
+    /// Returns the number of the purge of a key, or `None` if the key is an initial entry's.
     pub fn purge(self, key: &Key) -> Option<usize> {
         match key {
             Key::Object(name) => name.strip_prefix(NAME)?.parse().ok(),
@@ -84,44 +84,44 @@
     }
 }
 
-/// One purge on its way.
+/// Progress of one purge.
 #[derive(Clone, Copy, Debug)]
 pub struct Purge {
-    /// When it was told.
+    /// Simulated time at which it was published.
     pub published_at: Micros,
-    /// When the last director so far that ran already then came to hold it.
+    /// Latest time so far at which a director that was running at `published_at` received it.
     pub latest: Micros,
 }
 
-/// An empty histogram of microseconds.
+/// Returns an empty histogram for microseconds.
 pub fn times_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds that the crate takes")
+    Histogram::new_with_bounds(1, LONGEST, 3).expect("valid histogram bounds")
 }
 
-/// Milliseconds.
+/// Distribution of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Times {
-    /// Of how many.
+    /// Number of times.
     pub count: u64,
     /// Median.
     pub p50: f64,
-    /// 99 of 100.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 of 1,000.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Times {
-    /// Of microseconds.
+    /// Calculates the distribution of times in microseconds.
     pub fn of(all: impl Iterator<Item = Micros>) -> Times {
         let mut times = times_histogram();
         all.for_each(|time| times.saturating_record(time));
         Times::read(&times)
     }
 
-    /// Of a histogram of microseconds.
+    /// Reads the distribution from a histogram of microseconds.
     pub fn read(times: &Histogram<u64>) -> Times {
         let ms = |time: u64| time as f64 / 1e3;
         Times {
@@ -134,89 +134,91 @@
     }
 }
 
-/// What one run showed. Rates are a second and director, on the mean.
+/// Results of one run. Traffic and processor time are means per director and second.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurement {
-    /// Directors.
+    /// Number of directors in the fleet.
     pub directors: u32,
-    /// Purges told a second in the whole fleet.
+    /// Purges published a second in the whole fleet.
     pub purges: u32,
-    /// Purges held from the start.
+    /// Purges that each director held from the start.
     #[serde(rename = "held")]
     pub initial_entries: u32,
     /// How the run ended.
     pub ended: Ended,
-    /// Directors that still caught up when measuring began: with any, the figures are not those of a steady
-    /// fleet.
+    /// Directors that were still catching up when the measurement started. If there are any, the results are
+    /// not those of a fleet in a steady state.
     pub catching_up: usize,
     /// Simulated seconds that were measured.
     pub seconds: f64,
-    /// Bytes that arrived, with headers.
+    /// Bytes received, with headers.
     pub bytes_in: f64,
     /// Bytes sent, with headers.
     pub bytes_out: f64,
-    /// Bytes that arrived, without headers.
+    /// Bytes received, without headers.
     pub payload_in: f64,
-    /// Datagrams that arrived.
+    /// Datagrams received.
     pub datagrams_in: f64,
     /// Datagrams sent.
     pub datagrams_out: f64,
-    /// Bytes both ways at the director with most.
+    /// Bytes received and sent a second by the director with the most.
     pub busiest_bytes: f64,
-    /// Share of the datagrams' bytes that left their region.
+    /// Share of the sent bytes that left their region.
     pub between_regions: f64,
-    /// Processor time in handlers, as a share of a core; sockets are not in it.
+    /// Processor time in event handlers, as a share of a core. Socket operations are not included.
     pub processor: f64,
-    /// The longest that one event kept a director's handler, in milliseconds of processor time.
+    /// Longest processor time of one event, in milliseconds.
     pub longest_handler_ms: f64,
-    /// MB allocated for a director at the end; 0 where nobody counts.
+    /// Memory allocated per director at the end, in MB; 0 if the allocator does not count it.
     pub memory_mb: f64,
-    /// Entries that a director held at the end.
+    /// Mean number of entries of a director at the end.
     pub entries: f64,
-    /// Bytes of these, as their bound counts them.
+    /// Mean bytes of the entries of a director, as the bound on entries counts them.
     pub entry_bytes: f64,
-    /// From a purge told until the last director that ran then held it.
+    /// Time from publishing a purge until the last director that was running then held it.
     pub to_all: Times,
-    /// From a purge told until each of the others held it.
+    /// Time from publishing a purge until a director held it, over all directors.
     pub to_each: Times,
-    /// Purges that some running director did not hold at the end, but for those that are no longer kept by
-    /// then.
+    /// Purges that at least one running director did not hold at the end, without those whose retention time
+    /// was over.
     pub missed: usize,
-    /// From the end of a cut until the last purge told before was everywhere, in milliseconds; none: no cut.
+    /// Milliseconds from the end of a partition until all directors held every purge published before. `None`
+    /// without a partition.
     pub healed_ms: Option<f64>,
-    /// Events handled in all.
+    /// Number of events handled in the whole run.
     pub events: u64,
-    /// Real seconds that the run took.
+    /// Real time of the run, in seconds.
     pub wall_s: f64,
 }
 
-/// The sums and means of a fleet's meters.
+/// Sums and means of the resource use of all directors.
 pub struct Means {
     total: ResourceUse,
     busiest: u64,
-    per: f64,
+    director_seconds: f64,
     seconds: f64,
 }
 
 impl Means {
-    /// Over so many microseconds.
-    pub fn of(spent: &[ResourceUse], length: Micros) -> Means {
+    /// Calculates sums and means over a measurement of `length` microseconds.
+    pub fn of(resource_use: &[ResourceUse], length: Micros) -> Means {
         let mut total = ResourceUse::default();
-        for one in spent {
-            total.datagrams_in += one.datagrams_in;
-            total.bytes_in += one.bytes_in;
-            total.datagrams_out += one.datagrams_out;
-            total.bytes_out += one.bytes_out;
-            total.processor_ns += one.processor_ns;
+        for usage in resource_use {
+            total.datagrams_in += usage.datagrams_in;
+            total.bytes_in += usage.bytes_in;
+            total.datagrams_out += usage.datagrams_out;
+            total.bytes_out += usage.bytes_out;
+            total.processor_ns += usage.processor_ns;
         }
-        let busiest = spent.iter().map(|one| one.bytes_in + one.bytes_out).max().unwrap_or(0);
+        let busiest = resource_use.iter().map(|usage| usage.bytes_in + usage.bytes_out).max().unwrap_or(0);
         let seconds = (length as f64 / SECOND).max(1e-6);
-        Means { total, busiest, per: seconds * spent.len().max(1) as f64, seconds }
+        Means { total, busiest, director_seconds: seconds * resource_use.len().max(1) as f64, seconds }
     }
 
-    /// Puts the means into a measurement. `crossed`: bytes that left their region.
-    pub fn fill(&self, measurement: &mut Measurement, crossed: u64) {
-        let mean = |sum: u64| sum as f64 / self.per;
+    /// Writes the means into a measurement. `bytes_between_regions` is the number of bytes that left their
+    /// region.
+    pub fn fill(&self, measurement: &mut Measurement, bytes_between_regions: u64) {
+        let mean = |sum: u64| sum as f64 / self.director_seconds;
         measurement.seconds = self.seconds;
         measurement.bytes_in = mean(self.total.bytes_in);
         measurement.bytes_out = mean(self.total.bytes_out);
@@ -224,7 +226,7 @@
         measurement.datagrams_in = mean(self.total.datagrams_in);
         measurement.datagrams_out = mean(self.total.datagrams_out);
         measurement.busiest_bytes = self.busiest as f64 / self.seconds;
-        measurement.between_regions = crossed as f64 / self.total.bytes_out.max(1) as f64;
+        measurement.between_regions = bytes_between_regions as f64 / self.total.bytes_out.max(1) as f64;
         measurement.processor = mean(self.total.processor_ns) / 1e9;
     }
 }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/mod.rs
@@ -1,18 +1,19 @@
-//! Simulated directors: the real replica, membership and message code of many directors in one process, over
-//! a simulated network and in simulated time, without clients and servers: `foxhold-testbed hollow`.
+//! Simulated fleets: the production code for replication, membership and messages of many directors in one
+//! process, with a simulated network and simulated time, without clients and servers. The command is
+//! `foxhold-testbed hollow`.
 //!
 //! | module | holds |
 //! | --- | --- |
-//! | [`clock`] | simulated time: one queue of events |
-//! | [`network`] | where directors are, delays, loss and cuts |
+//! | [`clock`] | simulated time and the event queue |
+//! | [`network`] | locations of directors, delays, loss and partitions |
 //! | [`director`] | one simulated director |
-//! | [`scenario`] | what happens to a fleet, and when |
-//! | [`simulation`] | a fleet's run, within its bounds |
-//! | [`measurement`] | what each director spent, and when purges were everywhere |
-//! | [`regression`] | lines through the figures of several sizes |
-//! | [`report`] | the figures as text, JSON and a page with plots |
+//! | [`scenario`] | purges and the fault schedule |
+//! | [`simulation`] | the run of a fleet, within its resource bounds |
+//! | [`measurement`] | resource use of directors, and the time until all hold a purge |
+//! | [`regression`] | regressions of the results over several fleet sizes |
+//! | [`report`] | results as text, JSON and an HTML page with plots |
 //!
-//! All but processor time and memory is decided by the seed.
+//! The seed determines all results but processor time, memory and real time.
 
 pub mod clock;
 pub mod director;
@@ -35,105 +36,107 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-/// What is simulated. One of directors, purges and held entries may be a list: figures are fitted over it.
+/// Options of a simulation. One of directors, purges and initial entries may be a list: a regression of the
+/// results is calculated over it.
 #[derive(Clone, Debug, clap::Args, serde::Serialize)]
 pub struct Options {
-    /// Directors: one size, or several
+    /// Number of directors: one value, or several
     #[arg(long, value_delimiter = ',', default_value = "10,30,100")]
     pub directors: Vec<u32>,
-    /// Purges a second in the whole fleet: one rate, or several
+    /// Purges a second in the whole fleet: one value, or several
     #[arg(long, value_delimiter = ',', default_value = "99")]
     pub purges: Vec<u32>,
-    /// Purges that each director holds from the start: one number, or several
+    /// Purges that each director holds from the start: one value, or several
     #[arg(long, alias = "held", value_delimiter = ',', default_value = "0")]
     #[serde(rename = "held")]
     pub initial_entries: Vec<u32>,
-    /// Purge groups in place of objects with names of 16 bytes, as `foxhold-testbed talk` does
+    /// Purge groups, as `foxhold-testbed talk` does, instead of objects with names of 16 bytes
     #[arg(long)]
     pub groups: bool,
-    /// What happens meanwhile
+    /// Purges and faults during the run
     #[arg(long, value_enum, default_value_t = Scenario::Ordinary)]
     pub scenario: Scenario,
     /// Simulated seconds that are measured
     #[arg(long, default_value_t = 10)]
     pub seconds: u32,
-    /// Simulated seconds before that
+    /// Simulated seconds before the measurement
     #[arg(long, default_value_t = 5)]
     pub warm_up: u32,
-    /// Simulated seconds after the last purge in which it may still arrive
+    /// Simulated seconds after the last purge in which purges may still arrive
     #[arg(long, alias = "settle", default_value_t = 10)]
     #[serde(rename = "settle")]
     pub arrival_seconds: u32,
-    /// Share of datagrams that is lost
+    /// Share of datagrams that are lost
     #[arg(long, default_value_t = 0.0)]
     pub lost: f64,
-    /// Where directors are
+    /// Locations of the directors
     #[command(flatten)]
     pub topology: Topology,
-    /// What delays, losses and draws come from
+    /// Seed of delays, losses and all other random draws
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// The bounds
+    /// Limits on memory, events and real time of a run
     #[command(flatten)]
     pub bounds: Bounds,
-    /// Where to write the figures, as JSON
+    /// File for the results as JSON
     #[arg(long)]
     pub json: Option<PathBuf>,
-    /// Where to write the page with plots
+    /// File for the HTML page with plots
     #[arg(long)]
     pub html: Option<PathBuf>,
 }
 
-/// What a run may take; it ends at the first that is reached.
+/// Resource bounds of a run, which ends at the first bound that is reached.
 #[derive(Clone, Copy, Debug, clap::Args, serde::Serialize)]
 pub struct Bounds {
-    /// MB that may be allocated
+    /// Largest allocated memory, in MB
     #[arg(long, alias = "most-memory-mb", default_value_t = 6_000)]
     #[serde(rename = "most_memory_mb")]
     pub max_memory_mb: usize,
-    /// Events that may wait at a time
+    /// Largest number of queued events
     #[arg(long, alias = "most-events", default_value_t = 5_000_000)]
     #[serde(rename = "most_events")]
     pub max_events: usize,
-    /// Seconds of real time for each size
+    /// Longest real time per fleet size, in seconds
     #[arg(long, alias = "most-wall-s", default_value_t = 600)]
     #[serde(rename = "most_wall_s")]
     pub max_wall_s: u64,
 }
 
-/// One run's size.
+/// Size of the simulated fleet and its load in one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Directors.
+    /// Number of directors.
     pub directors: u32,
-    /// Purges a second.
+    /// Purges a second in the whole fleet.
     pub purges: u32,
-    /// Purges held from the start.
+    /// Purges that each director holds from the start.
     pub initial_entries: u32,
 }
 
-/// What a run needs from its process.
+/// Functions of the process that hosts a run.
 #[derive(Clone)]
 pub struct Host {
-    /// Bytes that are allocated in this process; 0 where nobody counts them.
+    /// Returns the bytes allocated in this process, or 0 if the allocator does not count them.
     pub allocated: fn() -> usize,
-    /// Set once the run is to end.
+    /// Set to stop the run early.
     pub interrupted: Arc<AtomicBool>,
 }
 
 impl Options {
-    /// The sizes, and along what they differ.
+    /// Returns the sizes to run, and the axis along which they differ.
     fn sizes(&self) -> Result<(Axis, Vec<Size>), TestbedError> {
         let several = |list: &[u32]| list.len() > 1;
         let lists = [&self.directors, &self.purges, &self.initial_entries];
         if lists.iter().any(|list| list.is_empty()) || lists.iter().filter(|list| several(list)).count() > 1 {
             return Err(
-                "one of --directors, --purges and --initial-entries may be a list, and none may be empty"
+                "at most one of --directors, --purges and --initial-entries may have several values, \
+                 and each needs at least one"
                     .into(),
             );
         }
         if self.directors.contains(&0) || !(0.0..1.0).contains(&self.lost) {
-            return Err("a fleet has one director at least, and loses a share below 1".into());
+            return Err("--directors must be at least 1, and --lost at least 0 and below 1".into());
         }
         let size = Size {
             directors: self.directors[0],
@@ -156,7 +159,8 @@
     }
 }
 
-/// Runs all sizes with a progress bar, one after the other, and fits lines through what was measured.
+/// Runs all sizes one after the other, with a progress bar, and calculates regressions of the results. Stops
+/// after the first run that is not complete.
 pub fn run(options: &Options, host: &Host) -> Result<Report, TestbedError> {
     let (axis, sizes) = options.sizes()?;
     let seconds = u64::from(options.warm_up + options.seconds + options.arrival_seconds);
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/network.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/network.rs
@@ -1,49 +1,49 @@
-//! The network between simulated directors: where each of them is, and how long a datagram takes, if it
-//! arrives.
+//! The network between simulated directors: their locations, and delay, loss and partitions of datagrams.
 
 use foxhold::policy::types::Micros;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeSet;
 
-/// Bytes of the headers of UDP and IPv4 that each datagram has on the wire.
+/// Bytes of the UDP and IPv4 headers of a datagram.
 pub const HEADERS: usize = 28;
 
+/// Delays without jitter, in microseconds, by the smallest area that contains both directors.
 const WITHIN_SITE: Micros = 200;
 const WITHIN_ZONE: Micros = 1_000;
 const WITHIN_REGION: Micros = 5_000;
-/// Between two regions a datagram takes a time between these, drawn once for each pair.
+/// Range of the delay between two regions in microseconds, drawn once for each pair of regions.
 const BETWEEN_REGIONS: std::ops::RangeInclusive<Micros> = 15_000..=140_000;
-/// Each datagram takes up to this share longer.
+/// Largest extra delay of a datagram, as a share of its delay.
 const JITTER: f64 = 0.1;
 
-/// How many regions, zones and sites there are. Directors are spread evenly, in the order of their numbers.
+/// Numbers of regions, zones and sites. Directors are spread evenly over them, in the order of their numbers.
 #[derive(Clone, Copy, Debug, clap::Args, serde::Serialize)]
 pub struct Topology {
-    /// Regions
+    /// Number of regions
     #[arg(long, default_value_t = 24)]
     pub regions: usize,
-    /// Zones in all
+    /// Number of zones in all regions
     #[arg(long, default_value_t = 92)]
     pub zones: usize,
-    /// Sites in all
+    /// Number of sites in all regions
     #[arg(long, default_value_t = 980)]
     pub sites: usize,
 }
 
-/// Where a director is.
+/// Location of a director.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Its site.
+    /// Index of the site, over all regions.
     pub site: usize,
-    /// Its zone.
+    /// Index of the zone, over all regions.
     pub zone: usize,
-    /// Its region.
+    /// Index of the region.
     pub region: usize,
 }
 
 impl Topology {
-    /// The place of one of so many directors.
+    /// Returns the location of one of `directors` directors.
     pub fn place(&self, director: usize, directors: usize) -> Place {
         let share = |parts: usize| director * parts / directors.max(1);
         let zone = share(self.zones);
@@ -51,28 +51,28 @@
     }
 }
 
-/// What became of a datagram.
+/// Outcome of sending a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It arrives after so many microseconds.
+    /// The datagram arrives after this time, in microseconds.
     Arrives(Micros),
-    /// It is lost, or its way is cut.
+    /// The datagram is lost, or its path is cut by a partition.
     Lost,
 }
 
-/// The ways between all directors.
+/// The simulated network between all directors.
 pub struct Network {
     places: Vec<Place>,
-    /// Delay between each two regions.
+    /// Delay between each two regions, in microseconds.
     delays: Vec<Vec<Micros>>,
     lost: f64,
-    /// Pairs of regions (from, to) between which nothing arrives.
+    /// Pairs of regions (from, to) whose datagrams are dropped.
     cut: BTreeSet<(usize, usize)>,
     random: StdRng,
 }
 
 impl Network {
-    /// Between so many directors, losing this share of all datagrams.
+    /// Creates a network that drops the share `lost` of all datagrams.
     pub fn new(topology: &Topology, directors: usize, lost: f64, seed: u64) -> Network {
         let mut random = StdRng::seed_from_u64(seed);
         let regions = topology.regions.max(1);
@@ -87,12 +87,12 @@
         Network { places, delays, lost, cut: BTreeSet::new(), random }
     }
 
-    /// Where a director is.
+    /// Returns the location of a director.
     pub fn place(&self, director: usize) -> Place {
         self.places[director]
     }
 
-    /// Cuts a region off from all others, in both directions.
+    /// Partitions a region from all others, in both directions.
     pub fn isolate(&mut self, region: usize) {
         for other in (0..self.delays.len()).filter(|other| *other != region) {
             self.cut.insert((region, other));
@@ -100,22 +100,22 @@
         }
     }
 
-    /// Cuts the way from one region to another, in this direction alone.
+    /// Cuts the path from one region to another, in this direction only.
     pub fn cut_one_way(&mut self, from: usize, to: usize) {
         self.cut.insert((from, to));
     }
 
-    /// Mends all that was cut.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.cut.clear();
     }
 
-    /// Whether a datagram from one to another leaves its region.
+    /// Returns whether a datagram from one director to another leaves its region.
     pub fn between_regions(&self, from: usize, to: usize) -> bool {
         self.places[from].region != self.places[to].region
     }
 
-    /// What becomes of a datagram from one director to another.
+    /// Draws the outcome of a datagram from one director to another.
     pub fn send(&mut self, from: usize, to: usize) -> Fate {
         let (from, to) = (self.places[from], self.places[to]);
         if self.cut.contains(&(from.region, to.region)) || self.random.random_bool(self.lost) {
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
@@ -1,22 +1,22 @@
-//! Lines through the figures of several sizes, with how far each figure lies from its line.
+//! Least-squares regressions of a figure over several sizes, with the residual of each figure.
 
 use super::measurement::Measurement;
 use serde::Serialize;
 
-/// Sizes that a fit needs at least.
+/// Smallest number of sizes for a regression.
 pub const SIZES: usize = 3;
-/// The largest of them is so many times the smallest at least.
+/// Smallest ratio of the largest size to the smallest.
 pub const SPAN: f64 = 10.0;
-/// A line is said to hold where no figure lies further from it than this share of the figure.
+/// A regression holds if no residual is larger than this share of the figure.
 pub const HOLDS: f64 = 0.1;
 
-/// No size from here on is told: a line says nothing about it.
-const FARTHEST: f64 = 1e9;
+/// Sizes from this value on are not reported, because the regression says nothing about them.
+const MAX_REPORTED_SIZE: f64 = 1e9;
 
-/// Along what sizes differ.
+/// The option along which the sizes of the runs differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Axis {
-    /// Directors.
+    /// Number of directors in the fleet.
     Directors,
     /// Purges a second in the whole fleet.
     Purges,
@@ -26,7 +26,7 @@
 }
 
 impl Axis {
-    /// Its name in reports.
+    /// Returns the axis's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Axis::Directors => "directors",
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The size that the scenario of the next two years asks for. Held: ten minutes of 99 purges a second.
+    /// Returns the size that is planned for the next two years. Entries held: ten minutes of 99 purges a
+    /// second.
     pub fn planned(self) -> f64 {
         match self {
             Axis::Directors => 13_000.0,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// A run's size along it.
+    /// Returns a run's size along the axis.
     pub fn size(self, run: &Measurement) -> f64 {
         f64::from(match self {
             Axis::Directors => run.directors,
@@ -54,7 +55,7 @@
     }
 }
 
-/// What is drawn from a size.
+/// The function of the size that a regression is linear in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Form {
     /// The size itself.
@@ -72,37 +73,37 @@
     }
 }
 
-/// Why there is no line.
+/// Reason why no regression can be calculated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegressionError {
-    /// Too few sizes.
+    /// Fewer than [`SIZES`] sizes.
     #[error("a fit needs {SIZES} sizes at least")]
     Sizes,
-    /// Sizes too near to each other, or zero.
+    /// The sizes span less than a factor of [`SPAN`], or one is zero.
     #[error("a fit needs a largest size of {SPAN} times the smallest, which is above zero")]
     Span,
-    /// Figures that no line goes through.
-    #[error("no line goes through these figures")]
+    /// The slope or the mean of the figures is not finite.
+    #[error("no regression: the slope or the mean of the figures is not finite")]
     Figures,
 }
 
-/// A line.
+/// A least-squares regression line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Regression {
-    /// What it is drawn over.
+    /// The function of the size that the line is linear in.
     pub form: Form,
-    /// Its value where the form is zero.
+    /// Value of the line where the function of the size is zero.
     pub intercept: f64,
-    /// What a size more (or e times the size) adds.
+    /// Increase of the value when the size grows by one (`Linear`) or by a factor of e (`Logarithmic`).
     pub slope: f64,
-    /// How far each figure lies above the line, as a share of the figure.
+    /// Distance of each figure above the line, as a share of the figure.
     pub residuals: Vec<f64>,
-    /// The smallest and the largest size.
+    /// Smallest and largest size of the data.
     pub range: (f64, f64),
 }
 
 impl Regression {
-    /// The line of least squares through sizes and figures, in the form that lies nearer to them.
+    /// Calculates the regression of figures over sizes, in the form with the smaller largest residual.
     pub fn through(points: &[(f64, f64)]) -> Result<Regression, RegressionError> {
         if points.len() < SIZES {
             return Err(RegressionError::Sizes);
@@ -118,9 +119,10 @@
     }
 
     fn in_form(form: Form, points: &[(f64, f64)], range: (f64, f64)) -> Result<Regression, RegressionError> {
-        let drawn: Vec<(f64, f64)> = points.iter().map(|(size, figure)| (form.of(*size), *figure)).collect();
+        let transformed: Vec<(f64, f64)> =
+            points.iter().map(|(size, figure)| (form.of(*size), *figure)).collect();
         let (slope, intercept): (f64, f64) =
-            linreg::linear_regression_of(&drawn).map_err(|_| RegressionError::Figures)?;
+            linreg::linear_regression_of(&transformed).map_err(|_| RegressionError::Figures)?;
         let mut regression = Regression { form, intercept, slope, residuals: Vec::new(), range };
         let share = |(size, figure): &(f64, f64)| {
             (figure - regression.at(*size)) / figure.abs().max(f64::MIN_POSITIVE)
@@ -129,31 +131,32 @@
         Ok(regression)
     }
 
-    /// The line's value at a size.
+    /// Returns the line's value at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * self.form.of(size)
     }
 
-    /// The largest residual.
+    /// Returns the largest absolute residual, as a share of its figure.
     pub fn worst(&self) -> f64 {
         self.residuals.iter().map(|share| share.abs()).fold(0.0, f64::max)
     }
 
-    /// Whether the line holds over its range.
+    /// Returns whether the line holds over its range: no residual exceeds [`HOLDS`].
     pub fn holds(&self) -> bool {
         self.worst() <= HOLDS
     }
 
-    /// The size at which the line reaches a value; none: it does not as it grows, or far out of any use.
+    /// Returns the size at which the line reaches a value, or `None` if the line does not rise or the size is
+    /// beyond any practical use.
     pub fn reaches(&self, value: f64) -> Option<f64> {
         if self.slope <= 0.0 {
             return None;
         }
-        let drawn = (value - self.intercept) / self.slope;
+        let transformed = (value - self.intercept) / self.slope;
         let size = match self.form {
-            Form::Linear => drawn,
-            Form::Logarithmic => drawn.exp(),
+            Form::Linear => transformed,
+            Form::Logarithmic => transformed.exp(),
         };
-        (size > 0.0 && size < FARTHEST).then_some(size)
+        (size > 0.0 && size < MAX_REPORTED_SIZE).then_some(size)
     }
 }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
@@ -1,4 +1,4 @@
-//! The figures as text, as JSON, and as a page with plots on logarithmic axes with the budget drawn in.
+//! Results as text, as JSON, and as an HTML page with plots on logarithmic axes that show the budgets.
 
 use super::measurement::Ended;
 use super::measurement::Measurement;
@@ -9,16 +9,16 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-/// Bytes a second and director, both ways with headers.
+/// Budget of bytes per director and second, received and sent, with headers.
 const BUDGET_BYTES: f64 = 12_000.0;
-/// Share of a core.
+/// Budget of processor time per director, as a share of a core.
 const BUDGET_PROCESSOR: f64 = 0.04;
-/// MB of a director.
+/// Budget of memory per director, in MB.
 const BUDGET_MEMORY: f64 = 32.0;
-/// Milliseconds from a purge told until it is everywhere.
+/// Budget of the time from publishing a purge until all directors hold it, in milliseconds.
 const BUDGET_TO_ALL: f64 = 6_500.0;
 
-/// A figure that is fitted and drawn.
+/// A figure of the results that has a budget, a regression and a plot.
 struct Figure {
     name: &'static str,
     of: fn(&Measurement) -> f64,
@@ -33,35 +33,35 @@
     Figure { name: "to all, p99.9, ms", of: |m| m.to_all.p999, budget: BUDGET_TO_ALL },
 ];
 
-/// A figure's line over the sizes.
+/// The regression of a figure over the sizes, with its budget.
 #[derive(Clone, Debug, Serialize)]
 pub struct Line {
-    /// The figure.
+    /// Name of the figure.
     pub figure: &'static str,
-    /// The line; none: [`Line::regression_error`] says why.
+    /// The regression, or `None` for the reason in [`Line::regression_error`].
     #[serde(rename = "fit")]
     pub regression: Option<Regression>,
-    /// Why there is none.
+    /// Reason why there is no regression.
     #[serde(rename = "unfit")]
     pub regression_error: Option<String>,
-    /// Its budget.
+    /// Largest allowed value of the figure.
     pub budget: f64,
-    /// Its value at the scenarioned size, extrapolated where that is out of the range.
+    /// Value of the regression at the planned size, extrapolated if that is outside of the range.
     pub planned: Option<f64>,
-    /// The size at which the budget is used up.
+    /// Size at which the regression reaches the budget.
     pub used_up_at: Option<f64>,
 }
 
-/// All that came of it.
+/// Results of a simulation with all its runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What was asked for.
+    /// Options of the simulation.
     pub options: Options,
-    /// Along what sizes differ.
+    /// The option along which the sizes of the runs differ.
     pub axis: Axis,
-    /// By size.
+    /// Results of the runs, by size.
     pub measured: Vec<Measurement>,
-    /// The lines.
+    /// Regressions of all figures with a budget.
     pub lines: Vec<Line>,
 }
 
@@ -105,18 +105,18 @@
 }
 
 impl Report {
-    /// Of these runs.
+    /// Creates the report of these runs, with the regressions of all figures.
     pub fn new(options: Options, axis: Axis, measured: Vec<Measurement>) -> Report {
         let lines = FIGURES.iter().map(|figure| Line::through(figure, axis, &measured)).collect();
         Report { options, axis, measured, lines }
     }
 
-    /// Whether every run was complete, and every purge everywhere.
+    /// Returns whether every run was complete and no purge was missed.
     pub fn good(&self) -> bool {
         self.measured.iter().all(|run| run.ended == Ended::Complete && run.missed == 0)
     }
 
-    /// The figures in some lines.
+    /// Returns the results as text of several lines.
     pub fn text(&self) -> String {
         let runs: String = self.measured.iter().map(run_text).collect();
         let several = self.measured.len() > 1;
@@ -124,7 +124,7 @@
         format!("{:?}, seed {}\n{runs}{lines}", self.options.scenario, self.options.seed)
     }
 
-    /// One page with the figures, the plots and the lines.
+    /// Returns an HTML page with the results, the plots and the regressions.
     pub fn page(&self) -> Result<String, TestbedError> {
         let mut page = format!(
             "<!doctype html><meta charset=utf-8><title>Hollow directors</title><style>body{{font:15px \
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/scenario.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet, and when: drawn from the seed before the run.
+//! Scenarios of a simulated fleet: rates of purges, and fault schedules drawn from the seed before the run.
 
 use super::network::{Network, Place};
 use foxhold::policy::types::Micros;
@@ -7,15 +7,15 @@
 
 /// The share of directors that is restarted in [`Scenario::Restarts`]: 1,100 of 13,000.
 const RESTARTED: f64 = 1_100.0 / 13_000.0;
-/// [`Scenario::Storm`] has so many times the purges.
+/// Factor of the purge rate in [`Scenario::PurgeBurst`].
 const BURST_FACTOR: u32 = 10;
 
-/// The situations.
+/// Scenarios of a simulated fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum, serde::Serialize)]
 pub enum Scenario {
-    /// Purges told to directors anywhere
+    /// Purges at directors of all regions
     Ordinary,
-    /// Ten times the purges, all told to directors of one region
+    /// Ten times the purges, all at directors of one region
     #[value(alias = "storm")]
     #[serde(rename = "Storm")]
     PurgeBurst,
@@ -23,40 +23,40 @@
     SiteLost,
     /// All directors of a zone are killed after a third of the time
     ZoneLost,
-    /// A region is apart from the others in the second and third quarter of the time
+    /// A region is partitioned from the others in the second and third quarter of the time
     RegionApart,
-    /// One director in twelve is killed and started from nothing, one after the other
+    /// One director in twelve is killed and restarted without state, one after the other
     Restarts,
 }
 
-/// Something that goes wrong, or right again.
+/// A step of the fault schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A director is killed.
+    /// Kills a director.
     Kill(usize),
-    /// A director starts from nothing, where it ran or not.
+    /// Starts a director without state, whether it is running or not.
     Restart(usize),
-    /// A region is cut off.
+    /// Partitions a region from all others.
     Isolate(usize),
-    /// All ways are whole again.
+    /// Ends all partitions.
     Heal,
 }
 
 impl Scenario {
-    /// Purges a second, where so many are asked for.
-    pub fn purges(self, asked: u32) -> u32 {
+    /// Returns the purges a second for a requested rate.
+    pub fn purges(self, requested: u32) -> u32 {
         match self {
-            Scenario::PurgeBurst => asked.saturating_mul(BURST_FACTOR),
-            _ => asked,
+            Scenario::PurgeBurst => requested.saturating_mul(BURST_FACTOR),
+            _ => requested,
         }
     }
 
-    /// The region that all purges are told in; none: anywhere.
+    /// Returns the region of the directors that receive purges, or `None` for all regions.
     pub fn purged_region(self) -> Option<usize> {
         (self == Scenario::PurgeBurst).then_some(0)
     }
 
-    /// What goes wrong, with how long after the start of what is measured.
+    /// Draws the fault schedule, with times in microseconds after the start of the measurement.
     pub fn faults(
         self,
         network: &Network,
@@ -64,9 +64,9 @@
         length: Micros,
         random: &mut StdRng,
     ) -> Vec<(Micros, Fault)> {
-        let killed = |dead: &dyn Fn(Place) -> bool| -> Vec<(Micros, Fault)> {
-            let some = (0..directors).filter(|n| dead(network.place(*n)));
-            some.map(|n| (length / 3, Fault::Kill(n))).collect()
+        let killed = |is_killed: &dyn Fn(Place) -> bool| -> Vec<(Micros, Fault)> {
+            let killed_directors = (0..directors).filter(|n| is_killed(network.place(*n)));
+            killed_directors.map(|n| (length / 3, Fault::Kill(n))).collect()
         };
         let last = network.place(directors.saturating_sub(1));
         match self {
@@ -75,9 +75,9 @@
             Scenario::ZoneLost => killed(&|place| place.zone == last.zone),
             Scenario::RegionApart => vec![(length / 4, Fault::Isolate(0)), (length / 4 * 3, Fault::Heal)],
             Scenario::Restarts => {
-                let many = (directors as f64 * RESTARTED).ceil() as u64;
-                let at = |n: u64| length * n / many;
-                (0..many).map(|n| (at(n), Fault::Restart(random.random_range(0..directors)))).collect()
+                let restarts = (directors as f64 * RESTARTED).ceil() as u64;
+                let at = |n: u64| length * n / restarts;
+                (0..restarts).map(|n| (at(n), Fault::Restart(random.random_range(0..directors)))).collect()
             }
         }
     }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/simulation.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet's run: one queue of events, handled one after the other, within bounds.
+//! The run of a simulated fleet: handles the events of one queue in order, within resource bounds.
 
 use super::clock::{Clock, UNIX_START};
 use super::director::{member, Director, Output};
@@ -21,9 +21,10 @@
 use std::time::{Duration, Instant};
 
 const SECOND: Micros = 1_000_000;
-/// The bounds on time and memory are looked at once in so many events.
-const LOOK: u64 = 1_024;
-/// The fleet's key; it protects nothing, and costs what a real one does.
+/// Number of events after which the bounds on time and memory are checked.
+const BOUNDS_CHECK_INTERVAL: u64 = 1_024;
+/// The fleet's key. Its value needs no secrecy; authentication takes the same processor time as with a real
+/// key.
 const KEY: [u8; 32] = [7; 32];
 
 enum Event {
@@ -34,20 +35,20 @@
     Fault(Fault),
 }
 
-/// A director's place: empty while it is killed.
+/// The state of one director of the fleet; `director` is `None` while it is killed.
 struct Slot {
     director: Option<Box<Director>>,
-    /// Starts so far: ticks and timers of an earlier one are void.
+    /// Number of starts so far. Ticks and timers of an earlier start are ignored.
     start: u32,
     started: Micros,
 }
 
-/// What is noted while it runs.
-struct Notes {
+/// Measurements that are recorded during a run.
+struct RunStatistics {
     form: KeyForm,
-    spent: Vec<ResourceUse>,
+    resource_use: Vec<ResourceUse>,
     longest_handler_ns: u64,
-    crossed: u64,
+    bytes_between_regions: u64,
     purges: Vec<Purge>,
     to_each: Histogram<u64>,
     healed: Option<Micros>,
@@ -55,7 +56,7 @@
     catching_up: usize,
 }
 
-/// The run.
+/// One run of a simulated fleet.
 pub struct Simulation<'a> {
     options: &'a Options,
     size: Size,
@@ -63,10 +64,10 @@
     clock: Clock<Event>,
     network: Network,
     slots: Vec<Slot>,
-    seal: Rc<FrameCodec>,
+    codec: Rc<FrameCodec>,
     random: StdRng,
-    notes: Notes,
-    begun: Instant,
+    statistics: RunStatistics,
+    started_at: Instant,
     allocated_before: usize,
     ended: Option<Ended>,
 }
@@ -77,14 +78,14 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// A fleet in which all know each other and hold what they are to hold from the start.
+    /// Creates a fleet of the given size; [`Simulation::run`] starts its directors.
     pub fn new(options: &'a Options, size: Size, host: &'a Host) -> Simulation<'a> {
         let directors = size.directors as usize;
-        let notes = Notes {
+        let statistics = RunStatistics {
             form: if options.groups { KeyForm::Groups } else { KeyForm::Objects },
-            spent: vec![ResourceUse::default(); directors],
+            resource_use: vec![ResourceUse::default(); directors],
             longest_handler_ns: 0,
-            crossed: 0,
+            bytes_between_regions: 0,
             purges: Vec::new(),
             to_each: times_histogram(),
             healed: None,
@@ -98,93 +99,92 @@
             clock: Clock::new(options.bounds.max_events),
             network: Network::new(&options.topology, directors, options.lost, options.seed),
             slots: (0..directors).map(|_| Slot { director: None, start: 0, started: 0 }).collect(),
-            seal: Rc::new(FrameCodec::new("hollow", &[KEY.to_vec()]).expect("a key that is long enough")),
+            codec: Rc::new(FrameCodec::new("hollow", &[KEY.to_vec()]).expect("the key has a valid length")),
             random: StdRng::seed_from_u64(options.seed ^ 0x686f_6c6c_6f77),
-            notes,
-            begun: Instant::now(),
+            statistics,
+            started_at: Instant::now(),
             allocated_before: (host.allocated)(),
             ended: None,
         }
     }
 
-    /// Runs it.
+    /// Runs the simulation to its end or to the first bound, and returns the results.
     pub fn run(mut self, bar: &ProgressBar) -> Measurement {
         let (warm_up, length) = (self.seconds(self.options.warm_up), self.seconds(self.options.seconds));
         self.start_all();
         self.schedule(0, Event::Purge);
-        self.until(warm_up, bar);
-        self.notes.catching_up = self.running().filter(|director| director.catches_up()).count();
-        self.notes.spent.fill(ResourceUse::default());
-        (self.notes.crossed, self.notes.longest_handler_ns) = (0, 0);
-        let measured_from = self.notes.purges.len();
+        self.run_until(warm_up, bar);
+        self.statistics.catching_up = self.running().filter(|director| director.catches_up()).count();
+        self.statistics.resource_use.fill(ResourceUse::default());
+        (self.statistics.bytes_between_regions, self.statistics.longest_handler_ns) = (0, 0);
+        let measured_from = self.statistics.purges.len();
         let faults = self.options.scenario.faults(&self.network, self.slots.len(), length, &mut self.random);
         faults.into_iter().for_each(|(after, fault)| self.schedule(after, Event::Fault(fault)));
-        self.until(warm_up + length, bar);
-        let means = Means::of(&self.notes.spent, self.clock.now().saturating_sub(warm_up));
-        let crossed = self.notes.crossed;
-        self.until(warm_up + length + self.seconds(self.options.arrival_seconds), bar);
-        self.finish(&means, crossed, measured_from)
+        self.run_until(warm_up + length, bar);
+        let means = Means::of(&self.statistics.resource_use, self.clock.now().saturating_sub(warm_up));
+        let bytes_between_regions = self.statistics.bytes_between_regions;
+        self.run_until(warm_up + length + self.seconds(self.options.arrival_seconds), bar);
+        self.finish(&means, bytes_between_regions, measured_from)
     }
 
     fn seconds(&self, seconds: u32) -> Micros {
         Micros::from(seconds) * SECOND
     }
 
-    fn telling_ends(&self) -> Micros {
+    fn last_purge_time(&self) -> Micros {
         self.seconds(self.options.warm_up) + self.seconds(self.options.seconds)
     }
 
-    // ---- directors ----
-
     fn start_all(&mut self) {
-        let many = self.slots.len();
-        for n in 0..many {
+        let directors = self.slots.len();
+        for n in 0..directors {
             self.start(n);
             if self.out_of_bounds() {
                 return;
             }
-            let others = (0..many).filter(|other| *other != n).map(|other| member(other, UNIX_START));
+            let others = (0..directors).filter(|other| *other != n).map(|other| member(other, UNIX_START));
             let output = self.slots[n].director.as_mut().map(|director| director.know(others));
-            self.carry(n, output.unwrap_or_default());
-            self.hold(n);
+            self.apply_output(n, output.unwrap_or_default());
+            self.add_initial_entries(n);
         }
     }
 
     fn start(&mut self, n: usize) {
         let now = self.clock.host_time();
         let seed = self.options.seed.wrapping_add(now.monotonic);
-        let director = Director::new(n, self.slots.len(), self.seal.clone(), seed, now);
+        let director = Director::new(n, self.slots.len(), self.codec.clone(), seed, now);
         let slot = &mut self.slots[n];
         *slot = Slot { director: Some(Box::new(director)), start: slot.start + 1, started: self.clock.now() };
         let start = slot.start;
-        // Directors do not tick in step.
+        // The first tick is random, so that directors do not tick simultaneously.
         let first = self.random.random_range(0..TICK.as_micros() as Micros);
         self.schedule(first, Event::Tick { director: n, start });
     }
 
-    /// Purges of the time before the run, told evenly over as long as they are kept.
-    fn hold(&mut self, n: usize) {
+    /// Adds the initial entries: purges from before the run, spread evenly over the time for which they are
+    /// kept.
+    fn add_initial_entries(&mut self, n: usize) {
         let now = self.clock.host_time();
         let Some(director) = self.slots[n].director.as_mut() else { return };
-        let kept = director.state().bounds().purge_retention;
+        let retention = director.state().bounds().purge_retention;
         for held in 0..self.size.initial_entries {
-            let age = kept * Micros::from(held) / Micros::from(self.size.initial_entries);
+            let age = retention * Micros::from(held) / Micros::from(self.size.initial_entries);
             director.hold(Key::Object(format!("held-{held:011}")), now.unix - age, now);
         }
     }
 
-    /// Has a director handle something, and carries out what it wants done.
+    /// Lets a director handle an event, measures its processor time, and carries out the effects.
     fn handle(&mut self, n: usize, work: impl FnOnce(&mut Director) -> Output) {
         let Some(director) = self.slots[n].director.as_mut() else { return };
         let before = processor_time();
         let output = work(director);
         let took = processor_time().saturating_sub(before).as_nanos() as u64;
-        self.notes.spent[n].processor_ns += took;
-        self.notes.longest_handler_ns = self.notes.longest_handler_ns.max(took);
-        self.carry(n, output);
+        self.statistics.resource_use[n].processor_ns += took;
+        self.statistics.longest_handler_ns = self.statistics.longest_handler_ns.max(took);
+        self.apply_output(n, output);
     }
 
-    fn carry(&mut self, n: usize, output: Output) {
+    fn apply_output(&mut self, n: usize, output: Output) {
         for key in &output.learned {
             self.learned(n, key);
         }
@@ -193,12 +193,12 @@
             self.schedule(after, Event::Timer { director: n, start, timer });
         }
         for (to, bytes) in output.datagrams {
-            self.notes.spent[n].sent(bytes.len());
+            self.statistics.resource_use[n].sent(bytes.len());
             if to >= self.slots.len() {
                 continue;
             }
             if self.network.between_regions(n, to) {
-                self.notes.crossed += (bytes.len() + HEADERS) as u64;
+                self.statistics.bytes_between_regions += (bytes.len() + HEADERS) as u64;
             }
             if let Fate::Arrives(after) = self.network.send(n, to) {
                 self.schedule(after, Event::Datagram { to, bytes });
@@ -207,31 +207,31 @@
     }
 
     fn learned(&mut self, n: usize, key: &Key) {
-        let Some(purge) = self.notes.form.purge(key).and_then(|purge| self.notes.purges.get_mut(purge))
+        let Some(purge) =
+            self.statistics.form.purge(key).and_then(|purge| self.statistics.purges.get_mut(purge))
         else {
             return;
         };
-        // Who started later catches up: that is no part of the purge's own time.
+        // Directors that started after the purge receive it by catching up, which is not part of the time of
+        // a purge.
         if self.slots[n].started <= purge.published_at {
             let now = self.clock.now();
             purge.latest = now;
-            self.notes.to_each.saturating_record(now - purge.published_at);
+            self.statistics.to_each.saturating_record(now - purge.published_at);
         }
     }
 
-    // ---- events ----
-
     fn schedule(&mut self, after: Micros, event: Event) {
         if !self.clock.schedule(after, event) {
             self.ended = Some(Ended::EventsBound);
         }
     }
 
-    fn until(&mut self, end: Micros, bar: &ProgressBar) {
+    fn run_until(&mut self, end: Micros, bar: &ProgressBar) {
         let mut second = self.clock.now() / SECOND;
         while !self.out_of_bounds() {
             let Some(event) = self.clock.next_until(end) else { break };
-            self.notes.events += 1;
+            self.statistics.events += 1;
             self.event(event);
             let now = self.clock.now() / SECOND;
             bar.inc(now - std::mem::replace(&mut second, now));
@@ -244,7 +244,7 @@
         match event {
             Event::Datagram { to, bytes } => {
                 if self.slots[to].director.is_some() {
-                    self.notes.spent[to].arrived(bytes.len());
+                    self.statistics.resource_use[to].arrived(bytes.len());
                 }
                 self.handle(to, |director| director.datagram(&bytes, now));
             }
@@ -267,26 +267,26 @@
     fn purge(&mut self) {
         let now = self.clock.host_time();
         let rate = self.options.scenario.purges(self.size.purges);
-        if rate == 0 || self.clock.now() >= self.telling_ends() {
+        if rate == 0 || self.clock.now() >= self.last_purge_time() {
             return;
         }
         self.schedule(SECOND / Micros::from(rate), Event::Purge);
         let Some(n) = self.purge_target() else { return };
-        let key = self.notes.form.key(self.notes.purges.len());
-        let told = self.clock.now();
-        self.notes.purges.push(Purge { published_at: told, latest: told });
+        let key = self.statistics.form.key(self.statistics.purges.len());
+        let published_at = self.clock.now();
+        self.statistics.purges.push(Purge { published_at, latest: published_at });
         self.handle(n, |director| director.purge(key, now));
     }
 
-    /// A running director, drawn; none: of those that may be told none runs.
+    /// Draws a running director that may receive purges, or returns `None` if there is none.
     fn purge_target(&mut self) -> Option<usize> {
         let region = self.options.scenario.purged_region();
-        let may = |n: &usize| {
-            let there = region.is_none_or(|region| self.network.place(*n).region == region);
-            there && self.slots[*n].director.is_some()
+        let eligible = |n: &usize| {
+            let in_region = region.is_none_or(|region| self.network.place(*n).region == region);
+            in_region && self.slots[*n].director.is_some()
         };
-        let those: Vec<usize> = (0..self.slots.len()).filter(may).collect();
-        (!those.is_empty()).then(|| those[self.random.random_range(0..those.len())])
+        let candidates: Vec<usize> = (0..self.slots.len()).filter(eligible).collect();
+        (!candidates.is_empty()).then(|| candidates[self.random.random_range(0..candidates.len())])
     }
 
     fn fault(&mut self, fault: Fault) {
@@ -296,52 +296,52 @@
             Fault::Isolate(region) => self.network.isolate(region),
             Fault::Heal => {
                 self.network.heal();
-                self.notes.healed = Some(self.clock.now());
+                self.statistics.healed = Some(self.clock.now());
             }
         }
     }
 
     fn out_of_bounds(&mut self) -> bool {
-        if self.ended.is_none() && self.notes.events.is_multiple_of(LOOK) {
+        if self.ended.is_none() && self.statistics.events.is_multiple_of(BOUNDS_CHECK_INTERVAL) {
             let bounds = &self.options.bounds;
             if self.host.interrupted.load(Ordering::Relaxed) {
                 self.ended = Some(Ended::Interrupted);
             } else if (self.host.allocated)() >> 20 > bounds.max_memory_mb {
                 self.ended = Some(Ended::MemoryBound);
-            } else if self.begun.elapsed().as_secs() >= bounds.max_wall_s {
+            } else if self.started_at.elapsed().as_secs() >= bounds.max_wall_s {
                 self.ended = Some(Ended::WallBound);
             }
         }
         self.ended.is_some()
     }
 
-    // ---- the end ----
-
     fn running(&self) -> impl Iterator<Item = &Director> {
         self.slots.iter().filter_map(|slot| slot.director.as_deref())
     }
 
-    /// Measured purges that some running director lacks, but for those that are no longer kept.
+    /// Counts the measured purges that at least one running director lacks, without those whose retention
+    /// time is over.
     fn missed(&self, measured_from: usize) -> usize {
-        let Some(kept) = self.running().next().map(|director| director.state().bounds().purge_retention)
+        let Some(retention) = self.running().next().map(|director| director.state().bounds().purge_retention)
         else {
             return 0;
         };
         let lacks = |purge: &usize| {
-            let key = self.notes.form.key(*purge);
+            let key = self.statistics.form.key(*purge);
             self.running().any(|director| director.state().get(&key).is_none())
         };
-        let over = |purge: &usize| self.notes.purges[*purge].published_at + kept <= self.clock.now();
-        (measured_from..self.notes.purges.len()).filter(|purge| !over(purge)).filter(lacks).count()
+        let over =
+            |purge: &usize| self.statistics.purges[*purge].published_at + retention <= self.clock.now();
+        (measured_from..self.statistics.purges.len()).filter(|purge| !over(purge)).filter(lacks).count()
     }
 
-    fn finish(mut self, means: &Means, crossed: u64, measured_from: usize) -> Measurement {
+    fn finish(mut self, means: &Means, bytes_between_regions: u64, measured_from: usize) -> Measurement {
         self.clock.clear();
         let allocated = (self.host.allocated)().saturating_sub(self.allocated_before) as f64;
         let running: Vec<&Director> = self.running().collect();
         let per = running.len().max(1) as f64;
-        let purges = self.notes.purges.get(measured_from..).unwrap_or_default();
-        let heal = self.notes.healed;
+        let purges = self.statistics.purges.get(measured_from..).unwrap_or_default();
+        let heal = self.statistics.healed;
         let late = heal.and_then(|at| {
             purges.iter().filter(|p| p.published_at <= at).map(|p| p.latest.saturating_sub(at)).max()
         });
@@ -350,7 +350,7 @@
             purges: self.options.scenario.purges(self.size.purges),
             initial_entries: self.size.initial_entries,
             ended: self.ended.unwrap_or(Ended::Complete),
-            catching_up: self.notes.catching_up,
+            catching_up: self.statistics.catching_up,
             seconds: 0.0,
             bytes_in: 0.0,
             bytes_out: 0.0,
@@ -360,18 +360,18 @@
             busiest_bytes: 0.0,
             between_regions: 0.0,
             processor: 0.0,
-            longest_handler_ms: self.notes.longest_handler_ns as f64 / 1e6,
+            longest_handler_ms: self.statistics.longest_handler_ns as f64 / 1e6,
             memory_mb: allocated / per / f64::from(1 << 20),
             entries: running.iter().map(|d| d.state().len() as f64).sum::<f64>() / per,
             entry_bytes: running.iter().map(|d| d.state().bytes() as f64).sum::<f64>() / per,
             to_all: Times::of(purges.iter().map(|purge| purge.latest - purge.published_at)),
-            to_each: Times::read(&self.notes.to_each),
+            to_each: Times::read(&self.statistics.to_each),
             missed: self.missed(measured_from),
             healed_ms: late.map(|late| late as f64 / 1e3),
-            events: self.notes.events,
-            wall_s: self.begun.elapsed().as_secs_f64(),
+            events: self.statistics.events,
+            wall_s: self.started_at.elapsed().as_secs_f64(),
         };
-        means.fill(&mut measurement, crossed);
+        means.fill(&mut measurement, bytes_between_regions);
         measurement
     }
 }
--- a/crates/foxhold-testbed/tests/interruption.rs
+++ b/crates/foxhold-testbed/tests/interruption.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_play_that_is_interrupted_or_told_to_end_takes_its_processes_with_it() {
-    for (signal, word) in [(Signal::INT, "interrupted"), (Signal::TERM, "told to end")] {
+    for (signal, word) in [(Signal::INT, "interrupted"), (Signal::TERM, "asked to shut down")] {
         let output = ended(signal);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{text}");
@@ -85,5 +85,8 @@
     std::fs::remove_file(&file).expect("the file");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{text}");
-    assert!(text.contains("faults, number 1: who: nobody here is called 'cache-99'"), "{text}");
+    assert!(
+        text.contains("faults, number 1: who: 'cache-99' names no participant of this scenario"),
+        "{text}"
+    );
 }
