--- a/crates/foxhold-testbed/src/scenarios/runner/specs.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/specs.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Added to the scenario's seed for the draws of server sizes, so that they are independent of other draws.
+/// XORed with the scenario's seed, so that the draws of server sizes are independent of other draws.
 const SIZE_SEED: u64 = 0x5eed;
 /// Requests that a server holds at once, per transfer that its link carries.
 const SLOTS_PER_TRANSFER: f64 = 12.0;
