--- a/tests/admin_endpoint.rs
+++ b/tests/admin_endpoint.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint, and settings that change while the process runs.
+//! The admin endpoint, and settings that change at run time.
 
 mod emulated;
 
@@ -17,8 +17,8 @@
 use tokio::sync::watch;
 
 const COPY: ServerBehavior = ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n");
-/// More than the admin endpoint serves at a time.
-const SILENT_CONNECTIONS: usize = 40;
+/// More connections than the admin endpoint serves at a time.
+const IDLE_CONNECTIONS: usize = 40;
 
 fn get(class: &str, id: u64) -> String {
     format!(
@@ -28,37 +28,37 @@
 }
 
 /// Sends a command and reads the answer to its end.
-async fn command(address: &str, line: &str) -> String {
+async fn send_command(address: &str, line: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("an admin endpoint");
-    stream.write_all(line.as_bytes()).await.expect("a reader");
+    stream.write_all(line.as_bytes()).await.expect("a connected peer");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.expect("text");
     answer
 }
 
-/// Connections that have sent no command, or a part of one.
-async fn silent_connections(address: &str, count: usize) -> Vec<TcpStream> {
-    let mut silent = Vec::new();
+/// Opens connections that send no command, or part of one.
+async fn open_idle_connections(address: &str, count: usize) -> Vec<TcpStream> {
+    let mut idle = Vec::new();
     for n in 0..count {
         let mut stream = TcpStream::connect(address).await.expect("an admin endpoint");
-        stream.write_all(&b"var"[..n % 4]).await.expect("a reader");
-        silent.push(stream);
+        stream.write_all(&b"var"[..n % 4]).await.expect("a connected peer");
+        idle.push(stream);
     }
-    silent
+    idle
 }
 
-/// An admin endpoint, with what the rest of the process would change.
-struct Endpoint {
+/// An admin endpoint, with the state that the rest of the process would change.
+struct TestEndpoint {
     address: String,
     shutdown: watch::Sender<ShutdownPhase>,
     requests_in_flight: Rc<Cell<usize>>,
     reloads: Rc<ReloadCounters>,
 }
 
-impl Endpoint {
-    async fn start(dispatcher: &Dispatcher) -> Endpoint {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+impl TestEndpoint {
+    async fn start(dispatcher: &Dispatcher) -> TestEndpoint {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a bound address").to_string();
         let (shutdown, phase) = watch::channel(ShutdownPhase::Running);
         let (requests_in_flight, reloads) = (Rc::new(Cell::new(0)), Rc::new(ReloadCounters::default()));
         let endpoint = AdminEndpoint {
@@ -69,18 +69,19 @@
             cluster: None,
         };
         tokio::task::spawn_local(admin::accept(listener, endpoint));
-        Endpoint { address, shutdown, requests_in_flight, reloads }
+        TestEndpoint { address, shutdown, requests_in_flight, reloads }
     }
 }
 
-/// Guards against metrics that are untrue, and against connections without a command keeping others out.
+/// Guards against wrong metrics, and against connections without a command that keep others from being
+/// served.
 #[test]
-fn the_admin_endpoint_answers_at_once_and_truly_beside_connections_that_send_nothing() {
+fn the_admin_endpoint_answers_at_once_and_correctly_despite_idle_connections() {
     run_local(async {
         let ([cache, ..], members) = start_cache_parent_origin(COPY).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
-        let admin = Endpoint::start(&dispatcher).await;
+        let admin = TestEndpoint::start(&dispatcher).await;
         for id in 0..3 {
             assert_eq!(send(&clients, &get("videos", id)).await.status, 200);
         }
@@ -89,52 +90,59 @@
         assert_eq!(send(&clients, &get("videos", 3)).await.status, 503);
         admin.requests_in_flight.set(2);
         admin.reloads.failed.set(1);
-        let _silent = silent_connections(&admin.address, SILENT_CONNECTIONS).await;
-        let begun = Instant::now();
-        assert_eq!(command(&admin.address, "check\n").await, "YES\n");
-        let metrics = command(&admin.address, "vars\r\n").await;
-        assert!(begun.elapsed() < Duration::from_millis(500), "{:?}", begun.elapsed());
+        let _idle = open_idle_connections(&admin.address, IDLE_CONNECTIONS).await;
+        let started_at = Instant::now();
+        assert_eq!(send_command(&admin.address, "check\n").await, "YES\n");
+        let metrics = send_command(&admin.address, "vars\r\n").await;
+        assert!(
+            started_at.elapsed() < Duration::from_millis(500),
+            "the answers took {:?}",
+            started_at.elapsed()
+        );
         for part in [
             r#""videos":{"served":3,"refused":1,"failed":0}"#,
             r#""filing":{"served":0,"refused":0,"failed":0}"#,
             r#""attempts":3,"in_flight":2,"caches_known":0,"caches_excluded":0"#,
             r#""reloads_ok":0,"reloads_failed":1}"#,
         ] {
-            assert!(metrics.contains(part), "{part} in {metrics}");
+            assert!(metrics.contains(part), "expected {part} in {metrics}");
         }
-        assert!(metrics.ends_with("}\nEND\n"), "{metrics}");
+        assert!(metrics.ends_with("}\nEND\n"), "expected the end marker in {metrics}");
     });
 }
 
 #[test]
-fn unknown_and_endless_commands_and_a_process_that_ends_are_answered_with_no() {
+fn unknown_and_overlong_commands_and_checks_during_shutdown_are_answered_with_no() {
     run_local(async {
         let (_servers, members) = start_cache_parent_origin(COPY).await;
-        let admin = Endpoint::start(&start(settings(), Clock::system(), members)).await;
-        let _silent = silent_connections(&admin.address, SILENT_CONNECTIONS).await;
-        assert!(command(&admin.address, "reboot\n").await.starts_with("NO "));
+        let admin = TestEndpoint::start(&start(settings(), Clock::system(), members)).await;
+        let _idle = open_idle_connections(&admin.address, IDLE_CONNECTIONS).await;
+        assert!(send_command(&admin.address, "reboot\n").await.starts_with("NO "));
         assert!(
-            command(&admin.address, &"x".repeat(300)).await.starts_with("NO "),
-            "a command without an end"
+            send_command(&admin.address, &"x".repeat(300)).await.starts_with("NO "),
+            "an overlong command is answered with NO"
         );
         admin.shutdown.send(ShutdownPhase::CloseAfterResponse).expect("an admin endpoint");
-        assert!(command(&admin.address, "check\n").await.starts_with("NO "), "a process that ends");
+        assert!(
+            send_command(&admin.address, "check\n").await.starts_with("NO "),
+            "a check during shutdown is answered with NO"
+        );
     });
 }
 
-fn example() -> PlatformConfig {
-    PlatformConfig::parse(include_str!("../examples/config.json")).expect("a good configuration")
+fn example_config() -> PlatformConfig {
+    PlatformConfig::parse(include_str!("../examples/config.json")).expect("a valid configuration")
 }
 
-/// Guards against applying a part of a file that can't be used.
+/// Guards against applying part of an invalid file.
 #[test]
 fn a_configuration_with_a_key_missing_or_a_value_out_of_range_is_rejected() {
     let text = include_str!("../examples/config.json");
     let is_rejected = |text: &str| match PlatformConfig::parse(text) {
-        Ok(later) => later.can_replace(&example()).is_err(),
+        Ok(config) => config.can_replace(&example_config()).is_err(),
         Err(_) => true,
     };
-    assert!(!is_rejected(text));
+    assert!(!is_rejected(text), "the example is accepted");
     assert!(!is_rejected(&text.replace("\"maxAttempts\": 6", "\"maxAttempts\": 2")));
     for (from, to) in [
         ("\"deadlineMs\": 5000", "\"deadlineMs\": -5"),
@@ -152,34 +160,35 @@
     ] {
         let changed = text.replacen(from, to, 1);
         assert_ne!(changed, text, "{from}");
-        assert!(is_rejected(&changed), "{from} -> {to}");
+        assert!(is_rejected(&changed), "accepted with {to} instead of {from}");
     }
     for cut in (0..text.trim_end().len()).step_by(7) {
-        assert!(is_rejected(&text[..cut]), "cut at {cut}");
+        assert!(is_rejected(&text[..cut]), "accepted when truncated to {cut} bytes");
     }
 }
 
-/// Guards pending requests against the rules of a class that came later, and the table against growing.
+/// Guards against applying a later class's rules to pending requests, and against a table of classes that
+/// grows.
 #[test]
 fn classes_keep_their_index_while_requests_use_it() {
-    let with = |names: &[&str]| {
+    let settings_with = |names: &[&str]| {
         let class = |name: &&str| Class { name: (*name).to_owned(), deadline: 7, ..Class::default() };
         Settings { classes: names.iter().map(class).collect(), ..Settings::default() }
     };
-    let first = with(&["a", "b"]);
-    let second = first.updated_to(with(&["b", "c"]), |_| false);
+    let first = settings_with(&["a", "b"]);
+    let second = first.updated_to(settings_with(&["b", "c"]), |_| false);
     assert_eq!(
         (second.class_index("a"), second.class_index("b"), second.class_index("c")),
         (None, Some(1), Some(2))
     );
     assert_eq!(second.classes[0], Class { retired: true, ..first.classes[0].clone() });
-    let in_use = second.updated_to(with(&["b", "c", "d"]), |index| index == 0);
-    assert_eq!(in_use.class_index("d"), Some(3), "a pending request uses index 0");
-    let free = second.updated_to(with(&["b", "c", "d"]), |_| false);
+    let in_use = second.updated_to(settings_with(&["b", "c", "d"]), |index| index == 0);
+    assert_eq!(in_use.class_index("d"), Some(3), "index 0 is not reused while a pending request uses it");
+    let free = second.updated_to(settings_with(&["b", "c", "d"]), |_| false);
     assert_eq!((free.class_index("d"), free.classes.len()), (Some(0), 3));
-    let mut other = with(&["b", "c"]);
-    other.classes[0].idempotency = Idempotency::AtMostOnce;
-    let changed = second.updated_to(other, |_| true);
+    let mut changed_rules = settings_with(&["b", "c"]);
+    changed_rules.classes[0].idempotency = Idempotency::AtMostOnce;
+    let changed = second.updated_to(changed_rules, |_| true);
     assert_eq!(
         changed.classes[1].idempotency,
         Idempotency::Idempotent,
@@ -191,22 +200,22 @@
     );
     let mut grown = first;
     for n in 0..1000 {
-        grown = grown.updated_to(with(&[&format!("n{n}")]), |_| false);
+        grown = grown.updated_to(settings_with(&[&format!("n{n}")]), |_| false);
     }
-    assert!(grown.classes.len() <= 5, "{}", grown.classes.len());
+    assert!(grown.classes.len() <= 5, "the table has grown to {} classes", grown.classes.len());
 }
 
-/// Guards against a new class being unknown, and a dropped one still being served.
+/// Guards against a new class that stays unknown, and a removed class that is still served.
 #[test]
-fn new_classes_are_served_and_dropped_ones_are_not() {
+fn new_classes_are_served_and_removed_classes_are_not() {
     run_local(async {
         let (servers, members) = start_cache_parent_origin(COPY).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         assert_eq!(send(&clients, &get("films", 1)).await.status, 404);
-        let mut later = settings();
-        later.classes[0].name = "films".into();
-        dispatcher.sender().send(DispatcherMessage::Settings(Box::new(later))).await;
+        let mut new_settings = settings();
+        new_settings.classes[0].name = "films".into();
+        dispatcher.sender().send(DispatcherMessage::Settings(Box::new(new_settings))).await;
         dispatcher.metrics().await.expect("a dispatcher");
         assert_eq!(send(&clients, &get("films", 2)).await.status, 200);
         assert_eq!(send(&clients, &get("videos", 3)).await.status, 404);
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -1,7 +1,7 @@
-//! Clients that disconnect: no attempt begins for one more than 0.1 s later, wherever its request waits. In a
-//! stall of the event loop the client's disconnect is in the socket and the runtime has notified nobody; the
-//! director then goes on with what it had to do next, which it must not begin. `docs/design/races.md` lists
-//! the places and their verdicts.
+//! No attempt begins for a client more than 0.1 s after it has disconnected, wherever its request waits.
+//! After a stall of the event loop the disconnect is in the socket, but the runtime has notified no task yet,
+//! so that the director could begin the attempt that is due next. `docs/design/races.md` lists the places
+//! where this can happen and what was found there.
 
 mod emulated;
 
@@ -27,25 +27,27 @@
 /// No attempt begins later than this after its client has disconnected.
 const MAX_NOTICE_DELAY: Duration = Duration::from_millis(100);
 
-/// Nothing of the director runs for longer than the delay.
-fn stall() {
+/// Blocks the event loop for longer than `MAX_NOTICE_DELAY`.
+fn stall_event_loop() {
     std::thread::sleep(MAX_NOTICE_DELAY + Duration::from_millis(50));
 }
 
-/// A director's frontend, a cache that is controlled step by step, and a parent and an origin that serve.
+/// A director with a frontend, a cache that the test controls step by step, and a parent and an origin that
+/// serve.
 struct Site {
     dispatcher: Dispatcher,
     frontend: String,
     cache: BufReader<TcpStream>,
     others: [EmulatedServer; 2],
-    /// Attempts that the others got before the test's own.
-    before: usize,
-    /// The dispatcher's number of the next request.
-    next_number: u64,
+    /// Attempts that `others` received before the test's own.
+    initial_attempts: usize,
+    /// The number that the dispatcher gives to the next request.
+    next_request_number: u64,
 }
 
 impl Site {
-    /// With connections to all servers that the test may use: an attempt is written at once.
+    /// Starts the servers and the director and opens the connections to the servers that the test uses, so
+    /// that an attempt is written at once.
     async fn start() -> Site {
         let (stepped, address) = SteppedServer::start().await;
         let ([_, parent, origin], mut members) =
@@ -54,15 +56,21 @@
         let dispatcher = start_dispatcher(members);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         let mut client = TcpStream::connect(&frontend).await.expect("a frontend");
-        client.write_all(get(0xf).as_bytes()).await.expect("a reader");
+        client.write_all(get(0xf).as_bytes()).await.expect("a connected peer");
         let mut cache = stepped.connection().await;
         assert!(line(&mut cache).await.contains("000f "));
-        cache.write_all(b"000000000000000f EIO - 0\r\n\r\n").await.expect("a reader");
-        let mut site =
-            Site { dispatcher, frontend, cache, others: [parent, origin], before: 0, next_number: 2 };
+        cache.write_all(b"000000000000000f EIO - 0\r\n\r\n").await.expect("a connected peer");
+        let mut site = Site {
+            dispatcher,
+            frontend,
+            cache,
+            others: [parent, origin],
+            initial_attempts: 0,
+            next_request_number: 2,
+        };
         site.wait_until_idle().await;
-        site.before = site.attempts_at_others();
-        assert_eq!(site.before, 1, "the retry of a request whose client stays");
+        site.initial_attempts = site.attempts_at_others();
+        assert_eq!(site.initial_attempts, 1, "a request whose client stays connected is retried once");
         site
     }
 
@@ -70,32 +78,37 @@
         self.others.iter().map(|s| s.requests().len()).sum()
     }
 
-    /// A client whose request the cache has got; other bytes may follow it.
-    async fn client(&mut self, id: u64) -> std::net::TcpStream {
+    /// Sends a request from a new client, waits until the cache has received it, and returns the client's
+    /// connection, on which the test may send more bytes.
+    async fn send_from_client(&mut self, id: u64) -> std::net::TcpStream {
         let mut client = std::net::TcpStream::connect(&self.frontend).expect("a frontend");
-        client.write_all(get(id).as_bytes()).expect("a reader");
+        client.write_all(get(id).as_bytes()).expect("a connected peer");
         assert!(line(&mut self.cache).await.starts_with(&format!("want {id:016x} ")));
         client
     }
 
-    /// Puts an attempt's end into the dispatcher's mailbox, with nothing run.
-    fn end_attempt(&mut self, end: AttemptResult) {
-        let attempt_id = AttemptId { request: self.next_number, attempt: 0 };
-        self.next_number += 1;
-        assert!(self.dispatcher.sender().try_send(DispatcherMessage::AttemptEnded(attempt_id, end)));
+    /// Puts an attempt's result into the dispatcher's mailbox without running any task.
+    fn end_attempt(&mut self, result: AttemptResult) {
+        let attempt_id = AttemptId { request: self.next_request_number, attempt: 0 };
+        self.next_request_number += 1;
+        assert!(self.dispatcher.sender().try_send(DispatcherMessage::AttemptEnded(attempt_id, result)));
     }
 
-    /// Waits until no request is pending, and what was written to servers has arrived there.
+    /// Waits until no request is pending and the servers have received what was written to them.
     async fn wait_until_idle(&self) {
         wait_until_idle(&self.dispatcher).await;
     }
 
-    /// Checks that the cache gets nothing but the request of a client that stays.
+    /// Checks that the cache has received no other request before that of a new client, which stays
+    /// connected.
     async fn expect_cache_gets_only(&mut self, id: u64) {
-        let stays = self.client(id).await;
-        self.cache.write_all(format!("{id:016x} ACK - 2\r\nok\r\n").as_bytes()).await.expect("a reader");
+        let client = self.send_from_client(id).await;
+        self.cache
+            .write_all(format!("{id:016x} ACK - 2\r\nok\r\n").as_bytes())
+            .await
+            .expect("a connected peer");
         self.wait_until_idle().await;
-        drop(stays);
+        drop(client);
     }
 }
 
@@ -110,47 +123,52 @@
         if tables.pending_requests == 0 {
             break;
         }
-        assert!(Instant::now() < until, "{tables:?}");
+        assert!(Instant::now() < until, "requests are still pending: {tables:?}");
         tokio::task::yield_now().await;
     }
     sleep(Duration::from_millis(20)).await;
 }
 
-fn served() -> AttemptResult {
+fn hit_result() -> AttemptResult {
     let status = ResponseStatus::Ok(Representation { etag: None, body: "ok".into() });
     Ok(UpstreamResponse { status, cache_status: CacheStatus::Hit, source_wait: 0, load_report: Vec::new() })
 }
 
 // ---- during a stall of the event loop ----
 
-/// An attempt's end and the client's disconnect have arrived; the policy would retry.
+/// Covers a failed attempt's result that arrives with the client's disconnect during the stall; the policy
+/// would retry.
 #[test]
 fn no_retry_begins_for_a_client_whose_disconnect_is_unread_in_its_socket() {
     for unread in [0, 1000] {
         run_local(async {
             let mut site = Site::start().await;
-            let mut client = site.client(0xa).await;
+            let mut client = site.send_from_client(0xa).await;
             site.end_attempt(Err(AttemptError::NotWritten));
-            client.write_all(&vec![b'x'; unread]).expect("a reader");
+            client.write_all(&vec![b'x'; unread]).expect("a connected peer");
             drop(client);
-            stall();
+            stall_event_loop();
             site.wait_until_idle().await;
-            assert_eq!(site.attempts_at_others(), site.before, "{unread} bytes unread");
+            assert_eq!(
+                site.attempts_at_others(),
+                site.initial_attempts,
+                "no further attempt expected with {unread} bytes unread"
+            );
             let counts = site.dispatcher.metrics().await.expect("a dispatcher").requests["videos"];
             assert_eq!(counts.cancelled_not_run + counts.cancelled_may_have_run, 1, "{counts:?}");
         });
     }
 }
 
-/// A request waits in the dispatcher's mailbox; its client has disconnected behind bytes that nobody has
-/// read.
+/// Covers a request that waits in the dispatcher's mailbox while its client disconnects, with or without
+/// unread bytes before the disconnect.
 #[test]
 fn no_first_attempt_begins_for_a_client_whose_disconnect_is_unread_in_its_socket() {
     for unread in [0, 1000] {
         run_local(async {
             let mut site = Site::start().await;
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("an address");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+            let address = listener.local_addr().expect("a bound address");
             let mut client = std::net::TcpStream::connect(address).expect("a listener");
             let stream = ClientStream::new(listener.accept().await.expect("a connection").0);
             let request = ClientRequest {
@@ -161,55 +179,60 @@
                 ..Default::default()
             };
             let _pending = site.dispatcher.submit_for_client(request, stream.client());
-            client.write_all(&vec![b'x'; unread]).expect("a reader");
+            client.write_all(&vec![b'x'; unread]).expect("a connected peer");
             drop(client);
-            stall();
+            stall_event_loop();
             site.wait_until_idle().await;
             site.expect_cache_gets_only(0xb).await;
-            assert_eq!(site.attempts_at_others(), site.before, "{unread} bytes unread");
+            assert_eq!(
+                site.attempts_at_others(),
+                site.initial_attempts,
+                "no further attempt expected with {unread} bytes unread"
+            );
         });
     }
 }
 
-/// Two requests are on one connection. The first has its response, and the client has disconnected.
+/// Covers a client that pipelines two requests and disconnects once the first has its response.
 #[test]
 fn no_attempt_begins_for_a_pipelined_request_whose_client_has_disconnected() {
     run_local(async {
         let mut site = Site::start().await;
         let mut client = std::net::TcpStream::connect(&site.frontend).expect("a frontend");
-        client.write_all((get(0xa) + &get(0xb)).as_bytes()).expect("a reader");
+        client.write_all((get(0xa) + &get(0xb)).as_bytes()).expect("a connected peer");
         assert!(line(&mut site.cache).await.contains("000a "));
-        site.end_attempt(served());
+        site.end_attempt(hit_result());
         drop(client);
-        stall();
+        stall_event_loop();
         site.wait_until_idle().await;
         site.expect_cache_gets_only(0xc).await;
-        assert_eq!(site.attempts_at_others(), site.before);
+        assert_eq!(site.attempts_at_others(), site.initial_attempts);
     });
 }
 
 // ---- while the event loop runs ----
 
-/// The client disconnects while an attempt is in flight; that attempt's end comes later.
+/// Covers a client that disconnects while an attempt is in flight, which fails later.
 #[test]
 fn no_retry_begins_once_a_client_has_disconnected() {
     run_local(async {
         let mut site = Site::start().await;
-        let client = site.client(0xa).await;
+        let client = site.send_from_client(0xa).await;
         drop(client);
         sleep(MAX_NOTICE_DELAY).await;
-        site.cache.write_all(b"000000000000000a EIO - 0\r\n\r\n").await.expect("a reader");
+        site.cache.write_all(b"000000000000000a EIO - 0\r\n\r\n").await.expect("a connected peer");
         site.wait_until_idle().await;
-        assert_eq!(site.attempts_at_others(), site.before);
+        assert_eq!(site.attempts_at_others(), site.initial_attempts);
     });
 }
 
-/// The client has sent more than any buffer takes, so that its disconnect can't arrive before that is read.
+/// Covers a client that has filled the socket's buffers, so that its disconnect can't arrive before they are
+/// read.
 #[test]
-fn no_retry_begins_for_a_client_that_disconnects_behind_more_than_its_socket_takes() {
+fn no_retry_begins_for_a_client_that_disconnects_with_its_socket_buffers_full() {
     run_local(async {
         let mut site = Site::start().await;
-        let mut client = site.client(0xa).await;
+        let mut client = site.send_from_client(0xa).await;
         client.set_nonblocking(true).expect("a socket");
         let mut sent = 0;
         let full = loop {
@@ -219,109 +242,109 @@
             }
         };
         assert_eq!(full, ErrorKind::WouldBlock);
-        assert!(sent > 200_000, "{sent}");
+        assert!(sent > 200_000, "expected buffers of more than 200,000 bytes, {sent} were sent");
         drop(client);
         sleep(MAX_NOTICE_DELAY).await;
-        site.cache.write_all(b"000000000000000a EIO - 0\r\n\r\n").await.expect("a reader");
+        site.cache.write_all(b"000000000000000a EIO - 0\r\n\r\n").await.expect("a connected peer");
         site.wait_until_idle().await;
-        assert_eq!(site.attempts_at_others(), site.before);
+        assert_eq!(site.attempts_at_others(), site.initial_attempts);
     });
 }
 
-/// A server does not respond; the hedged request, which is sent for a client that stays, is not sent for one
-/// that disconnected.
+/// Covers a server that does not respond, so that a hedged request is due. It is sent for a client that stays
+/// connected and not for one that has disconnected.
 #[test]
 fn no_hedged_request_begins_once_a_client_has_disconnected() {
     run_local(async {
         let (servers, members) = start_cache_parent_origin(ServerBehavior::Silent).await;
         let dispatcher = start_dispatcher(members);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
-        let had = || servers.iter().map(|s| s.requests().len()).sum::<usize>();
+        let attempts = || servers.iter().map(|s| s.requests().len()).sum::<usize>();
         let connect = |id| {
             let mut client = std::net::TcpStream::connect(&frontend).expect("a frontend");
-            client.write_all(get(id).as_bytes()).expect("a reader");
+            client.write_all(get(id).as_bytes()).expect("a connected peer");
             client
         };
-        let reach = |count| {
-            let had = &had;
+        let wait_for_attempts = |count| {
+            let attempts = &attempts;
             async move {
                 let started = Instant::now();
-                while had() < count {
-                    assert!(started.elapsed() < SOON, "no attempt");
+                while attempts() < count {
+                    assert!(started.elapsed() < SOON, "{count} attempts expected within {SOON:?}");
                     sleep(Duration::from_millis(1)).await;
                 }
                 started.elapsed()
             }
         };
-        let stays = connect(0xa);
-        reach(1).await;
-        let hedge_delay = reach(2).await;
-        drop(stays);
+        let staying_client = connect(0xa);
+        wait_for_attempts(1).await;
+        let hedge_delay = wait_for_attempts(2).await;
+        drop(staying_client);
         wait_until_idle(&dispatcher).await;
         for (stalled, id) in [(false, 0xb), (true, 0xc)] {
-            let before = had();
-            let leaves = connect(id);
-            reach(before + 1).await;
-            drop(leaves);
+            let before = attempts();
+            let client = connect(id);
+            wait_for_attempts(before + 1).await;
+            drop(client);
             if stalled {
-                // The timer and the client's disconnect come together.
+                // The hedging timer and the client's disconnect become due in the same stall.
                 std::thread::sleep(hedge_delay + MAX_NOTICE_DELAY);
             }
             sleep(hedge_delay + 3 * MAX_NOTICE_DELAY).await;
             assert_eq!(
-                had(),
+                attempts(),
                 before + 1,
-                "a hedged request, due {hedge_delay:?} after the first; stalled {stalled}"
+                "no hedged request expected, {hedge_delay:?} after the first attempt; stalled: {stalled}"
             );
         }
     });
 }
 
-/// The connection to the server is still being established when the client disconnects.
+/// Covers a client that disconnects while the connection to the server is still being established.
 #[test]
-fn nothing_is_sent_on_a_connection_established_once_the_client_has_disconnected() {
+fn nothing_is_sent_on_a_connection_established_after_the_client_has_disconnected() {
     run_local(async {
         let (listener, address) = listener_with_short_queue();
         let waiting = fill_accept_queue(&address).await;
         let dispatcher = start_dispatcher(vec![listing("s-cache", &address, "edge", "cache")]);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         let mut client = std::net::TcpStream::connect(&frontend).expect("a frontend");
-        client.write_all(get(0xa).as_bytes()).expect("a reader");
+        client.write_all(get(0xa).as_bytes()).expect("a connected peer");
         while dispatcher.metrics().await.expect("a dispatcher").tables.attempts_in_flight == 0 {
             tokio::task::yield_now().await;
         }
         drop(client);
         sleep(MAX_NOTICE_DELAY).await;
         for _ in &waiting {
-            listener.accept().await.expect("one of ours");
+            listener.accept().await.expect("a queued connection");
         }
-        // The kernel retries after about a second, if the director has not dropped the connection.
+        // The kernel retries the connection after about a second, unless the director has dropped it.
         if let Ok(accepted) = timeout(Duration::from_millis(1500), listener.accept()).await {
-            let mut stream = BufReader::new(accepted.expect("the director's").0);
+            let mut stream = BufReader::new(accepted.expect("the director's connection").0);
             let mut bytes = String::new();
             let read = tokio::io::AsyncBufReadExt::read_line(&mut stream, &mut bytes);
             assert!(
                 !matches!(timeout(Duration::from_millis(300), read).await, Ok(Ok(n)) if n > 0),
-                "{bytes}"
+                "nothing expected on the connection, got {bytes}"
             );
         }
     });
 }
 
-// ---- hosts ----
+// ---- in a host process: middleware and host transport ----
 
-/// The host's server has not notified the middleware; it has left a handle by which the client can be looked
-/// at.
+/// Covers a host whose HTTP server does not report the disconnect to the middleware. The request carries a
+/// handle with which the director can check the client.
 #[cfg(feature = "middleware")]
 #[test]
-fn no_attempt_begins_by_the_middleware_for_a_client_that_has_visibly_disconnected() {
+fn the_middleware_begins_no_attempt_for_a_client_that_has_disconnected() {
     use foxhold::dispatch::ClientHandle;
     use foxhold::middleware::DirectorService;
     use tower::ServiceExt;
     run_local(async {
         let mut site = Site::start().await;
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a bound address");
         let client = std::net::TcpStream::connect(address).expect("a listener");
         let stream = ClientStream::new(listener.accept().await.expect("a connection").0);
         let request =
@@ -329,11 +352,11 @@
         let request = request.body(http_body_util::Empty::<&[u8]>::new()).expect("a request");
         let service = DirectorService::new(site.dispatcher.clone(), Default::default());
         drop(client);
-        let response = service.oneshot(request).await.expect("an answer to nobody");
-        assert!(!response.status().is_success());
+        let response = service.oneshot(request).await.expect("a response, though the client is gone");
+        assert!(!response.status().is_success(), "expected a failure, got {}", response.status());
         site.wait_until_idle().await;
         site.expect_cache_gets_only(0xb).await;
-        assert_eq!(site.attempts_at_others(), site.before);
+        assert_eq!(site.attempts_at_others(), site.initial_attempts);
     });
 }
 
@@ -347,9 +370,10 @@
     }
 }
 
-/// An attempt waits for capacity in the dispatcher's mailbox, to report that it begins.
+/// Covers an attempt that is cancelled while it waits for capacity in the dispatcher's mailbox to report its
+/// start.
 #[test]
-fn a_host_transport_begins_no_attempt_cancelled_while_it_waited_for_the_mailbox() {
+fn a_host_transport_does_not_begin_an_attempt_cancelled_while_waiting_for_the_mailbox() {
     run_local(async {
         let started = Arc::new(AtomicUsize::new(0));
         let (reports, mut messages) = mpsc::channel(1);
@@ -368,10 +392,10 @@
         cancellation.cancel();
         let mut ended = None;
         while ended.is_none() {
-            match timeout(SOON, messages.recv()).await.expect("in time") {
-                Some(DispatcherMessage::AttemptEnded(of, end)) => ended = Some((of, end)),
+            match timeout(SOON, messages.recv()).await.expect("a message in time") {
+                Some(DispatcherMessage::AttemptEnded(id, result)) => ended = Some((id, result)),
                 Some(DispatcherMessage::ClientCancelled(_) | DispatcherMessage::AttemptWritten(_)) => {}
-                other => panic!("{other:?}"),
+                other => panic!("unexpected message {other:?}"),
             }
         }
         assert_eq!(ended, Some((attempt_id, Err(AttemptError::Cancelled))));
--- a/tests/director.rs
+++ b/tests/director.rs
@@ -1,4 +1,4 @@
-//! The platform's frontend on loopback, from a client to emulated servers and back.
+//! The platform's frontend on loopback, with real clients and emulated servers.
 
 mod emulated;
 
@@ -18,21 +18,21 @@
     address: String,
 }
 
-async fn site(behavior: ServerBehavior) -> Site {
+async fn start_site(behavior: ServerBehavior) -> Site {
     let ([cache, parent, origin], members) = start_cache_parent_origin(behavior).await;
     let dispatcher = start(settings(), Clock::system(), members);
     let address = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
     Site { cache, parent, origin, address }
 }
 
-fn get(object: &str, more: &str) -> String {
+fn get_request(object: &str, extra_headers: &str) -> String {
     format!(
         "GET /ops/videos/{object}?block=3 HTTP/1.1\r\nHost: a\r\nX-Job-Id: 9b1f03aa5c7e2d41\r\n\
-         X-Allow-Ms: 1000\r\nX-Family: 17\r\nConnection: close\r\n{more}\r\n"
+         X-Allow-Ms: 1000\r\nX-Family: 17\r\nConnection: close\r\n{extra_headers}\r\n"
     )
 }
 
-fn put(body: &str) -> String {
+fn put_request(body: &str) -> String {
     format!(
         "PUT /ops/filing/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nX-Job-Id: 9b1f03aa5c7e2d42\r\n\
          X-Allow-Ms: 800\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}",
@@ -46,8 +46,8 @@
 #[test]
 fn a_hit_forwards_id_class_object_part_and_bytes_unchanged() {
     run_local(async {
-        let site = site(SERVED).await;
-        let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
+        let site = start_site(SERVED).await;
+        let response = send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
         assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
         assert_eq!(response.header("etag"), Some("\"4be0c1927d55a6f3\""));
         let wants = site.cache.requests();
@@ -60,51 +60,53 @@
 }
 
 #[test]
-fn a_current_copy_of_the_clients_is_a_304_without_a_body() {
+fn a_client_with_a_current_copy_gets_a_304_without_a_body() {
     run_local(async {
-        let site = site(ServerBehavior::Responds("ID NOMOD tag=aa,res=cached 0\r\n\r\n")).await;
-        let response = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
+        let site = start_site(ServerBehavior::Responds("ID NOMOD tag=aa,res=cached 0\r\n\r\n")).await;
+        let response =
+            send(&site.address, &get_request("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
         assert_eq!((response.status, response.body.len()), (304, 0));
         assert_eq!(response.header("etag"), Some("\"aa\""));
         assert!(site.cache.requests()[0].contains(",known=aa "), "{:?}", site.cache.requests());
     });
 }
 
-/// The key by which servers recognize a retry is the client's: without it a class whose retries they discard
-/// can't be served.
+/// Guards against losing the client's idempotency key, by which servers recognize a retry and discard it:
+/// without the key such a class can't be served.
 #[test]
-fn a_clients_idempotency_key_is_forwarded_unchanged_and_none_is_made_up() {
+fn a_clients_idempotency_key_is_forwarded_unchanged_and_none_is_generated() {
     run_local(async {
-        let site = site(SERVED).await;
-        let put = |token: &str| put("x").replace("Content-Length", &format!("{token}Content-Length"));
-        assert_eq!(send(&site.address, &put("X-Unique: k-17f\r\n")).await.status, 200);
-        assert_eq!(send(&site.address, &put("")).await.status, 200);
+        let site = start_site(SERVED).await;
+        let put_with =
+            |header: &str| put_request("x").replace("Content-Length", &format!("{header}Content-Length"));
+        assert_eq!(send(&site.address, &put_with("X-Unique: k-17f\r\n")).await.status, 200);
+        assert_eq!(send(&site.address, &put_with("")).await.status, 200);
         let wants = site.origin.requests();
         assert!(wants[0].contains(",token=k-17f "), "{wants:?}");
         assert!(!wants[1].contains("token"), "{wants:?}");
-        // One that no server can read, or two of them, would cost the connection or be ambiguous.
+        // A key that no server can parse would cost the connection, and two keys would be ambiguous.
         for bad in ["X-Unique: a,b=c\r\n", "X-Unique: a\r\nX-Unique: b\r\n", "X-Unique:\r\n"] {
-            assert_eq!(send(&site.address, &put(bad)).await.status, 400, "{bad}");
+            assert_eq!(send(&site.address, &put_with(bad)).await.status, 400, "{bad}");
         }
         assert_eq!(site.origin.requests().len(), 2);
     });
 }
 
 #[test]
-fn a_rejection_is_immediate_and_advises_when_to_come_back() {
+fn a_rejection_is_immediate_and_says_when_to_retry() {
     run_local(async {
-        let site = site(ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n")).await;
+        let site = start_site(ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n")).await;
         let started = Instant::now();
-        let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
+        let response = send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
         assert_eq!(response.status, 503);
-        let wait: u64 = response.header("x-wait-ms").expect("advice").parse().expect("a number");
-        assert!((400..=1000).contains(&wait), "{wait}");
-        assert!(started.elapsed() < Duration::from_millis(700), "held back: {:?}", started.elapsed());
+        let wait: u64 = response.header("x-wait-ms").expect("a retry delay").parse().expect("a number");
+        assert!((400..=1000).contains(&wait), "a delay of {wait} ms");
+        assert!(started.elapsed() < Duration::from_millis(700), "the rejection took {:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_write_that_may_have_run_is_sent_once_and_not_called_safe_to_retry() {
+fn a_write_that_may_have_run_is_sent_once_and_not_reported_as_safe_to_retry() {
     for behavior in [
         ServerBehavior::ClosesConnection,
         ServerBehavior::BreaksOffResponse,
@@ -112,36 +114,36 @@
         ServerBehavior::Responds("ID EIO - 0\r\n\r\n"),
     ] {
         run_local(async {
-            let site = site(behavior.clone()).await;
-            let response = send(&site.address, &put("a filing")).await;
+            let site = start_site(behavior.clone()).await;
+            let response = send(&site.address, &put_request("a filing")).await;
             let sent =
                 site.cache.requests().len() + site.parent.requests().len() + site.origin.requests().len();
-            assert_eq!(sent, 1, "{behavior:?}");
+            assert_eq!(sent, 1, "attempts with {behavior:?}");
             assert!(matches!(response.status, 502 | 504), "{behavior:?}: {response:?}");
         });
     }
 }
 
 #[test]
-fn a_write_that_certainly_did_not_run_is_rejected_and_can_be_retried() {
+fn a_write_that_was_not_sent_is_rejected_as_safe_to_retry() {
     run_local(async {
-        let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = gone.local_addr().expect("an address").to_string();
-        drop(gone); // nobody listens there any more
+        let unused = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = unused.local_addr().expect("a bound address").to_string();
+        drop(unused); // no socket listens on the address any more
         let members = vec![listing("s-origin", &address, "hub", "origin")];
         let dispatcher = start(settings(), Clock::system(), members);
         let address = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
-        assert_eq!(send(&address, &put("a filing")).await.status, 503);
+        assert_eq!(send(&address, &put_request("a filing")).await.status, 503);
     });
 }
 
 #[test]
-fn an_interrupted_read_is_retried_elsewhere_and_never_partially_served() {
+fn an_interrupted_read_is_retried_at_another_server_and_never_partially_served() {
     for behavior in [ServerBehavior::ClosesConnection, ServerBehavior::BreaksOffResponse] {
         run_local(async {
-            let site = site(SERVED).await;
+            let site = start_site(SERVED).await;
             *site.cache.behavior.borrow_mut() = behavior;
-            let response = send(&site.address, &get("7f3a9c21e0b4d655", "")).await;
+            let response = send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
             assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
         });
     }
@@ -150,9 +152,9 @@
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     run_local(async {
-        let site = site(ServerBehavior::Silent).await;
+        let site = start_site(ServerBehavior::Silent).await;
         let mut stream = TcpStream::connect(&site.address).await.expect("a listener");
-        stream.write_all(get("7f3a9c21e0b4d655", "").as_bytes()).await.expect("a reader");
+        stream.write_all(get_request("7f3a9c21e0b4d655", "").as_bytes()).await.expect("a connected peer");
         while site.cache.requests().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -167,7 +169,7 @@
 #[test]
 fn a_malformed_request_is_answered_and_its_connection_closed() {
     run_local(async {
-        let site = site(SERVED).await;
+        let site = start_site(SERVED).await;
         let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000));
         let cases = [
             ("GET\r\n\r\n", 400),
@@ -189,47 +191,54 @@
 }
 
 #[test]
-fn a_connection_carries_one_request_after_another_even_when_pipelined() {
+fn a_connection_serves_pipelined_requests() {
     run_local(async {
-        let site = site(SERVED).await;
+        let site = start_site(SERVED).await;
         let mut stream = TcpStream::connect(&site.address).await.expect("a listener");
-        let both = get("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "").repeat(2);
-        stream.write_all(both.as_bytes()).await.expect("a reader");
+        let both = get_request("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "").repeat(2);
+        stream.write_all(both.as_bytes()).await.expect("a connected peer");
         let mut bytes = Vec::new();
         while bytes.windows(5).filter(|w| w == b"bytes").count() < 2 {
-            assert!(stream.read_buf(&mut bytes).await.expect("an answer") > 0, "closed early");
+            assert!(
+                stream.read_buf(&mut bytes).await.expect("an answer") > 0,
+                "the connection closed before both responses"
+            );
         }
     });
 }
 
 #[test]
-fn a_malformed_response_ends_its_connection_and_only_that() {
+fn a_malformed_response_closes_only_its_connection() {
     run_local(async {
-        let site = site(SERVED).await;
+        let site = start_site(SERVED).await;
         *site.cache.behavior.borrow_mut() = ServerBehavior::Responds("ID WHAT - 0\r\n\r\n");
-        assert_eq!(send(&site.address, &get("7f3a9c21e0b4d655", "")).await.status, 200, "served elsewhere");
+        assert_eq!(
+            send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await.status,
+            200,
+            "the retry at another server is served"
+        );
         *site.cache.behavior.borrow_mut() = SERVED;
-        assert_ne!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
+        assert_ne!(send(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
     });
 }
 
 #[test]
-fn a_request_that_has_begun_is_still_answered_during_shutdown() {
+fn a_partially_received_request_is_still_answered_during_shutdown() {
     run_local(async {
         let cache = EmulatedServer::start(SERVED).await;
         let dispatcher = start(settings(), Clock::system(), vec![cache.listing("s-cache", "edge", "cache")]);
-        let (close, closing) = tokio::sync::watch::channel(ShutdownPhase::Running);
-        let address = serve_until(&dispatcher, PlatformFrontend(dispatcher.clone()), closing).await;
-        let request = get("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "");
+        let (shutdown_sender, shutdown) = tokio::sync::watch::channel(ShutdownPhase::Running);
+        let address = serve_until(&dispatcher, PlatformFrontend(dispatcher.clone()), shutdown).await;
+        let request = get_request("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "");
         let mut idle = TcpStream::connect(&address).await.expect("a listener");
-        let mut begun = TcpStream::connect(&address).await.expect("a listener");
-        begun.write_all(&request.as_bytes()[..20]).await.expect("a reader");
-        tokio::time::sleep(Duration::from_millis(50)).await; // so that it has arrived
-        close.send(ShutdownPhase::CloseIdle).expect("a front");
-        assert_eq!(idle.read(&mut [0]).await.expect("an end"), 0, "idle connections end");
-        begun.write_all(&request.as_bytes()[20..]).await.expect("a reader");
+        let mut partial = TcpStream::connect(&address).await.expect("a listener");
+        partial.write_all(&request.as_bytes()[..20]).await.expect("a connected peer");
+        tokio::time::sleep(Duration::from_millis(50)).await; // until the director has received it
+        shutdown_sender.send(ShutdownPhase::CloseIdle).expect("a frontend");
+        assert_eq!(idle.read(&mut [0]).await.expect("a closed connection"), 0, "idle connections are closed");
+        partial.write_all(&request.as_bytes()[20..]).await.expect("a connected peer");
         let mut response = String::new();
-        begun.read_to_string(&mut response).await.expect("a response and the end");
+        partial.read_to_string(&mut response).await.expect("a response and the close");
         assert!(
             response.starts_with("HTTP/1.1 200 ") && response.contains("Connection: close"),
             "{response}"
@@ -237,45 +246,50 @@
     });
 }
 
-/// Guards against silent connections occupying all slots, while clients with requests wait to be accepted.
+/// Guards against idle connections that occupy all slots while clients with requests wait to be accepted.
 #[test]
-fn silent_connections_are_evicted_for_clients_with_requests_and_closed_in_time() {
+fn idle_connections_are_evicted_for_clients_with_requests_and_closed_in_time() {
     run_local(async {
-        let site = site(SERVED).await;
+        let site = start_site(SERVED).await;
         let started = Instant::now();
-        let mut silent = Vec::new();
+        let mut idle = Vec::new();
         for n in 0..300 {
-            silent.push(TcpStream::connect(&site.address).await.expect("a listener"));
+            idle.push(TcpStream::connect(&site.address).await.expect("a listener"));
             if n % 50 == 49 {
-                let asked = Instant::now();
-                assert_eq!(send(&site.address, &get("7f3a9c21e0b4d655", "")).await.status, 200);
-                assert!(asked.elapsed() < Duration::from_millis(500), "{:?}", asked.elapsed());
+                let sent_at = Instant::now();
+                assert_eq!(send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await.status, 200);
+                assert!(
+                    sent_at.elapsed() < Duration::from_millis(500),
+                    "the response took {:?}",
+                    sent_at.elapsed()
+                );
             }
         }
-        // Some send one request and stay: they are evicted as well.
+        // Connections that stay open after a first request are evicted as well.
         for n in 0..300 {
-            let mut stays = TcpStream::connect(&site.address).await.expect("a listener");
-            let request = get(&format!("{n:016x}"), "").replace("Connection: close\r\n", "");
-            stays.write_all(request.as_bytes()).await.expect("a reader");
-            assert_eq!(stays.read(&mut [0; 12]).await.expect("an answer"), 12);
-            silent.push(stays);
+            let mut stream = TcpStream::connect(&site.address).await.expect("a listener");
+            let request = get_request(&format!("{n:016x}"), "").replace("Connection: close\r\n", "");
+            stream.write_all(request.as_bytes()).await.expect("a connected peer");
+            assert_eq!(stream.read(&mut [0; 12]).await.expect("an answer"), 12);
+            idle.push(stream);
         }
-        for mut stream in silent.into_iter().take(300) {
+        for mut stream in idle.into_iter().take(300) {
             let _ = stream.read(&mut [0; 1]).await; // closed or reset
         }
         assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
     });
 }
 
-/// Guards against a message that never ends, and against one that hides another in its body.
+/// Guards against a request that never ends, and against one that hides another in its body (request
+/// smuggling).
 #[test]
-fn a_request_without_a_clear_end_is_rejected_and_its_connection_closed() {
+fn a_request_of_ambiguous_or_excessive_length_is_rejected_and_its_connection_closed() {
     run_local(async {
-        let site = site(SERVED).await;
-        let hidden = get("7f3a9c21e0b4d655", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n");
-        let hidden = hidden.replace("Connection: close\r\n", "") + "0\r\n\r\n" + &get("aa", "");
-        let two = get("7f3a9c21e0b4d655", "Content-Length: 1\r\nContent-Length: 2\r\n");
-        let large = get("7f3a9c21e0b4d655", "Content-Length: 60000000\r\n");
+        let site = start_site(SERVED).await;
+        let hidden = get_request("7f3a9c21e0b4d655", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n");
+        let hidden = hidden.replace("Connection: close\r\n", "") + "0\r\n\r\n" + &get_request("aa", "");
+        let two = get_request("7f3a9c21e0b4d655", "Content-Length: 1\r\nContent-Length: 2\r\n");
+        let large = get_request("7f3a9c21e0b4d655", "Content-Length: 60000000\r\n");
         let endless = "GET / HTTP/1.1\r\nX: ".to_owned() + &"x".repeat(20_000);
         for (request, status) in [(hidden, 400), (two, 400), (large, 413), (endless, 431)] {
             assert_eq!(send(&site.address, &request).await.status, status, "{request}");
@@ -287,12 +301,13 @@
     });
 }
 
-/// Guards against forwarding what a server can't use or read, which would cost an attempt or a connection.
+/// Guards against forwarding values that a server can't use or parse, which would cost an attempt or a
+/// connection.
 #[test]
 fn invalid_values_are_rejected_and_not_forwarded() {
     run_local(async {
-        let site = site(SERVED).await;
-        let good = get("7f3a9c21e0b4d655", "X-Ram-Kb: 12.5\r\n");
+        let site = start_site(SERVED).await;
+        let good = get_request("7f3a9c21e0b4d655", "X-Ram-Kb: 12.5\r\n");
         for (from, to) in [
             ("X-Allow-Ms: 1000", "X-Allow-Ms: NaN"),
             ("X-Allow-Ms: 1000", "X-Allow-Ms: 1e300"),
@@ -316,44 +331,49 @@
     });
 }
 
-/// Guards the first of two requests with one id: it is answered as if the second had never arrived.
+/// Guards against a second request with the same id affecting the first, which is answered as if it were
+/// alone.
 #[test]
-fn a_duplicate_of_a_pending_request_is_rejected_and_the_first_goes_on() {
+fn a_duplicate_of_a_pending_request_is_rejected_and_the_first_continues() {
     run_local(async {
-        let site = site(ServerBehavior::Responds("")).await;
+        let site = start_site(ServerBehavior::Responds("")).await;
         let address = site.address.clone();
         let first =
-            tokio::task::spawn_local(async move { send(&address, &get("7f3a9c21e0b4d655", "")).await });
+            tokio::task::spawn_local(
+                async move { send(&address, &get_request("7f3a9c21e0b4d655", "")).await },
+            );
         while site.cache.requests().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
+        assert_eq!(send(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
         assert_eq!(first.await.expect("an answer").status, 503);
         *site.cache.behavior.borrow_mut() = SERVED;
-        assert_ne!(send(&site.address, &get("00000000000000aa", "")).await.status, 409);
+        assert_ne!(send(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
     });
 }
 
-/// Only the copy that the client has and a cache has named may be called not modified.
+/// Guards against a 304 to a client though no server has confirmed the ETag of the client's copy.
 #[test]
-fn a_not_modified_response_for_another_copy_or_none_is_corrupt() {
-    for says in ["ID NOMOD tag=bb,res=cached 0\r\n\r\n", "ID NOMOD res=cached 0\r\n\r\n"] {
+fn a_not_modified_response_with_another_etag_or_none_is_invalid() {
+    for response in ["ID NOMOD tag=bb,res=cached 0\r\n\r\n", "ID NOMOD res=cached 0\r\n\r\n"] {
         run_local(async {
-            let site = site(ServerBehavior::Responds(says)).await;
-            let response = send(&site.address, &get("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
+            let site = start_site(ServerBehavior::Responds(response)).await;
+            let response =
+                send(&site.address, &get_request("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
             assert!(![200, 304].contains(&response.status), "{response:?}");
         });
     }
 }
 
-/// Clients of other sites follow a shorter Retry-After, or none.
+/// Guards against a retry delay that clients don't follow: at some sites they follow only a shorter one, or
+/// none.
 #[test]
-fn the_retry_after_of_a_frontend_at_capacity_is_no_longer_than_clients_follow() {
+fn the_retry_delay_of_a_rejection_is_capped_at_the_configured_maximum_and_omitted_if_disabled() {
     run_local(async {
         let ([_cache, ..], members) = start_cache_parent_origin(SERVED).await;
-        for (gives_advice, max_retry_after, advised) in [(true, 300_000, Some("300")), (false, 300_000, None)]
+        for (retry_after, max_retry_after, expected) in [(true, 300_000, Some("300")), (false, 300_000, None)]
         {
-            let settings = Settings { retry_after: gives_advice, max_retry_after, ..settings() };
+            let settings = Settings { retry_after, max_retry_after, ..settings() };
             let dispatcher = start(settings, Clock::system(), members.clone());
             let wait = Some(Duration::from_millis(500));
             let rejected = PlatformFrontend(dispatcher).to_response(ClientResponse::Rejected {
@@ -361,8 +381,8 @@
                 reason: FailureReason::Overloaded,
             });
             let head = rejected.encode_head(true);
-            let advice = head.lines().find_map(|l| l.strip_prefix("X-Wait-Ms: "));
-            assert_eq!(advice, advised, "{head}");
+            let delay = head.lines().find_map(|l| l.strip_prefix("X-Wait-Ms: "));
+            assert_eq!(delay, expected, "{head}");
         }
     });
 }
--- a/tests/emulated/mod.rs
+++ b/tests/emulated/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated servers that speak the line protocol, and a client's side of HTTP.
+//! Emulated servers that speak the upstream line protocol, and an HTTP client.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use foxhold::config::settings::ConnectionSettings;
@@ -15,35 +15,36 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// What a emulated server does with each request.
+/// How an emulated server treats each request.
 #[derive(Clone, Debug)]
 pub enum ServerBehavior {
-    /// Answers so, with ID in place of the id.
+    /// Sends this response, with `ID` replaced by the request's id.
     Responds(&'static str),
-    /// Takes the request and says nothing.
+    /// Reads the request and sends nothing.
     Silent,
-    /// Takes the request and closes the connection.
+    /// Reads the request and closes the connection.
     ClosesConnection,
-    /// Begins an answer and closes the connection.
+    /// Sends the beginning of a response and closes the connection.
     BreaksOffResponse,
-    /// Begins an answer and stays.
+    /// Sends the beginning of a response and keeps the connection open.
     StallsResponse,
 }
 
-/// A server that listens on loopback and notes what it was sent.
+/// A server that listens on loopback and records the lines it receives.
 pub struct EmulatedServer {
     pub address: String,
     pub behavior: Rc<RefCell<ServerBehavior>>,
     pub lines: Rc<RefCell<Vec<String>>>,
-    /// Connections that came, and that have ended.
+    /// How many connections were accepted so far.
     pub connections: Rc<Cell<usize>>,
+    /// How many of them have ended.
     pub closed: Rc<Cell<usize>>,
 }
 
 impl EmulatedServer {
     pub async fn start(behavior: ServerBehavior) -> EmulatedServer {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a bound address").to_string();
         let (connections, closed) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
         let (behavior, lines) = (Rc::new(RefCell::new(behavior)), Rc::default());
         let server = EmulatedServer { address, behavior, lines, connections, closed };
@@ -82,7 +83,7 @@
                 stream
                     .write_all(format!("{} READY - 0\r\n\r\n", words[1]).as_bytes())
                     .await
-                    .expect("a reader");
+                    .expect("a connected peer");
             }
             if words[0] != "want" {
                 continue;
@@ -93,13 +94,13 @@
             match behavior {
                 ServerBehavior::Responds(answer) => {
                     let answer = answer.replace("ID", &words[1]);
-                    stream.write_all(answer.as_bytes()).await.expect("a reader");
+                    stream.write_all(answer.as_bytes()).await.expect("a connected peer");
                 }
                 ServerBehavior::Silent => {}
                 ServerBehavior::ClosesConnection => return,
                 ServerBehavior::BreaksOffResponse | ServerBehavior::StallsResponse => {
-                    let begun = format!("{} ACK - 10\r\nhalf", words[1]);
-                    stream.write_all(begun.as_bytes()).await.expect("a reader");
+                    let partial_response = format!("{} ACK - 10\r\nhalf", words[1]);
+                    stream.write_all(partial_response.as_bytes()).await.expect("a connected peer");
                     if matches!(behavior, ServerBehavior::BreaksOffResponse) {
                         return;
                     }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The requests that it was sent.
+    /// Returns the `want` lines received so far.
     pub fn requests(&self) -> Vec<String> {
         self.lines.borrow().iter().filter(|l| l.starts_with("want ")).cloned().collect()
     }
@@ -118,7 +119,7 @@
     }
 }
 
-/// A cache, a parent and an origin that all behave alike, and their entries in the list.
+/// Starts a cache, a parent and an origin of the same behavior and returns them with their member list.
 pub async fn start_cache_parent_origin(behavior: ServerBehavior) -> ([EmulatedServer; 3], Vec<Endpoint>) {
     let cache = EmulatedServer::start(behavior.clone()).await;
     let parent = EmulatedServer::start(behavior.clone()).await;
@@ -144,14 +145,15 @@
     }
 }
 
-/// A deployment with one edge zone: `videos` may be repeated, `filing` is written and must not run twice.
+/// Returns settings with one edge zone, an idempotent read class `videos`, and a write class `filing` whose
+/// requests must run at most once.
 pub fn settings() -> Settings {
-    let class = |name: &str, effect, write| Class {
+    let class = |name: &str, idempotency, write| Class {
         name: name.into(),
         latency_objective: 400_000,
         deadline: 3_000_000,
         priority_weight: 1.0,
-        idempotency: effect,
+        idempotency,
         write,
         ..Class::default()
     };
@@ -185,22 +187,22 @@
     ConnectionSettings::default()
 }
 
-/// An attempt that asks for nothing but the object, to be sent and answered by then.
+/// Returns a request for an object with no option set, whose send deadline and deadline are both `deadline`.
 pub fn want(
-    ticket: AttemptId,
+    attempt_id: AttemptId,
     id: &str,
     class: &str,
     body: Vec<u8>,
-    until: tokio::time::Instant,
+    deadline: tokio::time::Instant,
 ) -> UpstreamRequest {
     UpstreamRequest {
-        attempt_id: ticket,
+        attempt_id,
         id: id.into(),
         class: class.into(),
         object: "aa".into(),
         part: None,
-        deadline: until,
-        send_deadline: until,
+        deadline,
+        send_deadline: deadline,
         cancellation: Default::default(),
         fill_source: None,
         cache_rank: 0,
@@ -214,40 +216,40 @@
     }
 }
 
-/// A director's core, whose servers are real sockets.
+/// Starts a dispatcher that connects to its servers over real sockets.
 pub fn start(settings: Settings, clock: Clock, members: Vec<Endpoint>) -> Dispatcher {
     let known = vec![DispatcherMessage::Members { full: true, members }];
     let servers = UpstreamConnector::new(transport(), 100);
-    dispatch::start(settings, 7, clock, servers, known).expect("good settings").dispatcher
+    dispatch::start(settings, 7, clock, servers, known).expect("valid settings").dispatcher
 }
 
-/// Serves a front on a port of its own and returns its address.
-pub async fn serve<F: Frontend>(core: &Dispatcher, front: F) -> String {
-    let (close, closing) = watch::channel(serve::ShutdownPhase::Running);
-    std::mem::forget(close); // the front stays open for as long as the test runs
-    serve_until(core, front, closing).await
+/// Serves a frontend on a free port and returns its address.
+pub async fn serve<F: Frontend>(dispatcher: &Dispatcher, frontend: F) -> String {
+    let (shutdown_sender, shutdown) = watch::channel(serve::ShutdownPhase::Running);
+    std::mem::forget(shutdown_sender); // so that the frontend stays open as long as the test runs
+    serve_until(dispatcher, frontend, shutdown).await
 }
 
-/// The same until it is told to close.
+/// Serves a frontend like `serve`, until `shutdown` asks it to shut down.
 pub async fn serve_until<F: Frontend>(
-    core: &Dispatcher,
-    front: F,
-    closing: watch::Receiver<serve::ShutdownPhase>,
+    dispatcher: &Dispatcher,
+    frontend: F,
+    shutdown: watch::Receiver<serve::ShutdownPhase>,
 ) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
-    let places = ConnectionSlots::new(100, 120);
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound address").to_string();
+    let slots = ConnectionSlots::new(100, 120);
     let shared = ListenerContext {
-        dispatcher: core.clone(),
-        slots: places,
-        shutdown: closing,
+        dispatcher: dispatcher.clone(),
+        slots,
+        shutdown,
         requests_in_flight: Rc::new(Cell::new(0)),
     };
-    tokio::task::spawn_local(serve::accept(listener, shared, front));
+    tokio::task::spawn_local(serve::accept(listener, shared, frontend));
     address
 }
 
-/// An answer as a client reads it.
+/// A response as a client reads it.
 #[derive(Debug, PartialEq)]
 pub struct Response {
     pub status: u16,
@@ -262,41 +264,42 @@
     }
 }
 
-/// Sends one request on a connection of its own and reads to the connection's end.
+/// Sends a request on a new connection and reads the response until the connection closes.
 pub async fn send(address: &str, request: &str) -> Response {
     let mut stream = TcpStream::connect(address).await.expect("a listener");
-    stream.write_all(request.as_bytes()).await.expect("a reader");
+    stream.write_all(request.as_bytes()).await.expect("a connected peer");
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).await.expect("an answer");
-    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("a whole head");
+    stream.read_to_end(&mut bytes).await.expect("a response");
+    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("a complete response head");
     let head = String::from_utf8(bytes[..end].to_vec()).expect("text");
     let status = head[9..12].parse().expect("a status");
     Response { status, head, body: bytes[end + 4..].to_vec() }
 }
 
-/// Runs a test's body where the director's tasks can run.
+/// Runs a test's body in a `LocalSet`, which the director's tasks need.
 pub fn run_local<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// The same with a clock that stands still and jumps ahead when nothing else can happen; no sockets.
+/// Runs a test's body like `run_local`, with a paused clock that advances to the next timer when all tasks
+/// are idle. Unsuitable for tests with sockets.
 pub fn run_with_paused_clock<T>(test: impl Future<Output = T>) -> T {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// In which whatever is waited for has come.
+/// The time limit for an event that a test waits for.
 pub const SOON: Duration = Duration::from_secs(5);
 
-/// A server that does nothing by itself: the test takes its connections and lines one by one.
+/// A server that the test controls step by step: the test accepts its connections and reads its lines.
 pub struct SteppedServer(pub TcpListener);
 
 impl SteppedServer {
     pub async fn start() -> (SteppedServer, String) {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a bound address").to_string();
         (SteppedServer(listener), address)
     }
 
@@ -305,37 +308,37 @@
         BufReader::new(accepted.expect("a connection").0)
     }
 
-    /// Whether a connection has come that was not taken yet.
+    /// Accepts a connection, and returns whether one arrived within 300 ms.
     pub async fn has_connection(&self) -> bool {
         timeout(Duration::from_millis(300), self.0.accept()).await.is_ok()
     }
 }
 
-/// The next line, and the empty one that ends a request's bytes.
+/// Reads and returns the next line. After a `want` line it also reads the empty line that ends the request.
 pub async fn line(stream: &mut BufReader<TcpStream>) -> String {
     let mut text = String::new();
     timeout(SOON, stream.read_line(&mut text)).await.expect("a line in time").expect("a line");
     if text.starts_with("want ") {
-        stream.read_line(&mut String::new()).await.expect("its end");
+        stream.read_line(&mut String::new()).await.expect("the end of the request");
     }
     text
 }
 
-/// A request of the platform.
+/// Returns a platform request for a video.
 pub fn get(id: u64) -> String {
     format!("GET /ops/videos/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Job-Id: {id:016x}\r\nX-Allow-Ms: 2500\r\n\r\n")
 }
 
-/// A listener with the shortest queue there is.
+/// Starts a listener with the shortest accept queue that the system allows, and returns it with its address.
 pub fn listener_with_short_queue() -> (TcpListener, String) {
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    socket.bind("127.0.0.1:0".parse().expect("a bound address")).expect("a free port");
     let listener = socket.listen(0).expect("a listener");
-    let address = listener.local_addr().expect("an address").to_string();
+    let address = listener.local_addr().expect("a bound address").to_string();
     (listener, address)
 }
 
-/// Fills a listener's queue, so that a further connection hangs until one is taken from it.
+/// Fills a listener's accept queue, so that a further connection waits until one is accepted.
 pub async fn fill_accept_queue(address: &str) -> Vec<TcpStream> {
     let mut waiting = Vec::new();
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(address)).await {
--- a/tests/program/mod.rs
+++ b/tests/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program as a child process, with limits and files of its own, and what a test asks of it.
+//! Runs the `foxhold` binary as a child process with its own files and limits, and sends requests to it.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
@@ -14,54 +14,54 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A file in the tests' folder that is removed with the value.
-pub struct Scratch(pub PathBuf);
+/// A file in the system's temporary folder that is removed when the value is dropped.
+pub struct TempFile(pub PathBuf);
 
-impl Scratch {
-    pub fn new(name: &str, text: &str) -> Scratch {
+impl TempFile {
+    pub fn new(name: &str, text: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!("foxhold-{}-{name}", std::process::id()));
-        std::fs::write(&path, text).expect("a file");
-        Scratch(path)
+        std::fs::write(&path, text).expect("a writable temporary folder");
+        TempFile(path)
     }
 
-    /// Puts another text in its place in one step.
+    /// Replaces the file's text atomically, by a rename.
     pub fn replace(&self, text: &str) {
-        let beside = self.0.with_extension("new");
-        std::fs::write(&beside, text).expect("a file");
-        std::fs::rename(&beside, &self.0).expect("a file");
+        let new_path = self.0.with_extension("new");
+        std::fs::write(&new_path, text).expect("a writable temporary folder");
+        std::fs::rename(&new_path, &self.0).expect("a writable temporary folder");
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// A running program; it does not outlive a test that fails.
+/// A running child process, killed when the value is dropped, also if the test fails.
 pub struct Program {
     child: Child,
-    /// Where clients connect.
+    /// The address of the platform's frontend.
     pub address: String,
-    /// The limit on descriptors that it was started with.
-    limit: Option<u64>,
+    /// The hard limit on descriptors that it was started with; `None` if it inherited the test's.
+    descriptor_limit: Option<u64>,
     log: Arc<Mutex<String>>,
 }
 
-/// How a program is started.
+/// The options with which a child process is started.
 #[derive(Default)]
-pub struct Start<'a> {
+pub struct StartOptions<'a> {
     pub config: Option<&'a Path>,
     pub operator: Option<&'a Path>,
-    /// The process's own limit on descriptors.
+    /// The process's limit on descriptors; `None` inherits the test's.
     pub descriptors: Option<u64>,
-    /// The clients' listening socket, held by the test.
+    /// The listening socket for clients, which the process inherits from the test.
     pub inherited: Option<&'a TcpListener>,
-    /// The log's level; none: `info`.
+    /// The log level; `None` means `info`.
     pub log_level: Option<&'a str>,
 }
 
-impl Start<'_> {
+impl StartOptions<'_> {
     pub fn spawn(&self) -> std::io::Result<Child> {
         let limit = self.descriptors.map(|n| format!("ulimit -n {n}; ")).unwrap_or_default();
         let socket = self.inherited.map_or("", |_| "exec 3<&0 0</dev/null; ");
@@ -72,7 +72,7 @@
             .env_remove("ROUTER_FD")
             .env("FOXHOLD_LOG", self.log_level.unwrap_or("info"));
         command.current_dir(std::env::temp_dir()).stdout(Stdio::null()).stderr(Stdio::piped());
-        command.env("ROUTER_CONFIG", self.config.expect("a configuration"));
+        command.env("ROUTER_CONFIG", self.config.expect("the path of a configuration"));
         if let Some(operator) = self.operator {
             command.env("FOXHOLD_FRONT", operator);
         }
@@ -82,85 +82,87 @@
         command.spawn()
     }
 
-    /// Starts it and waits for its first line.
-    pub fn run(&self) -> Program {
-        let mut child = self.spawn().expect("the program");
-        let mut log = BufReader::new(child.stderr.take().expect("a pipe"));
+    /// Starts the process and waits for the first line of its log, which holds the address.
+    pub fn start(&self) -> Program {
+        let mut child = self.spawn().expect("the foxhold binary");
+        let mut log = BufReader::new(child.stderr.take().expect("a piped log"));
         let mut line = String::new();
-        log.read_line(&mut line).expect("a line");
+        log.read_line(&mut line).expect("the first line of the log");
         let address = line.split(" on ").nth(1).unwrap_or_else(|| panic!("no address in '{line}'"));
         let address = address.trim_end().trim_end_matches(", inherited").to_owned();
         let lines = Arc::new(Mutex::new(line));
-        let program = Program { child, address, limit: self.descriptors, log: lines.clone() };
-        std::thread::spawn(move || keep(log, &lines));
+        let program = Program { child, address, descriptor_limit: self.descriptors, log: lines.clone() };
+        std::thread::spawn(move || collect_log(log, &lines));
         program
     }
 }
 
-fn keep(mut log: BufReader<ChildStderr>, lines: &Mutex<String>) {
+/// Appends the process's log to `lines` until the process closes it.
+fn collect_log(mut log: BufReader<ChildStderr>, lines: &Mutex<String>) {
     let mut bytes = [0; 4096];
     while let Ok(n @ 1..) = log.read(&mut bytes) {
-        lines.lock().expect("a log").push_str(&String::from_utf8_lossy(&bytes[..n]));
+        lines.lock().expect("an unpoisoned lock").push_str(&String::from_utf8_lossy(&bytes[..n]));
     }
 }
 
 impl Program {
-    /// One that was started and of which nothing is awaited.
-    pub fn of(child: Child) -> Program {
-        Program { child, address: String::new(), limit: None, log: Arc::default() }
+    /// Wraps a child process without reading its log or its address.
+    pub fn from_child(child: Child) -> Program {
+        Program { child, address: String::new(), descriptor_limit: None, log: Arc::default() }
     }
 
     fn id(&self) -> Pid {
         Pid::from_child(&self.child)
     }
 
-    /// Its folder under `/proc`.
+    /// Returns the process's folder under `/proc`.
     pub fn process_folder(&self) -> PathBuf {
         PathBuf::from(format!("/proc/{}", self.child.id()))
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill_process(self.id(), signal).expect("a process of our own");
+        kill_process(self.id(), signal).expect("a process that the test may control");
     }
 
-    /// The descriptors that it holds at this moment.
+    /// Returns how many descriptors the process has open.
     pub fn descriptors(&self) -> usize {
         open_descriptors(self.child.id())
     }
 
-    /// The number that its next descriptor will have, which has to be below its limit.
+    /// Returns the number that the process's next descriptor will get. Opening one succeeds only if this
+    /// number is below the process's limit.
     pub fn lowest_free_descriptor(&self) -> u64 {
         let is_free = |n: &u64| !Path::new(&format!("/proc/{}/fd/{n}", self.child.id())).is_symlink();
-        (0..).find(is_free).expect("a number")
+        (0..).find(is_free).expect("a free descriptor number")
     }
 
-    /// Sets how many descriptors this process may hold from now on, within the limit of its start; those that
-    /// are open stay.
-    pub fn limit_descriptors(&self, most: u64) {
-        let limit = Rlimit { current: Some(most), maximum: self.limit };
-        prlimit(Some(self.id()), Resource::Nofile, limit).expect("a process of our own");
+    /// Sets the process's soft limit on descriptors, within the limit it was started with. Open descriptors
+    /// stay open.
+    pub fn limit_descriptors(&self, soft_limit: u64) {
+        let limit = Rlimit { current: Some(soft_limit), maximum: self.descriptor_limit };
+        prlimit(Some(self.id()), Resource::Nofile, limit).expect("a process that the test may control");
     }
 
-    /// What it has logged so far.
+    /// Returns what the process has logged so far.
     pub fn log(&self) -> String {
-        self.log.lock().expect("a log").clone()
+        self.log.lock().expect("an unpoisoned lock").clone()
     }
 
-    /// Waits for its end, which must be a success.
-    pub async fn end_well(self) {
-        let status = self.end().await;
-        assert!(status.success(), "{status}");
+    /// Waits until the process exits and checks that it exits with success.
+    pub async fn wait_for_success(self) {
+        let status = self.wait_for_exit().await;
+        assert!(status.success(), "expected a successful exit, got {status}");
     }
 
-    /// Waits for its end.
-    pub async fn end(mut self) -> std::process::ExitStatus {
+    /// Waits until the process exits; panics if that takes longer than about 10 s.
+    pub async fn wait_for_exit(mut self) -> std::process::ExitStatus {
         for _ in 0..2_000 {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+            if let Some(status) = self.child.try_wait().expect("the state of the child process") {
                 return status;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        panic!("it does not end");
+        panic!("the process does not exit");
     }
 }
 
@@ -175,14 +177,14 @@
     std::fs::read_dir(format!("/proc/{process_id}/fd")).map_or(0, Iterator::count)
 }
 
-/// The highest number of descriptors that some programs were seen to hold together. A thread of its own takes
-/// the samples, for a peak is over within milliseconds and the test's thread is busy with its clients then.
+/// The highest total of descriptors sampled over some processes. A separate thread takes the samples, because
+/// a peak lasts only milliseconds and the test's thread is busy with its clients meanwhile.
 pub struct DescriptorPeak(Arc<AtomicUsize>);
 
 impl DescriptorPeak {
     const SAMPLING_INTERVAL: Duration = Duration::from_millis(1);
 
-    /// Takes samples until the value is dropped.
+    /// Starts sampling, which goes on until the value is dropped.
     pub fn of(programs: &[&Program]) -> DescriptorPeak {
         let process_ids: Vec<u32> = programs.iter().map(|program| program.child.id()).collect();
         let peak = Arc::new(AtomicUsize::new(0));
@@ -203,10 +205,10 @@
     }
 }
 
-/// One call at the operators' door; none: it was not answered in time.
-pub async fn call(door: &str, line: &str) -> Option<String> {
+/// Sends a command to the admin endpoint and returns the answer, or `None` if it doesn't come within 3 s.
+pub async fn send_command(admin: &str, line: &str) -> Option<String> {
     let answer = async {
-        let mut stream = TcpStream::connect(door).await?;
+        let mut stream = TcpStream::connect(admin).await?;
         stream.write_all(line.as_bytes()).await?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
@@ -215,8 +217,9 @@
     timeout(Duration::from_secs(3), answer).await.ok()?.ok()
 }
 
-/// One request on a connection of its own; the status, or none where no whole head came in time.
-pub async fn status(address: &str, request: &str) -> Option<u16> {
+/// Sends a request on a new connection and returns the status of the response, or `None` if the connection
+/// fails or doesn't close within 8 s.
+pub async fn request_status(address: &str, request: &str) -> Option<u16> {
     let answer = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(request.as_bytes()).await?;
@@ -228,27 +231,34 @@
     std::str::from_utf8(bytes.get(9..12)?).ok()?.parse().ok()
 }
 
-/// The example configuration with ports of its own.
-pub fn config(sockets: usize, board: &str, ops: &str, [cache, parent, origin]: [&str; 3]) -> String {
+/// Returns the example configuration with these addresses and limit on sockets, and any free port for
+/// clients.
+pub fn example_config(
+    sockets: usize,
+    discovery: &str,
+    admin: &str,
+    [cache, parent, origin]: [&str; 3],
+) -> String {
     include_str!("../../examples/config.json")
         .replace("127.0.0.1:7100", "127.0.0.1:0")
-        .replace("127.0.0.1:7200", board)
-        .replace("127.0.0.1:7103", ops)
+        .replace("127.0.0.1:7200", discovery)
+        .replace("127.0.0.1:7103", admin)
         .replace("127.0.0.1:7201", cache)
         .replace("127.0.0.1:7202", parent)
         .replace("127.0.0.1:7203", origin)
         .replace("\"sockets\": 1024", &format!("\"sockets\": {sockets}"))
 }
 
-/// The same without a discovery service and an admin endpoint, for tests of an origin only.
+/// Returns the example configuration with this origin, and without a discovery service and an admin endpoint.
 pub fn config_with_origin(origin: &str) -> String {
-    config(1024, "", "", ["127.0.0.1:7201", "127.0.0.1:7202", origin])
+    example_config(1024, "", "", ["127.0.0.1:7201", "127.0.0.1:7202", origin])
 }
 
-/// An address where nobody listens; another test may be given it, which is not likely.
+/// Returns an address on which no socket listens. The system could assign it to another test, which is
+/// unlikely.
 pub fn free_address() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address").to_string()
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.local_addr().expect("a bound address").to_string()
 }
 
 pub fn read_request(id: u64, allow_ms: u64) -> String {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,60 +1,62 @@
-//! Reloads at SIGHUP: what is in flight is left alone, and no drain is lost.
+//! Reloads at SIGHUP: requests in flight continue, and no drain is lost.
 #![cfg(feature = "cli")]
 
 mod emulated;
 mod program;
 
 use emulated::{run_local, send, start_cache_parent_origin, EmulatedServer, ServerBehavior};
-use program::{config, config_with_origin, read_request, write_request, Scratch, Start};
+use program::{config_with_origin, example_config, read_request, write_request, StartOptions, TempFile};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// How long after its first line a discovery service tells of a drain.
-const DRAIN_AFTER: Duration = Duration::from_millis(100);
+/// How long after the director's first line a discovery service announces a drain.
+const DRAIN_DELAY: Duration = Duration::from_millis(100);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// Within this a drain must be heeded.
-const DRAIN_HEEDED: Duration = Duration::from_millis(1_200);
+/// How long after the reload the director must have applied the drain.
+const MAX_DRAIN_DELAY: Duration = Duration::from_millis(1_200);
 
-async fn discovery_service() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+async fn bind_discovery_service() -> (TcpListener, String) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let address = listener.local_addr().expect("a bound address").to_string();
     (listener, address)
 }
 
-/// Accepts a director's connection; the line with which it begins, and the connection.
+/// Accepts a director's connection and returns its first line and the connection.
 async fn accept_watch(listener: &TcpListener) -> (String, BufReader<TcpStream>) {
     let (stream, _) = listener.accept().await.expect("a director");
     let mut lines = BufReader::new(stream);
     let mut line = String::new();
-    lines.read_line(&mut line).await.expect("a line");
+    lines.read_line(&mut line).await.expect("the first line");
     (line, lines)
 }
 
-/// Guards against the signal's default, which ends a process, and against dropping what is in flight.
+/// Guards against the signal's default action, which ends the process, and against dropping requests in
+/// flight.
 #[test]
-fn sighup_applies_the_discovery_address_and_leaves_requests_in_flight_alone() {
+fn sighup_applies_the_new_discovery_address_and_keeps_requests_in_flight() {
     run_local(async {
         let origin = EmulatedServer::start(ServerBehavior::Responds("")).await;
-        let ((old, old_address), (new, new_address)) = (discovery_service().await, discovery_service().await);
+        let ((old, old_address), (new, new_address)) =
+            (bind_discovery_service().await, bind_discovery_service().await);
         let with_discovery = |address: &str| {
             config_with_origin(&origin.address)
                 .replace("\"board\": \"\"", &format!("\"board\": \"{address}\""))
         };
-        let file = Scratch::new("hup", &with_discovery(&old_address));
-        let program = Start { config: Some(&file.0), ..Start::default() }.run();
-        let (line, _kept) = accept_watch(&old).await;
+        let file = TempFile::new("hup", &with_discovery(&old_address));
+        let program = StartOptions { config: Some(&file.0), ..StartOptions::default() }.start();
+        let (line, _old_watch) = accept_watch(&old).await;
         drop(old);
         let mut in_flight = TcpStream::connect(&program.address).await.expect("a listener");
-        in_flight.write_all(write_request(1, 1_500).as_bytes()).await.expect("a reader");
-        let begun = Instant::now();
+        in_flight.write_all(write_request(1, 1_500).as_bytes()).await.expect("a connected peer");
+        let started_at = Instant::now();
         while origin.requests().is_empty() {
-            assert!(begun.elapsed() < Duration::from_secs(10), "nothing was sent");
+            assert!(started_at.elapsed() < Duration::from_secs(10), "the origin has received no request");
             sleep(Duration::from_millis(1)).await;
         }
-        // One that can't be used changes nothing; the next one does.
+        // An invalid configuration changes nothing; the next one applies.
         file.replace("{");
         program.signal(Signal::HUP);
         sleep(Duration::from_millis(200)).await;
@@ -67,7 +69,7 @@
     });
 }
 
-/// A watch event about the example cache.
+/// Returns a watch event that sets the example cache's phase.
 fn cache_event(revision: u64, phase: &str, cache: &str) -> String {
     format!(
         "{{\"rev\":{revision},\"pool\":{{\"members\":[{{\"id\":\"example-cache\",\"host_port\":\"{cache}\",\
@@ -75,13 +77,13 @@
     )
 }
 
-/// A discovery service that tells of the cache's drain to every director that has not heard of it.
+/// Runs a discovery service that announces the cache's drain to each director whose revision precedes it.
 async fn announce_drain(listener: TcpListener, cache: String) {
     loop {
         let (line, mut stream) = accept_watch(&listener).await;
         let cache = cache.clone();
         tokio::task::spawn_local(async move {
-            sleep(DRAIN_AFTER).await;
+            sleep(DRAIN_DELAY).await;
             if line == "watch 1\n" {
                 let _ = stream.write_all(cache_event(2, "terminating", &cache).as_bytes()).await;
             }
@@ -93,39 +95,45 @@
 }
 
 /// Guards against a drain that is lost between the old discovery service and the new one, or undone by the
-/// list that the new configuration holds.
+/// member list in the new configuration.
 #[test]
-fn a_reload_at_the_moment_of_a_drain_loses_it_in_no_order() {
+fn a_drain_that_coincides_with_a_reload_is_applied_whichever_comes_first() {
     for gap_ms in [-20, -5, -1, 0, 1, 5, 20_i64] {
-        run_local(reload_beside_drain(gap_ms));
+        run_local(reload_during_drain(gap_ms));
     }
 }
 
-async fn reload_beside_drain(gap_ms: i64) {
+/// Reloads this long after a drain is announced, or before it if negative, and checks that the cache is
+/// drained.
+async fn reload_during_drain(gap_ms: i64) {
     let ([cache, parent, origin], _) =
         start_cache_parent_origin(ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n")).await;
-    let ((old, old_address), (new, new_address)) = (discovery_service().await, discovery_service().await);
+    let ((old, old_address), (new, new_address)) =
+        (bind_discovery_service().await, bind_discovery_service().await);
     let servers = [&cache, &parent, &origin].map(|server| server.address.as_str());
-    let file = Scratch::new(&format!("drain-{gap_ms}"), &config(1024, &old_address, "", servers));
-    let program = Start { config: Some(&file.0), ..Start::default() }.run();
+    let file = TempFile::new(&format!("drain-{gap_ms}"), &example_config(1024, &old_address, "", servers));
+    let program = StartOptions { config: Some(&file.0), ..StartOptions::default() }.start();
     let request = |id: u64| read_request(id, 1_500);
     assert_eq!(send(&program.address, &request(1)).await.status, 200);
-    assert!(!cache.requests().is_empty(), "it goes to the cache");
-    // Settings change too, so that the dispatcher hears of both.
-    let changed = config(1024, &new_address, "", servers);
+    assert!(!cache.requests().is_empty(), "before the drain the request goes to the cache");
+    // The settings change as well, so that the dispatcher receives both changes.
+    let changed = example_config(1024, &new_address, "", servers);
     file.replace(&changed.replace("\"maxAttempts\": 6", "\"maxAttempts\": 5"));
     for listener in [old, new] {
         tokio::task::spawn_local(announce_drain(listener, cache.address.clone()));
     }
-    let reload_after = DRAIN_AFTER.as_millis() as i64 + gap_ms;
+    let reload_after = DRAIN_DELAY.as_millis() as i64 + gap_ms;
     sleep(Duration::from_millis(reload_after as u64)).await;
     program.signal(Signal::HUP);
-    sleep(DRAIN_HEEDED).await;
-    let sent = cache.requests().len();
+    sleep(MAX_DRAIN_DELAY).await;
+    let sent_before = cache.requests().len();
     for id in 2..22 {
         assert_eq!(send(&program.address, &request(id)).await.status, 200);
         sleep(Duration::from_millis(10)).await;
     }
-    let late = cache.requests().split_off(sent);
-    assert!(late.is_empty(), "reload {gap_ms} ms after the drain: {late:?}");
+    let late = cache.requests().split_off(sent_before);
+    assert!(
+        late.is_empty(),
+        "requests to the drained cache, with the reload {gap_ms} ms after the drain: {late:?}"
+    );
 }
--- a/tests/signed_frontend.rs
+++ b/tests/signed_frontend.rs
@@ -1,4 +1,4 @@
-//! The signed frontend on loopback, from a client's link to fake servers and back, each outcome counted.
+//! The frontend for signed URLs on loopback, with emulated servers, and its counters of outcomes.
 
 mod emulated;
 
@@ -27,8 +27,9 @@
     counts: Arc<OutcomeCounters>,
 }
 
-/// A director whose clock differs from the issuer's, and servers that all behave alike.
-async fn deployment(behavior: ServerBehavior, clock_offset: i64) -> Deployment {
+/// Starts a director whose clock is `clock_offset` microseconds ahead of the issuer's, and servers of the
+/// same behavior.
+async fn start_deployment(behavior: ServerBehavior, clock_offset: i64) -> Deployment {
     let ([cache, parent, origin], members) = start_cache_parent_origin(behavior).await;
     let clock = Clock::starting_at((NOW * 1_000_000).saturating_add_signed(clock_offset));
     let dispatcher = start(settings(), clock, members);
@@ -37,10 +38,10 @@
         r#"{{"scheme":"http","keys":[{{"name":"u1","alg":"HMAC-SHA1","key":"{secret}"}},
         {{"name":"t1","alg":"HS256","key":"{secret}"}}]}}"#
     );
-    let keys = watch::channel(Arc::new(parse_keys(&file).expect("good keys"))).1;
+    let keys = watch::channel(Arc::new(parse_keys(&file).expect("valid keys"))).1;
     let counts = Arc::new(OutcomeCounters::default());
-    let front = SignedUrlFrontend { dispatcher: dispatcher.clone(), keys, clock, counts: counts.clone() };
-    let address = serve(&dispatcher, front).await;
+    let frontend = SignedUrlFrontend { dispatcher: dispatcher.clone(), keys, clock, counts: counts.clone() };
+    let address = serve(&dispatcher, frontend).await;
     Deployment { dispatcher, cache, parent, origin, address, counts }
 }
 
@@ -63,15 +64,16 @@
         send(&self.address, &request).await
     }
 
-    /// A link as its issuer makes it.
-    fn link(&self, path: &str, expires: u64) -> String {
+    /// Returns a signed link, made as its issuer makes it, that expires at this Unix time in seconds.
+    fn signed_link(&self, path: &str, expires: u64) -> String {
         let target = format!("{path}?Expires={expires}&KeyName=u1");
         let mut mac = Hmac::<sha1::Sha1>::new_from_slice(SECRET).expect("a key");
         mac.update(format!("http://{}{target}", self.address).as_bytes());
         format!("{target}&Signature={}", URL_SAFE.encode(mac.finalize().into_bytes()))
     }
 
-    fn token(&self, path: &str, claims: &str) -> String {
+    /// Returns the path with a signed token that carries these claims.
+    fn signed_token(&self, path: &str, claims: &str) -> String {
         let encode = |text: &str| URL_SAFE.encode(text).trim_end_matches('=').to_owned();
         let body = format!("{}.{}", encode(r#"{"alg":"HS256"}"#), encode(claims));
         let mut mac = Hmac::<sha2::Sha256>::new_from_slice(SECRET).expect("a key");
@@ -80,16 +82,16 @@
         format!("{path}?URISigningPackage={body}.{}", signature.trim_end_matches('='))
     }
 
-    /// Asserts that just this outcome was counted, and so often.
+    /// Asserts that this outcome was counted this many times, and no other.
     fn assert_counted(&self, outcome: &str, times: u64) {
         assert_eq!(self.counts.get(outcome), times, "{outcome}: {}", self.counts.to_prometheus());
-        let all: u64 = self
+        let total: u64 = self
             .counts
             .to_prometheus()
             .lines()
             .filter_map(|l| l.rsplit_once(' ')?.1.parse::<u64>().ok())
             .sum();
-        assert_eq!(all, times, "{}", self.counts.to_prometheus());
+        assert_eq!(total, times, "no other outcome expected: {}", self.counts.to_prometheus());
     }
 }
 
@@ -97,10 +99,10 @@
 const SECOND: i64 = 1_000_000;
 
 #[test]
-fn a_valid_link_is_served_and_its_credential_goes_no_further() {
+fn a_valid_link_is_served_and_its_credential_is_not_forwarded() {
     run_local(async {
-        let deployment = deployment(COPY, 0).await;
-        let answer = deployment.get(&deployment.link("/videos/guide/one.mp4", NOW + 60)).await;
+        let deployment = start_deployment(COPY, 0).await;
+        let answer = deployment.get(&deployment.signed_link("/videos/guide/one.mp4", NOW + 60)).await;
         assert_eq!((answer.status, &answer.body[..]), (200, &b"bytes"[..]));
         assert_eq!(answer.header("etag"), Some("\"aa\""));
         let wants = deployment.cache.requests();
@@ -108,7 +110,10 @@
         assert!(!wants[0].contains("Signature"), "{wants:?}");
         deployment.assert_counted("served", 1);
         assert_eq!(
-            deployment.get(&deployment.token("/videos/a", r#"{"cdniuc":"regex:.*/videos/a"}"#)).await.status,
+            deployment
+                .get(&deployment.signed_token("/videos/a", r#"{"cdniuc":"regex:.*/videos/a"}"#))
+                .await
+                .status,
             200
         );
         deployment.assert_counted("served", 2);
@@ -116,58 +121,65 @@
 }
 
 #[test]
-fn forged_expired_early_and_malformed_links_are_403_and_counted_apart() {
+fn forged_expired_early_and_malformed_links_get_403_and_are_counted_separately() {
     run_local(async {
-        let far = format!(r#"{{"cdniuc":"regex:.*","nbf":{}}}"#, NOW + 600);
+        let early_claims = format!(r#"{{"cdniuc":"regex:.*","nbf":{}}}"#, NOW + 600);
         type Target<'a> = &'a dyn Fn(&Deployment) -> String;
         let cases: [(&str, Target); 5] = [
-            ("forged", &|s| s.link("/videos/a", NOW + 60).replace("videos/a", "videos/b")),
-            ("expired", &|s| s.link("/videos/a", NOW - 60)),
-            ("not_yet_valid", &|s| s.token("/videos/a", &far)),
-            ("malformed", &|s| s.link("/videos/a", NOW + 60) + "&Expires=9"),
+            ("forged", &|s| s.signed_link("/videos/a", NOW + 60).replace("videos/a", "videos/b")),
+            ("expired", &|s| s.signed_link("/videos/a", NOW - 60)),
+            ("not_yet_valid", &|s| s.signed_token("/videos/a", &early_claims)),
+            ("malformed", &|s| s.signed_link("/videos/a", NOW + 60) + "&Expires=9"),
             ("malformed", &|_| "/videos/a".into()),
         ];
         for (outcome, target) in cases {
-            let deployment = deployment(COPY, 0).await;
-            assert_eq!(deployment.get(&target(&deployment)).await.status, 403, "{outcome}");
+            let deployment = start_deployment(COPY, 0).await;
+            assert_eq!(
+                deployment.get(&target(&deployment)).await.status,
+                403,
+                "status of a link that is {outcome}"
+            );
             deployment.assert_counted(outcome, 1);
-            assert_eq!(deployment.attempts(), 0, "{outcome}");
+            assert_eq!(deployment.attempts(), 0, "attempts for a link that is {outcome}");
         }
     });
 }
 
 #[test]
-fn a_clock_offset_below_the_allowed_skew_changes_nothing_either_way() {
-    // The link ends at NOW, the token begins at NOW; the director's clock is ahead or behind.
-    for (clock_offset, link, token) in
+fn a_clock_offset_below_the_allowed_skew_does_not_affect_validity() {
+    // The link expires at NOW and the token becomes valid at NOW; the director's clock is ahead or behind.
+    for (clock_offset, link_status, token_status) in
         [(4 * SECOND, 200, 200), (5 * SECOND, 403, 200), (-4 * SECOND, 200, 200), (-6 * SECOND, 200, 403)]
     {
         run_local(async {
-            let deployment = deployment(COPY, clock_offset).await;
+            let deployment = start_deployment(COPY, clock_offset).await;
             assert_eq!(
-                deployment.get(&deployment.link("/videos/a", NOW)).await.status,
-                link,
-                "{clock_offset}"
+                deployment.get(&deployment.signed_link("/videos/a", NOW)).await.status,
+                link_status,
+                "link with a clock offset of {clock_offset} us"
             );
             let claims = format!(r#"{{"cdniuc":"regex:.*","nbf":{NOW}}}"#);
             assert_eq!(
-                deployment.get(&deployment.token("/videos/a", &claims)).await.status,
-                token,
-                "{clock_offset}"
+                deployment.get(&deployment.signed_token("/videos/a", &claims)).await.status,
+                token_status,
+                "token with a clock offset of {clock_offset} us"
+            );
+            assert_eq!(
+                deployment.counts.get("served"),
+                u64::from(link_status == 200) + u64::from(token_status == 200)
             );
-            assert_eq!(deployment.counts.get("served"), u64::from(link == 200) + u64::from(token == 200));
-            assert_eq!(deployment.counts.get("expired"), u64::from(link == 403));
-            assert_eq!(deployment.counts.get("not_yet_valid"), u64::from(token == 403));
+            assert_eq!(deployment.counts.get("expired"), u64::from(link_status == 403));
+            assert_eq!(deployment.counts.get("not_yet_valid"), u64::from(token_status == 403));
         });
     }
 }
 
 #[test]
-fn a_link_that_expires_while_its_request_is_pending_is_answered_once_and_cancelled() {
+fn a_request_whose_link_expires_while_it_is_pending_gets_a_403_and_is_cancelled() {
     run_local(async {
-        // 300 ms are left of its five seconds of skew.
-        let deployment = deployment(ServerBehavior::Silent, 4_700_000).await;
-        assert_eq!(deployment.get(&deployment.link("/videos/a", NOW)).await.status, 403);
+        // 300 ms remain of the five seconds of allowed skew.
+        let deployment = start_deployment(ServerBehavior::Silent, 4_700_000).await;
+        assert_eq!(deployment.get(&deployment.signed_link("/videos/a", NOW)).await.status, 403);
         deployment.assert_counted("expired", 1);
         assert_eq!(deployment.attempts(), 1);
         while !deployment.cache.lines.borrow().iter().any(|l| l.starts_with("never_mind ")) {
@@ -177,10 +189,10 @@
 }
 
 #[test]
-fn a_write_whose_link_expires_after_it_was_sent_may_have_run() {
+fn a_write_whose_link_expires_after_it_was_sent_is_counted_as_unknown() {
     run_local(async {
-        let deployment = deployment(ServerBehavior::Silent, 4_700_000).await;
-        let answer = deployment.send("PUT", &deployment.link("/filing/a", NOW), "a filing").await;
+        let deployment = start_deployment(ServerBehavior::Silent, 4_700_000).await;
+        let answer = deployment.send("PUT", &deployment.signed_link("/filing/a", NOW), "a filing").await;
         assert_eq!((answer.status, answer.header("retry-after")), (504, None));
         deployment.assert_counted("expired_unknown", 1);
         assert_eq!(deployment.attempts(), 1);
@@ -188,7 +200,7 @@
 }
 
 #[test]
-fn slow_broken_and_rejecting_servers_each_have_their_status() {
+fn slow_failing_and_rejecting_servers_each_give_their_status() {
     for (behavior, method, path, status, outcome, retry) in [
         (ServerBehavior::Responds(""), "GET", "/videos/a", 504, "deadline", false),
         (ServerBehavior::ClosesConnection, "PUT", "/filing/a", 502, "upstream", false),
@@ -197,9 +209,9 @@
         (ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n"), "GET", "/videos/a", 503, "refused", true),
     ] {
         run_local(async {
-            let deployment = deployment(behavior.clone(), 0).await;
-            let answer = deployment.send(method, &deployment.link(path, NOW + 60), "").await;
-            assert_eq!(answer.status, status, "{behavior:?}");
+            let deployment = start_deployment(behavior.clone(), 0).await;
+            let answer = deployment.send(method, &deployment.signed_link(path, NOW + 60), "").await;
+            assert_eq!(answer.status, status, "status with {behavior:?}");
             assert_eq!(answer.header("retry-after").is_some(), retry, "{behavior:?}: {answer:?}");
             deployment.assert_counted(outcome, 1);
         });
@@ -207,13 +219,17 @@
 }
 
 #[test]
-fn a_valid_link_to_an_unknown_object_is_a_bad_request() {
+fn a_valid_link_to_an_invalid_target_is_counted_as_a_bad_request() {
     run_local(async {
-        let deployment = deployment(COPY, 0).await;
+        let deployment = start_deployment(COPY, 0).await;
         for (path, status) in
             [("/nothing/a", 404), ("/videos/", 400), ("/videos/../filing/a", 400), ("/filing/a", 405)]
         {
-            assert_eq!(deployment.get(&deployment.link(path, NOW + 60)).await.status, status, "{path}");
+            assert_eq!(
+                deployment.get(&deployment.signed_link(path, NOW + 60)).await.status,
+                status,
+                "{path}"
+            );
         }
         deployment.assert_counted("bad_request", 4);
         assert_eq!(deployment.attempts(), 0);
@@ -221,7 +237,7 @@
 }
 
 #[test]
-fn the_counters_are_served_at_metrics() {
+fn the_outcome_counters_are_served_at_the_metrics_path() {
     run_local(async {
         let counts = Arc::new(OutcomeCounters::default());
         counts.increment("forged");
@@ -234,12 +250,12 @@
 }
 
 #[test]
-fn servers_that_refuse_connections_are_a_502_with_retry_after() {
+fn servers_that_refuse_connections_give_a_502_with_retry_after() {
     run_local(async {
-        let nobody = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = nobody.local_addr().expect("an address").to_string();
-        let deployment = deployment(COPY, 0).await;
-        drop(nobody);
+        let unused = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = unused.local_addr().expect("a bound address").to_string();
+        let deployment = start_deployment(COPY, 0).await;
+        drop(unused);
         let member = |name, zone, kind| listing(name, &address, zone, kind);
         let members = vec![
             member("s-cache", "edge", "cache"),
@@ -248,9 +264,9 @@
         ];
         deployment.dispatcher.sender().send(DispatcherMessage::Members { full: true, members }).await;
         for (method, path) in [("GET", "/videos/a"), ("PUT", "/filing/a")] {
-            let answer = deployment.send(method, &deployment.link(path, NOW + 60), "").await;
+            let answer = deployment.send(method, &deployment.signed_link(path, NOW + 60), "").await;
             assert_eq!(answer.status, 502, "{method}");
-            // Nothing ran, so a write may be retried as well.
+            // No request ran, so that even a write may be retried.
             assert!(answer.header("retry-after").is_some(), "{method}: {answer:?}");
         }
         deployment.assert_counted("upstream", 2);
@@ -259,24 +275,24 @@
 }
 
 #[test]
-fn keys_rotate_while_the_process_runs_and_a_bad_file_changes_nothing() {
+fn keys_are_replaced_at_run_time_and_an_invalid_file_is_ignored() {
     let path = std::env::temp_dir().join(format!("foxhold-keys-{}.json", std::process::id()));
-    let file = |name: &str| {
+    let key_file = |name: &str| {
         let key = URL_SAFE.encode(SECRET);
         format!(r#"{{"scheme":"http","keys":[{{"name":"{name}","alg":"HMAC-SHA1","key":"{key}"}}]}}"#)
     };
-    std::fs::write(&path, file("u0")).expect("a file");
+    std::fs::write(&path, key_file("u0")).expect("a writable file");
     run_with_paused_clock(async {
-        let (watched, first) = WatchedFile::open(path.clone(), parse_keys).expect("a good file");
+        let (watched, first) = WatchedFile::open(path.clone(), parse_keys).expect("a valid file");
         let (sender, keys) = watch::channel(Arc::new(first));
         tokio::task::spawn_local(follow_keys(watched, sender));
-        let names = || format!("{:?}", keys.borrow());
+        let current_keys = || format!("{:?}", keys.borrow());
         for (text, expected) in
-            [("{".to_owned(), "u0"), (file("u1"), "u1"), (file("u1").replace("SHA1", "X"), "u1")]
+            [("{".to_owned(), "u0"), (key_file("u1"), "u1"), (key_file("u1").replace("SHA1", "X"), "u1")]
         {
-            std::fs::write(&path, text).expect("a file");
+            std::fs::write(&path, text).expect("a writable file");
             tokio::time::sleep(Duration::from_secs(1)).await;
-            assert!(names().contains(&format!("[\"{expected}\"]")), "{}", names());
+            assert!(current_keys().contains(&format!("[\"{expected}\"]")), "{}", current_keys());
         }
     });
     std::fs::remove_file(&path).expect("the file");
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,6 @@
-//! Forty-five minutes of a director's work in a few seconds of paused time: new ids, clients that disconnect,
-//! servers that are replaced, responses that never come. No table may grow with time.
+//! Guards against tables that grow with time. A director runs for 45 minutes of a paused clock, which takes a
+//! few seconds, with new ids, clients that disconnect, servers that are replaced, and responses that never
+//! come.
 
 mod emulated;
 
@@ -15,7 +16,8 @@
 const REQUESTS_PER_SECOND: u64 = 12;
 /// The Unix time in microseconds at which the run starts.
 const START: Micros = 1_764_576_000_000_000;
-/// What a director may hold at a time, far under what 45 minutes bring: 32,400 requests, 180 servers.
+/// The most entries that a director may hold at a time, far fewer than pass through it in 45 minutes: 32,400
+/// requests and 180 servers.
 const MAX_TABLE_SIZES: TableSizes = TableSizes {
     pending_requests: 120,
     attempts_in_flight: 160,
@@ -27,7 +29,7 @@
     classes: 2,
 };
 
-/// Servers that respond after a while, fill now and then, reject, fail, or do not respond.
+/// Servers that respond after a delay, sometimes with a fill, reject, fail, or don't respond.
 struct UnreliableServers;
 
 impl EndpointConnector for UnreliableServers {
@@ -57,7 +59,7 @@
     }
 }
 
-/// What a server reports on a command, by a draw from 0 to 99; none: nothing, ever.
+/// Returns what a server reports for a command, by a random draw from 0 to 99, or `None` if it never reports.
 fn respond(command: EndpointCommand, draw: u64) -> Option<DispatcherMessage> {
     match command {
         EndpointCommand::Send(request) => {
@@ -71,7 +73,7 @@
     }
 }
 
-/// How an attempt ends, by a draw from 0 to 99; none: it is never answered.
+/// Returns how an attempt ends, by a random draw from 0 to 99, or `None` if it is never answered.
 fn attempt_result(draw: u64) -> Option<AttemptResult> {
     let cached = Representation { etag: None, body: "bytes".into() };
     let (status, cache_status) = match draw {
@@ -85,9 +87,9 @@
     Some(Ok(UpstreamResponse { status, cache_status, source_wait: 0, load_report: Vec::new() }))
 }
 
-/// Caches whose names change with the round, as a rolling deploy replaces them, parents that change less
-/// often, and an origin.
-fn fleet(round: u64) -> Vec<Endpoint> {
+/// Returns the member list of a round: caches that change each round, as a rolling deploy replaces them,
+/// parents that change less often, and an origin.
+fn members_in_round(round: u64) -> Vec<Endpoint> {
     let mut members: Vec<Endpoint> =
         (0..4).map(|n| listing(&format!("cache-{}", round + n), "a", "edge", "cache")).collect();
     members.extend((0..2).map(|n| listing(&format!("parent-{}", (round + n) / 3), "c", "hub", "parent")));
@@ -95,11 +97,11 @@
     members
 }
 
-/// Resident bytes of this process.
+/// Returns the resident memory of this process in bytes.
 #[cfg(target_os = "linux")]
 fn resident_bytes() -> u64 {
-    let text = std::fs::read_to_string("/proc/self/statm").expect("proc");
-    text.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).expect("a number") * 4096
+    let text = std::fs::read_to_string("/proc/self/statm").expect("a readable /proc/self/statm");
+    text.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok()).expect("a number of pages") * 4096
 }
 
 #[cfg(not(target_os = "linux"))]
@@ -110,7 +112,7 @@
 /// Replaces servers every 15 s and purges a group every 7 s.
 async fn send_updates(dispatcher: &Dispatcher, clock: &Clock, second: u64) {
     if second % 15 == 14 {
-        let members = fleet(second / 15);
+        let members = members_in_round(second / 15);
         dispatcher.sender().send(DispatcherMessage::Members { full: true, members }).await;
     }
     if second.is_multiple_of(7) {
@@ -121,8 +123,8 @@
     }
 }
 
-/// A request by a draw: one in twenty writes.
-fn drawn_request(dispatcher: &Dispatcher, draw: u64) -> ClientRequest {
+/// Returns a request made from a random draw; one in twenty is a write.
+fn random_request(dispatcher: &Dispatcher, draw: u64) -> ClientRequest {
     ClientRequest {
         id: dispatcher.generate_request_id(),
         class: usize::from(draw.is_multiple_of(20)),
@@ -134,16 +136,16 @@
     }
 }
 
-/// Submits a second's requests, one after another, and reports of each whether its client got a response. One
-/// in ten disconnects before.
+/// Submits the requests of one second at equal intervals, and reports for each whether its client got a
+/// response. One client in ten disconnects after 40 ms.
 async fn submit_requests(dispatcher: &Dispatcher, draws: &mut Gen, answered: &mpsc::UnboundedSender<bool>) {
     for _ in 0..REQUESTS_PER_SECOND {
         let draw = u64::arbitrary(draws);
-        let pending = dispatcher.submit(drawn_request(dispatcher, draw));
+        let pending = dispatcher.submit(random_request(dispatcher, draw));
         let answered = answered.clone();
         tokio::task::spawn_local(async move {
-            let patience = Duration::from_millis(if draw % 10 == 3 { 40 } else { 60_000 });
-            let _ = answered.send(tokio::time::timeout(patience, pending).await.is_ok());
+            let disconnect_after = Duration::from_millis(if draw % 10 == 3 { 40 } else { 60_000 });
+            let _ = answered.send(tokio::time::timeout(disconnect_after, pending).await.is_ok());
         });
         sleep(Duration::from_millis(1_000 / REQUESTS_PER_SECOND)).await;
     }
@@ -154,9 +156,9 @@
 }
 
 #[test]
-fn forty_five_minutes_leave_every_table_the_mailbox_and_the_memory_as_they_were() {
+fn tables_mailbox_and_memory_do_not_grow_over_45_minutes() {
     run_with_paused_clock(async {
-        let initial = vec![DispatcherMessage::Members { full: true, members: fleet(0) }];
+        let initial = vec![DispatcherMessage::Members { full: true, members: members_in_round(0) }];
         let settings = Settings { health_checks: true, ..settings() };
         let clock = Clock::starting_at(START);
         let running =
@@ -186,7 +188,7 @@
             tables.health_checks,
             tables.mailbox,
         );
-        assert_eq!(remaining, (0, 0, 0, 0, 0), "nothing is left once all is answered");
+        assert_eq!(remaining, (0, 0, 0, 0, 0), "no entry is left once all requests have ended");
         let submitted = MINUTES * 60 * REQUESTS_PER_SECOND;
         assert!(answered > submitted * 85 / 100, "{answered} of {submitted} answered");
         let growth = resident_by_quarter[3].saturating_sub(resident_by_quarter[1]);
