--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! A router under test, in a small example deployment: one edge zone with caches 1..=3, parents 11..=13 at
-//! two hubs, and the origin 20.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A harness for a router in a small test deployment: caches 1 to 3 in one edge zone, parents 11 to 13 at two
+//! hubs, and the origin 20.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use foxhold::*;
 
-/// The origin of the example deployment.
+/// The origin of the test deployment.
 pub const ORIGIN: ServerId = ServerId(20);
 
-/// A class of requests with this idempotency.
+/// Returns a request class with this idempotency.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         name: "pages".into(),
@@ -21,7 +21,7 @@
     }
 }
 
-/// Settings of the example deployment; class 3 holds writes.
+/// Returns settings of the test deployment. Class 3 holds writes.
 pub fn settings() -> Settings {
     let slow_start = SlowStartRule {
         initial_capacity_share: 0.2,
@@ -66,8 +66,8 @@
     }
 }
 
-/// The running server of this number: 1 to 4 are caches of the own zone, 5 to 10 of another, 11 to 19
-/// parents.
+/// Returns the running server with this id: 1 to 4 are caches of the router's zone, 5 to 10 caches of another
+/// zone, 11 to 19 parents, and all others origins.
 pub fn member(id: u32) -> Member {
     let (zone, kind) = match id {
         1..=4 => (2, 0),
@@ -80,15 +80,15 @@
     Member { server: ServerId(id), zone, kind, cell, state: MemberState::Running, size: 20.0, started_at: 0 }
 }
 
-/// A router with a clock that only the test moves, and ids for its requests.
+/// A router with a clock that only the test advances, and a counter for request ids.
 pub struct RouterHarness {
     pub router: Router,
-    /// In microseconds.
+    /// The time of the router's clock, in microseconds.
     pub now: Micros,
     last_request: u64,
 }
 
-/// An attempt that the router asked to send.
+/// An attempt that the router decided to send.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
     pub request: RequestId,
@@ -101,12 +101,12 @@
         self.fill.expect("a fill").source
     }
 
-    /// Whether it names another server as the source of a fill.
+    /// Returns whether the attempt names another server as its fill source.
     pub fn has_source(&self) -> bool {
         self.fill.is_some_and(|fill| fill.source != self.server)
     }
 
-    /// Its end, as the first attempt of its request.
+    /// Returns the end of this attempt, as the first attempt of its request.
     pub fn ended(&self, outcome: Outcome, cache_status: CacheStatus, elapsed: Micros) -> AttemptEnd {
         AttemptEnd {
             request: self.request,
@@ -122,7 +122,7 @@
     }
 }
 
-/// The attempts among the actions.
+/// Returns the attempts among the actions.
 pub fn attempts_in(actions: &[Action]) -> Vec<SentAttempt> {
     let attempt = |a: &Action| match a {
         Action::Attempt { request, server, fill, .. } => {
@@ -133,53 +133,53 @@
     actions.iter().filter_map(attempt).collect()
 }
 
-/// Whether the actions reject a request.
+/// Returns whether the actions reject a request.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-/// Whether the actions fail a request.
+/// Returns whether the actions fail a request.
 pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
 
 impl RouterHarness {
-    /// A router without servers.
+    /// Creates a router without servers, with seed 42.
     pub fn new(settings: Settings) -> Self {
         RouterHarness::with_seed(settings, 42)
     }
 
-    /// The same, with this seed.
+    /// Creates a router without servers, with this seed.
     pub fn with_seed(settings: Settings, seed: u64) -> Self {
         let router = Router::new(settings, seed).expect("good settings");
         RouterHarness { router, now: 100_000_000, last_request: 1 }
     }
 
-    /// A router with these servers.
+    /// Creates a router with these servers.
     pub fn with_servers(settings: Settings, ids: &[u32]) -> Self {
         let mut harness = RouterHarness::new(settings);
         harness.update_members(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
         harness
     }
 
-    /// A router with the example deployment.
+    /// Creates a router with the servers of the test deployment.
     pub fn with_default_site() -> Self {
         RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 13, 20])
     }
 
-    /// Hands the event to the router.
+    /// Passes an event to the router and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Hands news of the member list to the router.
+    /// Passes a member list or changes of it to the router.
     pub fn update_members(&mut self, kind: MemberUpdate, members: Vec<Member>) -> Vec<Action> {
         self.handle(Event::Members { kind, members })
     }
 
-    /// A request of 50 KB that the router has not received yet.
+    /// Returns a new request of 50 KB with a deadline in 2 s. It is not sent to the router yet.
     pub fn new_request(&mut self, class: usize, object: u64) -> Request {
         self.last_request += 1;
         Request {
@@ -193,32 +193,33 @@
         }
     }
 
-    /// The same with this deadline.
+    /// Returns a new request of 50 KB of class 0 with this deadline. It is not sent to the router yet.
     pub fn new_request_until(&mut self, object: u64, deadline: Micros) -> Request {
         self.last_request += 1;
         let (id, object) = (RequestId(self.last_request), ObjectId(object));
         Request { id, object, deadline, size_kb: 50.0, ..Request::default() }
     }
 
-    /// Hands a new request to the router.
+    /// Passes a new request to the router.
     pub fn send_request(&mut self, class: usize, object: u64) -> Vec<Action> {
         let request = self.new_request(class, object);
         self.handle(Event::Request(request))
     }
 
-    /// Sends a request and expects one attempt.
+    /// Passes a new request to the router and returns the first attempt, which it expects to be sent at once.
     pub fn attempt_for(&mut self, object: u64) -> SentAttempt {
         let actions = self.send_request(0, object);
         attempts_in(&actions).first().cloned().unwrap_or_else(|| panic!("nothing sent: {actions:?}"))
     }
 
-    /// The same for an object as large as the mean that is assumed for a class without observations.
+    /// Passes a new request to the router and returns its first attempt. The object has 200 KB, the mean size
+    /// assumed for a class without observations.
     pub fn attempt_for_large(&mut self, object: u64) -> SentAttempt {
         let request = Request { size_kb: 200.0, ..self.new_request(0, object) };
         attempts_in(&self.handle(Event::Request(request)))[0].clone()
     }
 
-    /// Ends an attempt, the request's `number`-th from 0, after 80 ms.
+    /// Ends an attempt after 80 ms. `number` counts the request's attempts from 0.
     pub fn end_attempt(
         &mut self,
         attempt: &SentAttempt,
@@ -229,7 +230,7 @@
         self.end_attempt_after(attempt, number, outcome, cache_status, 80_000)
     }
 
-    /// The same after `elapsed` microseconds.
+    /// Ends an attempt after `elapsed` microseconds. `number` counts the request's attempts from 0.
     pub fn end_attempt_after(
         &mut self,
         attempt: &SentAttempt,
@@ -242,19 +243,19 @@
         self.handle(Event::AttemptEnded(end))
     }
 
-    /// Sends a request and completes its fill.
+    /// Passes a new request to the router and ends its attempt with a fill after 80 ms.
     pub fn complete_fill(&mut self, object: u64) -> SentAttempt {
         let attempt = self.attempt_for(object);
         self.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
         attempt
     }
 
-    /// An object whose first parent is this one.
+    /// Returns an object whose first parent is `first`.
     pub fn object_with_first_parent(&mut self, first: u32) -> u64 {
         (1000..).find(|o| self.peek_source(*o) == ServerId(first)).expect("some object")
     }
 
-    /// The source that a request names; it ends at once with a hit.
+    /// Returns the fill source that a new request names, and ends its attempt with a hit.
     pub fn peek_source(&mut self, object: u64) -> ServerId {
         let attempt = self.attempt_for(object);
         self.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
--- a/tests/deploy.rs
+++ b/tests/deploy.rs
@@ -1,5 +1,5 @@
-//! What the platform asks of the deploy file: `run` ends in one process of this package, linked dynamically
-//! against the C library, that starts nothing.
+//! The platform's requirements on the deploy file: `run` results in a single process, which is this package's
+//! binary, is linked dynamically against the C library, and starts no processes or threads.
 
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
@@ -10,12 +10,13 @@
     DEPLOY.parse().expect("TOML")
 }
 
-fn text(key: &str) -> String {
+fn deploy_text(key: &str) -> String {
     deploy()[key].as_str().expect("text").to_owned()
 }
 
-/// Why a `run` line does not name one release binary that takes the shell's place; none: it does.
-fn fault(run: &str) -> Option<&'static str> {
+/// Returns what is wrong with a `run` line, or `None` if it replaces the shell with this package's release
+/// binary.
+fn run_line_fault(run: &str) -> Option<&'static str> {
     let words: Vec<&str> = run.split_whitespace().collect();
     match words[..] {
         ["exec", program] => match program.strip_prefix("target/release/") {
@@ -23,39 +24,41 @@
             _ => Some("not the release binary of this package"),
         },
         ["exec", ..] => Some("more than one word after exec"),
-        _ => Some("the shell stays"),
+        _ => Some("the shell is not replaced by exec"),
     }
 }
 
 #[test]
-fn run_is_one_release_binary_of_this_package_in_the_shells_place() {
-    assert_eq!(fault(&text("run")), None);
-    assert_eq!(text("build"), "cargo build --release");
+fn run_replaces_the_shell_with_the_release_binary_of_this_package() {
+    assert_eq!(run_line_fault(&deploy_text("run")), None);
+    assert_eq!(deploy_text("build"), "cargo build --release");
     let name = env!("CARGO_BIN_EXE_foxhold").rsplit('/').next();
-    assert_eq!(name, text("run").rsplit('/').next(), "cargo builds it under this name");
-    for bad in [
+    assert_eq!(name, deploy_text("run").rsplit('/').next(), "`run` names the binary that cargo builds");
+    for invalid in [
         "target/release/foxhold",
         "exec target/debug/foxhold",
         "exec target/release/foxhold & exec target/release/foxhold-front",
         "exec sh -c target/release/foxhold",
         "exec target/release/foxhold-adapter",
     ] {
-        assert!(fault(bad).is_some(), "{bad}");
+        assert!(run_line_fault(invalid).is_some(), "{invalid}");
     }
 }
 
-/// The bench loads a library of its own into the process, which a static program would not let in.
+/// Guards against a static program: the bench preloads its own library into the process, which needs the
+/// dynamic loader.
 #[cfg(all(target_os = "linux", target_env = "gnu"))]
 #[test]
 fn the_program_is_linked_dynamically_against_the_c_library() {
     let bytes = std::fs::read(env!("CARGO_BIN_EXE_foxhold")).expect("the program");
-    let holds = |text: &[u8]| bytes.windows(text.len()).any(|w| w == text);
+    let contains = |text: &[u8]| bytes.windows(text.len()).any(|w| w == text);
     assert_eq!(bytes[..4], *b"\x7fELF");
-    assert!(holds(b"libc.so.6\0"), "needs the C library");
+    assert!(contains(b"libc.so.6\0"), "expected a dynamic dependency on libc.so.6");
     // PT_INTERP among the program headers (64 bits, little-endian): the loader that honours LD_PRELOAD.
-    let word = |at: usize, n: usize| bytes[at..at + n].iter().rev().fold(0, |v, b| v << 8 | usize::from(*b));
-    let (table, size, count) = (word(32, 8), word(54, 2), word(56, 2));
-    assert!((0..count).any(|n| word(table + n * size, 4) == 3), "no loader");
+    let number =
+        |at: usize, n: usize| bytes[at..at + n].iter().rev().fold(0, |v, b| v << 8 | usize::from(*b));
+    let (table, size, count) = (number(32, 8), number(54, 2), number(56, 2));
+    assert!((0..count).any(|n| number(table + n * size, 4) == 3), "expected a PT_INTERP program header");
 }
 
 #[cfg(target_os = "linux")]
@@ -73,12 +76,12 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("the program");
-    let (tasks, begun) = (format!("/proc/{}/task", child.id()), Instant::now());
-    let listening = |id: u32| {
+    let (tasks, started) = (format!("/proc/{}/task", child.id()), Instant::now());
+    let sockets_of = |id: u32| {
         let links = std::fs::read_dir(format!("/proc/{id}/fd")).into_iter().flatten().flatten();
         links.filter(|l| std::fs::read_link(l.path()).is_ok_and(|t| t.to_string_lossy().contains("socket")))
     };
-    while listening(child.id()).count() == 0 && begun.elapsed() < Duration::from_secs(10) {
+    while sockets_of(child.id()).count() == 0 && started.elapsed() < Duration::from_secs(10) {
         std::thread::sleep(Duration::from_millis(10));
     }
     std::thread::sleep(Duration::from_millis(200));
@@ -87,9 +90,9 @@
         .iter()
         .map(|t| std::fs::read_to_string(t.path().join("children")).unwrap_or_default())
         .collect();
-    let sockets = listening(child.id()).count();
+    let sockets = sockets_of(child.id()).count();
     let _ = child.kill();
     let _ = child.wait();
-    assert!(sockets > 0, "it came up");
+    assert!(sockets > 0, "expected the program to open a socket within 10 s");
     assert_eq!((threads.len(), children.trim()), (1, ""));
 }
--- a/tests/discovery_client.rs
+++ b/tests/discovery_client.rs
@@ -12,22 +12,22 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 
-const SOON: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An emulated service and what the client reports of it.
+/// An emulated discovery service, and the messages that its client sends to the dispatcher.
 struct Service {
     listener: TcpListener,
     messages: mpsc::Receiver<DispatcherMessage>,
     address: watch::Sender<String>,
 }
 
-async fn listener() -> (TcpListener, String) {
+async fn bind_listener() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     (listener, address)
 }
 
-/// Starts a client that has the events up to revision 3.
+/// Starts a client that has received the events up to revision 3.
 fn spawn_client(
     address: watch::Receiver<String>,
     scope: WatchScope,
@@ -40,18 +40,18 @@
 }
 
 impl Service {
-    /// A service whose client has the events up to revision 3.
+    /// Starts a service and a client that has received the events up to revision 3.
     async fn start(scope: WatchScope) -> Service {
-        let (listener, address) = listener().await;
+        let (listener, address) = bind_listener().await;
         let (reports, messages) = mpsc::channel(16);
-        let (address, present) = watch::channel(address);
-        spawn_client(present, scope, reports);
+        let (address, address_updates) = watch::channel(address);
+        spawn_client(address_updates, scope, reports);
         Service { listener, messages, address }
     }
 
-    /// The client's next connection, and what it requests.
-    async fn connection(&self) -> (TcpStream, String) {
-        let accepted = timeout(SOON, self.listener.accept()).await.expect("a connection in time");
+    /// Accepts the client's next connection and reads its request line.
+    async fn accept_watch(&self) -> (TcpStream, String) {
+        let accepted = timeout(TIMEOUT, self.listener.accept()).await.expect("a connection in time");
         let (stream, _) = accepted.expect("a connection");
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
@@ -59,17 +59,17 @@
         (stream.into_inner(), line)
     }
 
-    /// The object of the next purge that the client reports.
-    async fn purge(&mut self) -> String {
-        match timeout(SOON, self.messages.recv()).await.expect("a message in time") {
+    /// Returns the object of the next purge that the client reports.
+    async fn next_purged_object(&mut self) -> String {
+        match timeout(TIMEOUT, self.messages.recv()).await.expect("a message in time") {
             Some(DispatcherMessage::Purged { object: Some(object), .. }) => object.to_string(),
             other => panic!("{other:?}"),
         }
     }
 }
 
-fn purge(rev: u64) -> String {
-    format!("{{\"rev\":{rev},\"flush\":{{\"asset\":\"{rev}\",\"ms\":1764576000123}}}}\n")
+fn purge_event(revision: u64) -> String {
+    format!("{{\"rev\":{revision},\"flush\":{{\"asset\":\"{revision}\",\"ms\":1764576000123}}}}\n")
 }
 
 const MEMBERS: &str = "{\"rev\":5,\"pool\":{\"complete\":true,\"members\":[]}}\n";
@@ -78,35 +78,35 @@
 fn a_reconnect_requests_only_missing_events_and_reports_none_twice() {
     run_local(async {
         let mut service = Service::start(WatchScope::MembersAndPurges).await;
-        let (mut stream, request) = service.connection().await;
+        let (mut stream, request) = service.accept_watch().await;
         assert_eq!(request, "watch 3\n");
-        stream.write_all(purge(4).as_bytes()).await.expect("a reader");
-        assert_eq!(service.purge().await, "4");
+        stream.write_all(purge_event(4).as_bytes()).await.expect("a reader");
+        assert_eq!(service.next_purged_object().await, "4");
         drop(stream);
-        let (mut stream, request) = service.connection().await;
+        let (mut stream, request) = service.accept_watch().await;
         assert_eq!(request, "watch 4\n");
-        stream.write_all((purge(4) + "4\n" + &purge(5)).as_bytes()).await.expect("a reader");
-        assert_eq!(service.purge().await, "5");
+        stream.write_all((purge_event(4) + "4\n" + &purge_event(5)).as_bytes()).await.expect("a reader");
+        assert_eq!(service.next_purged_object().await, "5");
     });
 }
 
 #[test]
-fn an_unreadable_line_a_revision_ahead_or_silence_ends_the_connection() {
-    // Events before the fault count, and the missing one is requested on the next connection.
+fn a_client_reconnects_after_an_unreadable_line_a_newer_heartbeat_or_silence() {
+    // Events before the fault are kept; the next connection requests those after them.
     for fault in ["{\"rev\":\n", "{\"rev\":5,\"flush\":{\"ms\":1}}\n", "9\n", ""] {
         run_local(async {
             let mut service = Service::start(WatchScope::MembersAndPurges).await;
-            let (mut stream, _) = service.connection().await;
-            stream.write_all((purge(4) + fault).as_bytes()).await.expect("a reader");
-            assert_eq!(service.purge().await, "4");
-            let (_, request) = service.connection().await;
+            let (mut stream, _) = service.accept_watch().await;
+            stream.write_all((purge_event(4) + fault).as_bytes()).await.expect("a reader");
+            assert_eq!(service.next_purged_object().await, "4");
+            let (_, request) = service.accept_watch().await;
             assert_eq!(request, "watch 4\n", "{fault}");
             drop(stream);
         });
     }
 }
 
-/// Guards against requesting an unreadable event for ever, and never receiving what follows it.
+/// Guards against requesting an unreadable event for ever, and so never receiving the events after it.
 #[test]
 fn an_event_that_is_unreadable_twice_is_skipped_and_later_events_are_reported() {
     let unknown =
@@ -115,24 +115,28 @@
     for bad in [unknown, "{\"rev\":5\n"] {
         run_local(async {
             let mut service = Service::start(WatchScope::MembersAndPurges).await;
-            let (mut stream, _) = service.connection().await;
-            stream.write_all((purge(4) + bad + &purge(6)).as_bytes()).await.expect("a reader");
-            assert_eq!(service.purge().await, "4");
-            let (mut stream, request) = service.connection().await;
-            assert_eq!(request, "watch 4\n", "it may have been damaged on the way");
-            stream.write_all((bad.to_owned() + &purge(6)).as_bytes()).await.expect("a reader");
-            assert_eq!(service.purge().await, "6");
-            // Heartbeats carry the revision of the newest event: it must not count as missed for ever.
+            let (mut stream, _) = service.accept_watch().await;
+            stream.write_all((purge_event(4) + bad + &purge_event(6)).as_bytes()).await.expect("a reader");
+            assert_eq!(service.next_purged_object().await, "4");
+            let (mut stream, request) = service.accept_watch().await;
+            assert_eq!(
+                request, "watch 4\n",
+                "an event is requested again after one unreadable copy: it may have been damaged in transit"
+            );
+            stream.write_all((bad.to_owned() + &purge_event(6)).as_bytes()).await.expect("a reader");
+            assert_eq!(service.next_purged_object().await, "6");
+            // Heartbeats carry the revision of the newest event. A skipped event must not count as missed for
+            // ever.
             stream.write_all(bad.replace('5', "7").as_bytes()).await.expect("a reader");
-            let (mut stream, request) = service.connection().await;
+            let (mut stream, request) = service.accept_watch().await;
             assert_eq!(request, "watch 6\n");
             stream
-                .write_all((bad.replace('5', "7") + "7\n7\n" + &purge(8)).as_bytes())
+                .write_all((bad.replace('5', "7") + "7\n7\n" + &purge_event(8)).as_bytes())
                 .await
                 .expect("a reader");
-            assert_eq!(service.purge().await, "8");
+            assert_eq!(service.next_purged_object().await, "8");
             drop(stream);
-            assert_eq!(service.connection().await.1, "watch 8\n");
+            assert_eq!(service.accept_watch().await.1, "watch 8\n");
         });
     }
 }
@@ -142,101 +146,106 @@
     for scope in [WatchScope::MembersAndPurges, WatchScope::PurgesOnly] {
         run_local(async {
             let mut service = Service::start(scope).await;
-            let (mut stream, _) = service.connection().await;
-            let events = purge(4) + MEMBERS + &purge(6);
+            let (mut stream, _) = service.accept_watch().await;
+            let events = purge_event(4) + MEMBERS + &purge_event(6);
             stream.write_all(events.as_bytes()).await.expect("a reader");
-            assert_eq!(service.purge().await, "4");
+            assert_eq!(service.next_purged_object().await, "4");
             if scope == WatchScope::MembersAndPurges {
                 assert!(matches!(
                     service.messages.recv().await,
                     Some(DispatcherMessage::Members { full: true, .. })
                 ));
             }
-            assert_eq!(service.purge().await, "6");
+            assert_eq!(service.next_purged_object().await, "6");
         });
     }
 }
 
-/// Guards against waiting for the old service to close: it reports nothing more, and drains have to take
-/// effect in time.
+/// Guards against waiting for the old service to close the connection. It sends no more events, so drains
+/// would take effect late.
 #[test]
 fn a_new_address_is_watched_at_once_from_the_latest_revision() {
     run_local(async {
         let mut service = Service::start(WatchScope::MembersAndPurges).await;
-        let (mut old, _) = service.connection().await;
+        let (mut old, _) = service.accept_watch().await;
         // The last event is incomplete, so it has to be sent again.
-        old.write_all((purge(4) + &purge(5)[..20]).as_bytes()).await.expect("a reader");
-        assert_eq!(service.purge().await, "4");
-        let (listener, address) = listener().await;
+        old.write_all((purge_event(4) + &purge_event(5)[..20]).as_bytes()).await.expect("a reader");
+        assert_eq!(service.next_purged_object().await, "4");
+        let (listener, address) = bind_listener().await;
         service.listener = listener;
         service.address.send(address).expect("a client");
-        let (mut stream, request) = service.connection().await;
+        let (mut stream, request) = service.accept_watch().await;
         assert_eq!(request, "watch 4\n");
-        stream.write_all((purge(5) + &purge(5) + &purge(6)).as_bytes()).await.expect("a reader");
-        assert_eq!(service.purge().await, "5");
-        assert_eq!(service.purge().await, "6");
+        stream
+            .write_all((purge_event(5) + &purge_event(5) + &purge_event(6)).as_bytes())
+            .await
+            .expect("a reader");
+        assert_eq!(service.next_purged_object().await, "5");
+        assert_eq!(service.next_purged_object().await, "6");
     });
 }
 
-/// Guards against the herd that a reconnect without jitter makes: all came back within 2 ms.
+/// Guards against reconnecting without jitter: all clients then came back within 2 ms.
 #[test]
-fn clients_that_lose_their_service_at_once_reconnect_with_jitter_and_without_extra_delay() {
+fn clients_that_lose_their_service_together_reconnect_with_jitter_within_200_ms() {
     run_local(async {
-        let (listener, at) = listener().await;
+        let (listener, service_address) = bind_listener().await;
         let mut clients = Vec::new();
         for _ in 0..60 {
             let (reports, messages) = mpsc::channel(16);
-            let (address, follows) = watch::channel(at.clone());
-            spawn_client(follows, WatchScope::MembersAndPurges, reports);
+            let (address, address_updates) = watch::channel(service_address.clone());
+            spawn_client(address_updates, WatchScope::MembersAndPurges, reports);
             clients.push((address, messages));
         }
-        let mut first = Vec::new();
+        let mut connections = Vec::new();
         for _ in 0..60 {
-            first.push(listener.accept().await.expect("a connection"));
+            connections.push(listener.accept().await.expect("a connection"));
         }
-        let let_go = std::time::Instant::now();
-        drop(first);
-        let mut back = Vec::new();
+        let disconnected_at = std::time::Instant::now();
+        drop(connections);
+        let mut reconnects_ms = Vec::new();
         for _ in 0..60 {
-            let _held = listener.accept().await.expect("a connection");
-            back.push(let_go.elapsed().as_secs_f64() * 1e3);
-            std::mem::forget(_held);
+            let connection = listener.accept().await.expect("a connection");
+            reconnects_ms.push(disconnected_at.elapsed().as_secs_f64() * 1e3);
+            std::mem::forget(connection);
         }
-        // The first delay is 100 ms at most: it doubles before it is used.
-        let (soonest, latest) = (back[0], back[59]);
-        assert!(latest - soonest > 25.0, "{soonest} to {latest}");
-        let fullest =
-            back.iter().map(|at| back.iter().filter(|b| (*at..at + 5.0).contains(*b)).count()).max();
-        assert!(fullest < Some(30), "{fullest:?} of 60 within 5 ms");
-        assert!(latest < 200.0, "{latest}");
+        // The first delay is at most 100 ms: the backoff doubles before its first use.
+        let (soonest, latest) = (reconnects_ms[0], reconnects_ms[59]);
+        assert!(latest - soonest > 25.0, "all reconnected within 25 ms: from {soonest} to {latest} ms");
+        let most_in_5_ms = reconnects_ms
+            .iter()
+            .map(|at| reconnects_ms.iter().filter(|b| (*at..at + 5.0).contains(*b)).count())
+            .max();
+        assert!(most_in_5_ms < Some(30), "{most_in_5_ms:?} of 60 reconnected within 5 ms");
+        assert!(latest < 200.0, "the last reconnected after {latest} ms");
     });
 }
 
-/// Guards against a backoff that grows with each end of a good connection that brought no events.
+/// Guards against a backoff that grows each time a working connection without events ends.
 #[test]
 fn a_heartbeat_resets_the_reconnect_backoff() {
     run_local(async {
         let service = Service::start(WatchScope::MembersAndPurges).await;
         let begun = std::time::Instant::now();
         for _ in 0..8 {
-            let (mut stream, request) = service.connection().await;
+            let (mut stream, request) = service.accept_watch().await;
             assert_eq!(request, "watch 3\n");
             stream.write_all(b"3\n").await.expect("a reader");
         }
-        // Doubled each time it would be over 3 s.
+        // A backoff that doubled each time would add up to more than 3 s.
         assert!(begun.elapsed() < std::time::Duration::from_millis(1500), "{:?}", begun.elapsed());
     });
 }
 
-/// A service on a machine that takes no connections: its accept queue is full, and what comes is dropped.
-struct Unreachable {
+/// A service that accepts no connections: its accept queue is full, so the kernel drops further ones.
+struct UnreachableService {
     listener: TcpListener,
     address: String,
     _queue: Vec<TcpStream>,
 }
 
-impl Unreachable {
-    async fn start() -> Unreachable {
+impl UnreachableService {
+    async fn start() -> UnreachableService {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let listener = socket.listen(1).expect("a listener");
@@ -245,11 +254,11 @@
         while let Ok(stream) = timeout(Duration::from_millis(200), TcpStream::connect(&address)).await {
             queue.push(stream.expect("a connection"));
         }
-        Unreachable { listener, address, _queue: queue }
+        UnreachableService { listener, address, _queue: queue }
     }
 
-    /// Takes connections again until a client requests events; returns how long that took.
-    async fn returns(self) -> Duration {
+    /// Accepts connections again until a client requests events. Returns how long that took.
+    async fn recover(self) -> Duration {
         let begun = std::time::Instant::now();
         let (sender, mut requests) = mpsc::channel(16);
         let listener = self.listener;
@@ -259,84 +268,84 @@
                 tokio::task::spawn_local(async move {
                     let (mut stream, mut line) = (BufReader::new(stream), String::new());
                     if matches!(stream.read_line(&mut line).await, Ok(1..)) {
-                        let _ = sender.send(line).await; // one that came earlier was enough
+                        let _ = sender.send(line).await; // fails once the first request was received
                     }
                 });
             }
         });
-        assert_eq!(timeout(SOON, requests.recv()).await.expect("in time").as_deref(), Some("watch 3\n"));
+        assert_eq!(timeout(TIMEOUT, requests.recv()).await.expect("in time").as_deref(), Some("watch 3\n"));
         begun.elapsed()
     }
 }
 
 /// Guards against a connect timeout and a backoff that take over a second together.
 #[test]
-fn a_service_that_was_unreachable_is_watched_within_a_second_of_its_return() {
+fn a_service_that_was_unreachable_is_watched_within_a_second_of_its_recovery() {
     run_local(async {
-        let mut returns = Vec::new();
+        let mut recoveries = Vec::new();
         for n in 0..10 {
-            let service = Unreachable::start().await;
+            let service = UnreachableService::start().await;
             let (reports, messages) = mpsc::channel(16);
-            let (address, present) = watch::channel(service.address.clone());
-            spawn_client(present, WatchScope::MembersAndPurges, reports);
-            returns.push(tokio::task::spawn_local(async move {
-                // By then the backoff has its full length; each service returns at another moment of it.
+            let (address, address_updates) = watch::channel(service.address.clone());
+            spawn_client(address_updates, WatchScope::MembersAndPurges, reports);
+            recoveries.push(tokio::task::spawn_local(async move {
+                // By then the backoff has reached its maximum. Each service recovers at another point of it.
                 tokio::time::sleep(Duration::from_millis(4_000 + 170 * n)).await;
-                let took = service.returns().await;
+                let took = service.recover().await;
                 drop((address, messages));
                 took
             }));
         }
         let mut times = Vec::new();
-        for time in returns {
+        for time in recoveries {
             times.push(time.await.expect("a service that is watched"));
         }
         times.sort();
-        println!("followed after {:.0?} to {:.0?}", times[0], times[times.len() - 1]);
+        println!("watched after {:.0?} to {:.0?}", times[0], times[times.len() - 1]);
         assert!(times[times.len() - 1] <= Duration::from_secs(1), "{times:?}");
     });
 }
 
-/// Guards against detecting silence only on a connection that never brought anything: here it comes after
-/// seconds of heartbeats, between two lines or within one.
+/// Guards against detecting silence only on a connection without any data. Here the silence begins after 4 s
+/// of heartbeats, between two lines or within one.
 #[test]
-fn a_watch_that_falls_silent_late_is_replaced_in_time_and_resumed() {
-    for last_words in ["4\n", "{\"rev\":5,\"flush\":{\"asset\":"] {
+fn a_watch_that_falls_silent_after_heartbeats_is_replaced_within_3500_ms() {
+    for final_bytes in ["4\n", "{\"rev\":5,\"flush\":{\"asset\":"] {
         run_local(async {
             let mut service = Service::start(WatchScope::MembersAndPurges).await;
-            let (mut stream, _) = service.connection().await;
-            stream.write_all(purge(4).as_bytes()).await.expect("a reader");
-            assert_eq!(service.purge().await, "4");
+            let (mut stream, _) = service.accept_watch().await;
+            stream.write_all(purge_event(4).as_bytes()).await.expect("a reader");
+            assert_eq!(service.next_purged_object().await, "4");
             for _ in 0..4 {
                 stream.write_all(b"4\n").await.expect("a reader");
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
-            stream.write_all(last_words.as_bytes()).await.expect("a reader");
-            let silent = std::time::Instant::now();
-            let (mut stream, request) = service.connection().await;
-            let took = silent.elapsed();
-            assert_eq!(request, "watch 4\n", "{last_words}");
+            stream.write_all(final_bytes.as_bytes()).await.expect("a reader");
+            let silent_since = std::time::Instant::now();
+            let (mut stream, request) = service.accept_watch().await;
+            let took = silent_since.elapsed();
+            assert_eq!(request, "watch 4\n", "{final_bytes}");
             assert!(took >= Duration::from_secs(2) && took < Duration::from_millis(3_500), "{took:?}");
-            stream.write_all((purge(5) + "5\n").as_bytes()).await.expect("a reader");
-            assert_eq!(service.purge().await, "5");
+            stream.write_all((purge_event(5) + "5\n").as_bytes()).await.expect("a reader");
+            assert_eq!(service.next_purged_object().await, "5");
         });
     }
 }
 
-/// Guards against ignoring a complete list that comes in place of changes, or its revision.
+/// Guards against ignoring a complete list that is sent instead of changes, or ignoring its revision.
 #[test]
 fn a_complete_list_is_reported_once_with_its_revision_and_an_older_one_is_ignored() {
-    let whole = |rev: u64| MEMBERS.replace("\"rev\":5", &format!("\"rev\":{rev}"));
+    let complete_list = |revision: u64| MEMBERS.replace("\"rev\":5", &format!("\"rev\":{revision}"));
     run_local(async {
         let mut service = Service::start(WatchScope::MembersAndPurges).await;
-        let (mut stream, _) = service.connection().await;
-        // The list includes events 4 to 8; it comes again, and then an older one.
-        let lines = whole(9) + "9\n" + &whole(9) + &whole(2) + &purge(10);
+        let (mut stream, _) = service.accept_watch().await;
+        // The list includes events 4 to 8. It is sent twice, then an older one.
+        let lines = complete_list(9) + "9\n" + &complete_list(9) + &complete_list(2) + &purge_event(10);
         stream.write_all(lines.as_bytes()).await.expect("a reader");
-        let first = timeout(SOON, service.messages.recv()).await.expect("a message in time");
+        let first = timeout(TIMEOUT, service.messages.recv()).await.expect("a message in time");
         assert!(matches!(first, Some(DispatcherMessage::Members { full: true, .. })), "{first:?}");
-        assert_eq!(service.purge().await, "10", "neither list is reported again");
+        assert_eq!(service.next_purged_object().await, "10", "no further list is reported");
         drop(stream);
-        assert_eq!(service.connection().await.1, "watch 10\n");
+        assert_eq!(service.accept_watch().await.1, "watch 10\n");
     });
 }
--- a/tests/library.rs
+++ b/tests/library.rs
@@ -1,5 +1,5 @@
-//! The director embedded in a host: what its handle guarantees while the host cancels, blocks, drains and
-//! ends.
+//! The director embedded in a host: the guarantees of its handle during cancellation, drains, panics of the
+//! host's transport, a blocked runtime and shutdown.
 
 mod emulated;
 
@@ -21,11 +21,11 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn two_directors_in_one_process_share_nothing_and_end_independently() {
-    threads(async {
+fn two_directors_in_one_process_share_nothing_and_shut_down_independently() {
+    run_on_two_threads(async {
         let (first_transport, second_transport) =
             (RecordingTransport::new(|_, _| served()), RecordingTransport::new(|_, _| never_answered()));
-        let first = director(&first_transport);
+        let first = start_director(&first_transport);
         let mut settings = settings();
         settings.classes[0].name = "pages".into();
         let builder = Director::builder(settings).endpoint_source(StaticEndpoints(members())).seed(8);
@@ -38,31 +38,35 @@
             second.send(CacheRequest::new("pages", "a")),
             second.send(CacheRequest::new("filing", "b").body("x")),
         ];
-        wait_until("both are sent", async || second_transport.exchanges().len() == 2).await;
+        wait_until("both attempts are sent", async || second_transport.exchanges().len() == 2).await;
         let started = Instant::now();
-        let shutdown = second.shutdown(Duration::from_millis(100)).await.expect("an end");
+        let shutdown = second.shutdown(Duration::from_millis(100)).await.expect("a completed shutdown");
         assert_eq!((shutdown.pending, shutdown.aborted), (2, 2));
         assert!(started.elapsed() < Duration::from_secs(1));
         for response in pending {
             assert_eq!(response.await, Err(SendError::Stopped { may_have_run: true }));
         }
-        let after_shutdown = second.send(filing("c")).await;
-        assert_eq!(after_shutdown, Err(SendError::Stopped { may_have_run: false }), "at once");
+        let after_shutdown = second.send(filing_request("c")).await;
+        assert_eq!(
+            after_shutdown,
+            Err(SendError::Stopped { may_have_run: false }),
+            "rejected after the shutdown"
+        );
         assert_eq!(second.drain("cache-1").await, Err(Stopped));
         assert_eq!(second.members(true, members()).await, Err(Stopped));
         assert!(second.metrics().await.is_err() && second.shutdown(Duration::ZERO).await.is_err());
         assert!(
             matches!(first.send(CacheRequest::new("videos", "b")).await, Ok(ClientResponse::Served(_))),
-            "it goes on"
+            "the first director keeps running"
         );
-        let shutdown = first.shutdown(Duration::from_secs(5)).await.expect("an end");
+        let shutdown = first.shutdown(Duration::from_secs(5)).await.expect("a completed shutdown");
         assert_eq!((shutdown.pending, shutdown.aborted), (0, 0));
     });
 }
 
 #[test]
-fn a_transport_that_panics_costs_its_attempts_and_not_the_director() {
-    threads(async {
+fn a_panic_of_the_transport_does_not_end_the_director() {
+    run_on_two_threads(async {
         let count = AtomicUsize::new(0);
         let transport =
             RecordingTransport::new(move |_, request| match count.fetch_add(1, Ordering::SeqCst) {
@@ -71,25 +75,29 @@
                 _ if request.body.is_empty() => served(),
                 _ => Box::pin(async { panic!("while it sends a write") }),
             });
-        let director = director(&transport);
-        // A panic in the call itself poisons the test's own lock; the director is not affected.
+        let director = start_director(&transport);
+        // A panic in the call itself poisons the lock of the test's transport. The director is not affected.
         let _ = director.send(CacheRequest::new("videos", "a").timeout(Duration::from_millis(300))).await;
         assert!(director.metrics().await.is_ok());
     });
 }
 
 #[test]
-fn a_write_whose_transport_panics_fails_and_reports_of_unknown_attempts_change_nothing() {
-    threads(async {
+fn a_write_whose_transport_panics_fails_and_reports_of_unknown_attempts_are_ignored() {
+    run_on_two_threads(async {
         let transport = RecordingTransport::new(|_, request| match request.body.is_empty() {
             true => served(),
             false => Box::pin(async { panic!("while it sends a write") }),
         });
-        let director = director(&transport);
-        let response = director.send(filing("a")).await;
-        assert_eq!(response, Ok(ClientResponse::Failed(FailureReason::UpstreamFailed)), "it may have run");
-        assert_eq!(transport.exchanges().len(), 1, "and does not run twice");
-        // Ends of attempts that are not in flight, and a second end of one that was.
+        let director = start_director(&transport);
+        let response = director.send(filing_request("a")).await;
+        assert_eq!(
+            response,
+            Ok(ClientResponse::Failed(FailureReason::UpstreamFailed)),
+            "a write that may have run fails"
+        );
+        assert_eq!(transport.exchanges().len(), 1, "a write that may have run is not retried");
+        // Reports of attempts that are not in flight, and a second report of one that has ended.
         let reports = director.dispatcher().sender();
         for attempt in 0..3 {
             let attempt_id = AttemptId { request: 1, attempt };
@@ -105,7 +113,7 @@
     });
 }
 
-/// Panics whenever it is to connect to a server.
+/// A connector that panics when it is asked to connect to a server.
 struct PanickingConnector;
 
 impl EndpointConnector for PanickingConnector {
@@ -115,13 +123,13 @@
         _: &Endpoint,
         _: DispatcherSender,
     ) -> tokio::sync::mpsc::Sender<EndpointCommand> {
-        panic!("no connection actor")
+        panic!("connector panics on purpose")
     }
 }
 
 #[test]
-fn a_connector_that_panics_costs_its_attempts_and_not_the_director() {
-    threads(async {
+fn a_panic_of_the_connector_does_not_end_the_director() {
+    run_on_two_threads(async {
         let director = Director::builder(settings())
             .endpoint_source(StaticEndpoints(members()))
             .connector(PanickingConnector)
@@ -133,9 +141,9 @@
 }
 
 #[test]
-fn invalid_requests_are_errors_that_prove_that_nothing_ran() {
-    threads(async {
-        let director = director(&RecordingTransport::new(|_, _| served()));
+fn errors_for_invalid_requests_state_that_nothing_ran() {
+    run_on_two_threads(async {
+        let director = start_director(&RecordingTransport::new(|_, _| served()));
         let errors = [
             director.send(CacheRequest::new("nothing", "a")).await,
             director.send(CacheRequest::new("videos", "a,b")).await,
@@ -159,13 +167,16 @@
 }
 
 #[test]
-fn settings_are_replaced_for_requests_to_come_and_a_failed_start_gives_its_reason() {
-    threads(async {
-        let director = director(&RecordingTransport::new(|_, _| served()));
-        let mut later = settings();
-        later.classes[0].name = "pages".into();
-        director.reload(later).await.expect("a director");
-        wait_until("they are in force", async || director.settings().class_index("pages").is_some()).await;
+fn a_reload_applies_to_later_requests_and_a_failed_start_reports_its_reason() {
+    run_on_two_threads(async {
+        let director = start_director(&RecordingTransport::new(|_, _| served()));
+        let mut reloaded = settings();
+        reloaded.classes[0].name = "pages".into();
+        director.reload(reloaded).await.expect("a director");
+        wait_until("the new settings are in force", async || {
+            director.settings().class_index("pages").is_some()
+        })
+        .await;
         assert!(matches!(
             director.send(CacheRequest::new("pages", "a")).await,
             Ok(ClientResponse::Served(_))
--- a/tests/library/cancellation.rs
+++ b/tests/library/cancellation.rs
@@ -12,21 +12,24 @@
 use tokio::time::sleep;
 
 #[test]
-fn a_request_cancelled_in_the_mailbox_is_sent_nowhere() {
-    threads(async {
+fn a_request_cancelled_in_the_mailbox_is_never_sent() {
+    run_on_two_threads(async {
         let is_busy = Arc::new(AtomicBool::new(false));
         let set_busy = is_busy.clone();
         let transport = RecordingTransport::new(move |_, _| {
             set_busy.store(true, Ordering::SeqCst);
-            std::thread::sleep(Duration::from_millis(300)); // the director's thread is blocked meanwhile
+            std::thread::sleep(Duration::from_millis(300)); // blocks the director's thread
             served()
         });
-        let director = director(&transport);
+        let director = start_director(&transport);
         let first = director.send(CacheRequest::new("videos", "one"));
-        wait_until("it is busy", async || is_busy.load(Ordering::SeqCst)).await;
-        drop(director.send(filing("two")));
+        wait_until("the director is busy", async || is_busy.load(Ordering::SeqCst)).await;
+        drop(director.send(filing_request("two")));
         assert!(matches!(first.await, Ok(ClientResponse::Served(_))));
-        wait_until("it is counted", async || cancelled(&director, "filing").await == (1, 0)).await;
+        wait_until("the cancellation is counted", async || {
+            cancelled_counts(&director, "filing").await == (1, 0)
+        })
+        .await;
         assert_eq!(transport.exchanges().len(), 1);
         assert!(is_idle(&director).await);
     });
@@ -34,14 +37,17 @@
 
 #[test]
 fn a_request_cancelled_while_its_attempt_runs_may_have_run_and_is_never_retried() {
-    threads(async {
+    run_on_two_threads(async {
         let transport = RecordingTransport::new(|_, _| never_answered());
-        let director = director(&transport);
-        let pending = director.send(filing("one"));
-        wait_until("it is sent", async || transport.exchanges().len() == 1).await;
+        let director = start_director(&transport);
+        let pending = director.send(filing_request("one"));
+        wait_until("the attempt is sent", async || transport.exchanges().len() == 1).await;
         drop(pending);
-        wait_until("it is counted", async || cancelled(&director, "filing").await == (0, 1)).await;
-        wait_until("nothing is left", async || is_idle(&director).await).await;
+        wait_until("the cancellation is counted", async || {
+            cancelled_counts(&director, "filing").await == (0, 1)
+        })
+        .await;
+        wait_until("the director is idle", async || is_idle(&director).await).await;
         sleep(Duration::from_millis(100)).await;
         assert_eq!(transport.exchanges().len(), 1);
     });
@@ -54,11 +60,14 @@
             let origin = EmulatedServer::start(behavior).await;
             let source = StaticEndpoints(vec![origin.listing("s-origin", "hub", "origin")]);
             let director = Director::builder(settings()).endpoint_source(source).start().expect("a director");
-            let pending = director.send(filing("one"));
-            wait_until("it is sent", async || origin.requests().len() == 1).await;
+            let pending = director.send(filing_request("one"));
+            wait_until("the attempt is sent", async || origin.requests().len() == 1).await;
             drop(pending);
-            wait_until("it is counted", async || cancelled(&director, "filing").await == (0, 1)).await;
-            wait_until("it is cancelled", async || {
+            wait_until("the cancellation is counted", async || {
+                cancelled_counts(&director, "filing").await == (0, 1)
+            })
+            .await;
+            wait_until("the server receives the cancellation", async || {
                 origin.lines.borrow().iter().any(|l| l.starts_with("never_mind"))
             })
             .await;
@@ -71,7 +80,7 @@
 }
 
 #[test]
-fn a_cancelled_attempt_that_no_connection_began_to_write_never_ran() {
+fn an_attempt_cancelled_before_it_is_written_is_reported_as_not_written() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let (reports, mut inbox) = tokio::sync::mpsc::channel(16);
@@ -101,17 +110,17 @@
 }
 
 #[cfg(target_os = "linux")]
-fn open_descriptors() -> usize {
+fn count_open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").expect("proc").count()
 }
 
 #[cfg(not(target_os = "linux"))]
-fn open_descriptors() -> usize {
+fn count_open_descriptors() -> usize {
     0
 }
 
 #[test]
-fn ten_thousand_cancelled_requests_leave_nothing_behind() {
+fn ten_thousand_cancelled_requests_leave_no_state_and_no_descriptors() {
     run_local(async {
         let cache = EmulatedServer::start(ServerBehavior::Silent).await;
         let source = StaticEndpoints(vec![cache.listing("s-cache", "edge", "cache")]);
@@ -123,12 +132,12 @@
                 .collect();
             tokio::task::yield_now().await;
             if round % 10 == 0 {
-                sleep(Duration::from_millis(5)).await; // some are written
+                sleep(Duration::from_millis(5)).await; // time for some attempts to be written
             }
             drop(pending);
-            wait_until("the round is over", async || is_idle(&director).await).await;
+            wait_until("the director is idle after the round", async || is_idle(&director).await).await;
             if round == 4 {
-                before = open_descriptors();
+                before = count_open_descriptors();
             }
         }
         let counts = counts(&director, "videos").await;
@@ -139,7 +148,7 @@
             + counts.failed;
         assert_eq!(total, 10_000, "{counts:?}");
         assert!(counts.cancelled_not_run > 0 && counts.cancelled_may_have_run > 0, "{counts:?}");
-        let after = open_descriptors();
-        assert!(after <= before + 8, "{before} descriptors, then {after}");
+        let after = count_open_descriptors();
+        assert!(after <= before + 8, "{before} open descriptors after round 4, {after} at the end");
     });
 }
--- a/tests/library/fixture.rs
+++ b/tests/library/fixture.rs
@@ -1,4 +1,4 @@
-//! A director whose transport is the host's own and records what it is to exchange.
+//! A director with a host transport that records the attempts it is given.
 
 use crate::emulated::{listing, settings};
 use foxhold::director::{CacheRequest, Director};
@@ -10,12 +10,12 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// What a host's own transport does with each attempt.
+/// Decides how the host's transport responds to an attempt.
 type Behavior = dyn Fn(&Endpoint, &UpstreamRequest) -> BoxFuture<AttemptResult> + Send;
 
-/// An attempt that the transport was given.
+/// An attempt that the transport was given, with the time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Exchanged {
+pub struct RecordedAttempt {
     pub server: String,
     pub fill_source: Option<String>,
     pub at: Instant,
@@ -24,7 +24,7 @@
 /// A host's transport that records the attempts that it is given.
 #[derive(Clone)]
 pub struct RecordingTransport {
-    exchanges: Arc<Mutex<Vec<Exchanged>>>,
+    exchanges: Arc<Mutex<Vec<RecordedAttempt>>>,
     behavior: Arc<Mutex<Box<Behavior>>>,
 }
 
@@ -35,8 +35,8 @@
         RecordingTransport { exchanges: Arc::default(), behavior: Arc::new(Mutex::new(Box::new(behavior))) }
     }
 
-    /// The attempts so far.
-    pub fn exchanges(&self) -> Vec<Exchanged> {
+    /// Returns the attempts so far.
+    pub fn exchanges(&self) -> Vec<RecordedAttempt> {
         self.exchanges.lock().expect("a list").clone()
     }
 }
@@ -44,30 +44,30 @@
 impl Exchange for RecordingTransport {
     fn exchange(&self, server: &Endpoint, request: UpstreamRequest) -> BoxFuture<AttemptResult> {
         let fill_source = request.fill_source.as_ref().map(|source| source.to_string());
-        let exchanged = Exchanged { server: server.name.to_string(), fill_source, at: Instant::now() };
-        self.exchanges.lock().expect("a list").push(exchanged);
+        let attempt = RecordedAttempt { server: server.name.to_string(), fill_source, at: Instant::now() };
+        self.exchanges.lock().expect("a list").push(attempt);
         self.behavior.lock().expect("a behavior")(server, &request)
     }
 }
 
-/// A response with this representation and cache status.
+/// Returns a successful response with this representation and cache status.
 pub fn served_as(representation: Representation, cache_status: CacheStatus) -> AttemptResult {
     let status = ResponseStatus::Ok(representation);
     Ok(UpstreamResponse { status, cache_status, source_wait: 0, load_report: Vec::new() })
 }
 
-/// Served at once.
+/// Responds at once with a hit.
 pub fn served() -> BoxFuture<AttemptResult> {
     let representation = Representation { etag: None, body: "bytes".into() };
     Box::pin(async { served_as(representation, CacheStatus::Hit) })
 }
 
-/// Never answered.
+/// Returns a result that never arrives.
 pub fn never_answered() -> BoxFuture<AttemptResult> {
     Box::pin(std::future::pending())
 }
 
-/// Three caches, two parents and an origin.
+/// Returns a member list of three caches, two parents and an origin.
 pub fn members() -> Vec<Endpoint> {
     let mut members: Vec<Endpoint> =
         (1..=3).map(|n| listing(&format!("cache-{n}"), "a", "edge", "cache")).collect();
@@ -76,8 +76,8 @@
     members
 }
 
-/// A director that sends to these by the host's transport.
-pub fn director(transport: &RecordingTransport) -> Director {
+/// Starts a director for these members that sends through the transport.
+pub fn start_director(transport: &RecordingTransport) -> Director {
     let builder = Director::builder(settings()).endpoint_source(StaticEndpoints(members())).seed(7);
     builder.connector(HostTransport::new(transport.clone())).start().expect("a director")
 }
@@ -86,23 +86,23 @@
 pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < Duration::from_secs(5), "{what}");
+        assert!(started.elapsed() < Duration::from_secs(5), "not within 5 s: {what}");
         sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// The counts of a class.
+/// Returns the request counts of a class.
 pub async fn counts(director: &Director, class: &str) -> ClassCounts {
     director.metrics().await.expect("metrics").requests[class]
 }
 
-/// Requests of a class that were cancelled: those that never ran, and those that may have run.
-pub async fn cancelled(director: &Director, class: &str) -> (u64, u64) {
+/// Returns the numbers of a class's cancelled requests that never ran and that may have run.
+pub async fn cancelled_counts(director: &Director, class: &str) -> (u64, u64) {
     let counts = counts(director, class).await;
     (counts.cancelled_not_run, counts.cancelled_may_have_run)
 }
 
-/// Whether nothing is pending or in flight any more.
+/// Returns whether the director has no requests, attempts or health checks pending.
 pub async fn is_idle(director: &Director) -> bool {
     let tables = director.metrics().await.expect("metrics").tables;
     tables.pending_requests == 0
@@ -111,13 +111,13 @@
         && tables.health_checks == 0
 }
 
-/// A write of a class that must not run twice.
-pub fn filing(object: &str) -> CacheRequest {
+/// Returns a write of a class that must not run twice.
+pub fn filing_request(object: &str) -> CacheRequest {
     CacheRequest::new("filing", object).body("a filing")
 }
 
 /// Runs a test on a runtime of two threads.
-pub fn threads<T>(test: impl std::future::Future<Output = T>) -> T {
+pub fn run_on_two_threads<T>(test: impl std::future::Future<Output = T>) -> T {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,11 +1,11 @@
-//! The log's filter: levels by module, under the modules' present names and those of earlier versions.
+//! The log filter: levels by module, under the modules' current names and those of earlier versions.
 #![cfg(feature = "cli")]
 
 use foxhold::log::parse_filter;
 use tracing::Level;
 
 #[test]
-fn names_of_earlier_versions_select_the_modules_that_they_have_become() {
+fn module_names_of_earlier_versions_select_the_renamed_modules() {
     for (alias, module) in [
         ("foxhold::core", "foxhold::dispatch"),
         ("foxhold::decide", "foxhold::policy"),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_alias_holds_for_submodules_and_for_whole_names_only() {
+fn an_alias_applies_to_submodules_but_not_to_longer_names() {
     let filter = parse_filter("foxhold::core::actor=debug,foxhold::corelike=debug").expect("a filter");
     assert!(filter.would_enable("foxhold::dispatch::actor", &Level::DEBUG));
     assert!(!filter.would_enable("foxhold::dispatch::clock", &Level::ERROR));
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_level_alone_holds_for_every_module() {
+fn a_level_alone_applies_to_every_module() {
     let filter = parse_filter("info").expect("a filter");
     assert!(filter.would_enable("foxhold::dispatch", &Level::INFO));
     assert!(!filter.would_enable("foxhold::dispatch", &Level::DEBUG));
 }
 
 #[test]
-fn a_level_that_can_not_be_read_is_named() {
-    let error = parse_filter("foxhold=loud").expect_err("no level");
+fn the_error_for_an_invalid_level_names_it() {
+    let error = parse_filter("foxhold=loud").expect_err("an invalid level");
     assert!(error.to_string().starts_with("log level 'foxhold=loud': "), "{error}");
 }
--- a/tests/middleware_routes.rs
+++ b/tests/middleware_routes.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_longest_matching_prefix_decides_and_only_at_a_slash() {
+fn the_longest_prefix_of_whole_path_segments_is_matched() {
     let routes = vec![route("/media", "pages"), route("/media/videos", "videos")];
     let routes = Routes::new(routes).expect("valid routes");
     assert_eq!(routes.find("/media/videos/a/b.mp4"), Some(("videos", "a/b.mp4")));
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn bytes_are_reserved_completely_or_not_at_all_and_are_given_back() {
+fn a_reservation_is_all_or_nothing_and_is_released_on_drop() {
     let budget = BodyBudget::new(100);
     let mut first = budget.reserve(70).expect("capacity");
     let exhausted = BudgetExhausted { requested: 40, available: 30 };
     assert_eq!(budget.reserve(40).expect_err("no capacity"), exhausted);
     first.shrink(20);
-    let second = budget.clone().reserve(80).expect("capacity again");
+    let second = budget.clone().reserve(80).expect("capacity after the first shrank");
     assert_eq!(budget.reserved(), 100);
     drop((first, second));
     assert_eq!(budget.reserved(), 0);
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's own file, and the checks of files before the program serves.
+//! The operator file, and the program's commands `check`, `peers`, `drain` and `serve`.
 
 use foxhold::config::operator::{LibrarySection, LogForm, OperatorConfig};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn sections_are_decoded_with_paths_relative_to_the_file_and_without_expansion() {
+fn paths_are_relative_to_the_file_and_variables_are_not_expanded() {
     let operator = parse(
         "signed: {listen: '127.0.0.1:1', keys: 'keys-${HOME}.json'}\nmembers:\n  xds: /var/members.json\n\
          library: {open: 9}\nlog: {level: 'info,foxhold::dispatch=debug', form: json}\n",
@@ -43,15 +43,15 @@
         (1, 600, 200_000)
     );
     assert_eq!(peers.key_file, PathBuf::from("/etc/foxhold/peers.key"));
-    let careful = parse(&format!("peers: {{{PEERS}, mode: careful, careful_ms: 500, folder: state}}\n"));
-    let careful = careful.expect("a valid file").peers.expect("a section");
-    assert_eq!(careful.catch_up_timeout.map(|c| c.as_millis()), Some(500));
-    assert_eq!(careful.state_folder, Some("/etc/foxhold/state".into()));
+    let fresh_only = parse(&format!("peers: {{{PEERS}, mode: careful, careful_ms: 500, folder: state}}\n"));
+    let fresh_only = fresh_only.expect("a valid file").peers.expect("a section");
+    assert_eq!(fresh_only.catch_up_timeout.map(|c| c.as_millis()), Some(500));
+    assert_eq!(fresh_only.state_folder, Some("/etc/foxhold/state".into()));
 }
 
 #[test]
-fn faults_in_the_peers_section_name_their_key() {
-    for (keys, says) in [
+fn errors_in_the_peers_section_name_the_key() {
+    for (keys, expected) in [
         ("name: b", "duplicate"),
         ("advertise: 'director:7300'", "peers.advertise: 'director:7300' is no address and port"),
         ("advertise: '0.0.0.0:7300'", "peers.advertise: nobody can reach"),
@@ -65,26 +65,26 @@
         ("colour: red", "colour"),
     ] {
         let error = parse(&format!("peers: {{{PEERS}, {keys}}}\n")).expect_err(keys);
-        assert!(error.contains(says) && error.lines().count() == 1, "{keys:?}: {error}");
+        assert!(error.contains(expected) && error.lines().count() == 1, "{keys:?}: {error}");
     }
-    for (from, to, says) in [("name: a", "name: 'a b'", "peers.name"), ("fleet: toy, ", "", "fleet")] {
+    for (from, to, expected) in [("name: a", "name: 'a b'", "peers.name"), ("fleet: toy, ", "", "fleet")] {
         let error = parse(&format!("peers: {{{}}}\n", PEERS.replace(from, to))).expect_err(to);
-        assert!(error.contains(says), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
 
 #[test]
-fn the_flat_form_of_earlier_versions_is_still_decoded() {
+fn the_flat_form_of_earlier_versions_is_decoded() {
     let flat = r#"{"listen": "127.0.0.1:1", "metrics": "127.0.0.1:2", "keys": "k.json", "xds": "m.json"}"#;
     let operator = parse(flat).expect("a valid file");
     assert_eq!(operator.signed.expect("a frontend").metrics_listen.as_deref(), Some("127.0.0.1:2"));
     assert_eq!(operator.xds_file, Some("/etc/foxhold/m.json".into()));
-    assert_eq!(parse(r#"{"listen": "", "xds": "m.json"}"#).expect("off").xds_file, None);
+    assert_eq!(parse(r#"{"listen": "", "xds": "m.json"}"#).expect("a valid file").xds_file, None);
 }
 
 #[test]
-fn invalid_files_are_rejected_with_their_place() {
-    for (text, says) in [
+fn errors_in_invalid_files_name_the_key_or_the_line() {
+    for (text, expected) in [
         ("log:\n  level: info\n  colour: red\n", "colour"),
         ("log:\n  level: info\n  colour: red\n", "line 3"),
         ("signd: {}\n", "signd"),
@@ -95,7 +95,7 @@
         ("listen: ''\nlog: {level: info}\n", "flat form"),
     ] {
         let error = parse(text).expect_err(text);
-        assert!(error.contains(says) && error.lines().count() == 1, "{text:?}: {error}");
+        assert!(error.contains(expected) && error.lines().count() == 1, "{text:?}: {error}");
     }
 }
 
@@ -103,7 +103,8 @@
 mod program {
     use super::*;
 
-    fn foxhold(arguments: &[&str]) -> (Option<i32>, String, String) {
+    /// Runs the program; returns its exit status, standard output and standard error.
+    fn run_foxhold(arguments: &[&str]) -> (Option<i32>, String, String) {
         let output = Command::new(env!("CARGO_BIN_EXE_foxhold"))
             .args(arguments)
             .env_remove("ROUTER_CONFIG")
@@ -116,14 +117,14 @@
 
     #[test]
     fn check_names_each_fault_and_exits_with_status_2() {
-        let good = foxhold(&[
+        let valid = run_foxhold(&[
             "check",
             "examples/config.json",
             "examples/foxhold.yaml",
             "examples/peers.yaml",
             "deploy/foxhold.yaml",
         ]);
-        assert_eq!((good.0, good.1.lines().count(), good.2.as_str()), (Some(0), 4, ""), "{good:?}");
+        assert_eq!((valid.0, valid.1.lines().count(), valid.2.as_str()), (Some(0), 4, ""), "{valid:?}");
         let folder = std::env::temp_dir().join(format!("foxhold-check-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = |name: &str, text: &str| {
@@ -139,54 +140,55 @@
             file("short.key", "AAAA\n"),
             file("keys.json", "{"),
         ];
-        let bad = foxhold(&["check", &files[0], &files[1], &files[2], &files[3], "/nowhere.yaml"]);
+        let invalid = run_foxhold(&["check", &files[0], &files[1], &files[2], &files[3], "/nowhere.yaml"]);
         std::fs::remove_dir_all(&folder).expect("the folder");
-        assert_eq!((bad.0, bad.1.as_str()), (Some(2), ""), "{bad:?}");
-        let faults: Vec<&str> = bad.2.lines().collect();
+        assert_eq!((invalid.0, invalid.1.as_str()), (Some(2), ""), "{invalid:?}");
+        let faults: Vec<&str> = invalid.2.lines().collect();
         assert_eq!(faults.len(), 5, "{faults:?}");
-        let says = ["sometimes", "line 1", "keys.json", "short.key: line 1: key of 3 bytes", "/nowhere.yaml"];
-        assert!(faults.iter().zip(says).all(|(fault, says)| fault.contains(says)), "{faults:?}");
+        let expected =
+            ["sometimes", "line 1", "keys.json", "short.key: line 1: key of 3 bytes", "/nowhere.yaml"];
+        assert!(faults.iter().zip(expected).all(|(fault, expected)| fault.contains(expected)), "{faults:?}");
     }
 
-    /// An admin endpoint that answers one call, and what the program prints.
+    /// Runs the program against an admin endpoint that answers one call.
     #[cfg(feature = "peers")]
     #[test]
-    fn peers_are_shown_as_a_table_and_an_unreachable_admin_endpoint_is_named() {
+    fn peers_are_printed_as_a_table_and_the_error_names_an_unreachable_admin_endpoint() {
         use std::io::{BufRead, BufReader, Write};
-        let shown = r#"{"name":"a","address":"127.0.0.1:1","incarnation":1,"stage":"caught up","bytes":9,
+        let status = r#"{"name":"a","address":"127.0.0.1:1","incarnation":1,"stage":"caught up","bytes":9,
             "entries":{"purges":3},"gone":["c at x"],
             "peers":[{"name":"b","address":"127.0.0.1:2","heard_ms":12,"alike_ms":null}],
             "twins":[],"counts":{"taken":3,"known":0},"turned_down":{"seal":2}}"#
             .replace('\n', "");
         let endpoint = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = endpoint.local_addr().expect("an address").to_string();
-        let answer = std::thread::spawn(move || {
+        let call = std::thread::spawn(move || {
             let (mut stream, _) = endpoint.accept().expect("a caller");
             let mut call = String::new();
             BufReader::new(&stream).read_line(&mut call).expect("a call");
-            stream.write_all(format!("{shown}\nEND\n").as_bytes()).expect("a reader");
+            stream.write_all(format!("{status}\nEND\n").as_bytes()).expect("a reader");
             call
         });
-        let (code, text, error) = foxhold(&["peers", "--door", &address]);
-        assert_eq!((code, answer.join().expect("a call").as_str()), (Some(0), "peers\n"), "{error}");
-        for says in
+        let (code, text, error) = run_foxhold(&["peers", "--door", &address]);
+        assert_eq!((code, call.join().expect("a call").as_str()), (Some(0), "peers\n"), "{error}");
+        for expected in
             ["a at 127.0.0.1:1, caught up: 3 purges", "gone: c at x", "counted: taken 3", "down: seal 2"]
         {
-            assert!(text.contains(says), "{text}");
+            assert!(text.contains(expected), "{text}");
         }
         assert!(
             text.lines().any(|l| l.starts_with("b ") && l.contains(" 12 ") && l.ends_with('-')),
             "{text}"
         );
-        let (code, _, error) = foxhold(&["drain", "cache-1", "--door", &address]);
+        let (code, _, error) = run_foxhold(&["drain", "cache-1", "--door", &address]);
         assert!(code == Some(2) && error.contains(&format!("admin endpoint at {address}")), "{error}");
     }
 
     #[test]
     fn help_and_version_need_no_configuration() {
-        assert!(foxhold(&["--help"]).1.contains("ROUTER_CONFIG"));
-        assert_eq!(foxhold(&["--version"]).1.trim(), concat!("foxhold ", env!("CARGO_PKG_VERSION")));
-        let (code, _, error) = foxhold(&["serve"]);
+        assert!(run_foxhold(&["--help"]).1.contains("ROUTER_CONFIG"));
+        assert_eq!(run_foxhold(&["--version"]).1.trim(), concat!("foxhold ", env!("CARGO_PKG_VERSION")));
+        let (code, _, error) = run_foxhold(&["serve"]);
         assert_eq!((code, error.lines().count()), (Some(1), 1), "{error}");
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Many routers at once, each of which observes only its own traffic: their combined effect on one server.
+//! The combined effect of many routers on one server, where each router observes only its own traffic; and
+//! regressions that appeared at that scale.
 
 mod common;
 use common::*;
@@ -6,7 +7,7 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// `n` routers of one zone that know only how many they are.
+/// Returns `n` routers of one zone. Each knows their number, but not the others' traffic.
 fn fleet(n: u32, settings: &Settings, ids: &[u32]) -> Vec<RouterHarness> {
     let settings = Settings { routers: n, routers_by_zone: vec![0, 0, n, 0], ..settings.clone() };
     let harness = |seed| {
@@ -17,19 +18,19 @@
     (0..n).map(harness).collect()
 }
 
-/// Sends requests for objects of one size to the routers in turn, and completes all as fills. Returns when
-/// attempts named `id` as their server or source, and their transfer times.
-fn run(
+/// Sends requests for objects of one size to the routers in turn, and completes all as fills. Returns the
+/// time and the transfer time of each attempt that has `id` as its server or fill source.
+fn run_requests(
     fleet: &mut [RouterHarness],
     id: ServerId,
     kb: f64,
-    gap: Micros,
-    lasting: Micros,
+    interval: Micros,
+    duration: Micros,
 ) -> Vec<(Micros, f64)> {
-    let (mut log, start, mut object) = (Vec::new(), fleet[0].now, 0);
-    while gap * object < lasting {
+    let (mut transfers, start, mut object) = (Vec::new(), fleet[0].now, 0);
+    while interval * object < duration {
         object += 1;
-        let now = start + gap * object;
+        let now = start + interval * object;
         let n = fleet.len();
         let router = &mut fleet[(object as usize * 7919) % n];
         router.now = now;
@@ -37,12 +38,12 @@
         (request.size_kb, request.deadline) = (kb, now + 5 * SECOND);
         for attempt in attempts_in(&router.handle(Event::Request(request))) {
             if attempt.server == id || attempt.fill.is_some_and(|f| f.source == id) {
-                log.push((now, kb * 1000.0));
+                transfers.push((now, kb * 1000.0));
             }
             router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
         }
     }
-    log
+    transfers
 }
 
 #[test]
@@ -53,7 +54,7 @@
                 let rule = SlowStartRule { overload_multiple: multiple, ..settings().parent_slow_start };
                 let settings = Settings { parent_slow_start: rule, cache_slow_start: rule, ..settings() };
                 let mut fleet = fleet(routers, &settings, &[1, 2, 3, 11, 12, 13, 20]);
-                run(&mut fleet, ServerId(99), kb, SECOND / 200, 8 * SECOND);
+                run_requests(&mut fleet, ServerId(99), kb, SECOND / 200, 8 * SECOND);
                 let since = fleet[0].now.max(fleet[1].now);
                 for router in &mut fleet {
                     router.now = since;
@@ -62,25 +63,34 @@
                         vec![Member { started_at: since, ..member(id) }],
                     );
                 }
-                let log = run(&mut fleet, ServerId(id), kb, (kb * 40.0) as Micros, 10 * SECOND);
-                let what = format!("server {id}, {kb} KB, {routers} routers, multiple {multiple}");
-                let early: f64 = log.iter().filter(|l| l.0 < since + 5 * SECOND).map(|l| l.1).sum();
-                // Half of the warm-up at a mean of 0.4 of its capacity, which is 20 transfers at full rate.
+                let transfers =
+                    run_requests(&mut fleet, ServerId(id), kb, (kb * 40.0) as Micros, 10 * SECOND);
+                let case = format!("server {id}, {kb} KB, {routers} routers, multiple {multiple}");
+                let early: f64 = transfers.iter().filter(|t| t.0 < since + 5 * SECOND).map(|t| t.1).sum();
+                // The first half of the warm-up, at a mean of 0.4 of its capacity: 20 transfers at full rate.
                 let possible = 5.0 * 0.4 * 20.0 * SECOND as f64;
-                assert!(early > 0.1 * possible, "{what}: {early} of {possible} in the first half");
-                for (at, _) in &log {
+                assert!(
+                    early > 0.1 * possible,
+                    "{case}: {early} µs of transfers in the first 5 s, {possible} possible"
+                );
+                for (at, _) in &transfers {
                     let sum: f64 =
-                        log.iter().filter(|l| (*at..at + SECOND).contains(&l.0)).map(|l| l.1).sum();
-                    let warm = 0.2 + 0.8 * (at - since) as f64 / (10 * SECOND) as f64;
-                    let limit = multiple * 20.0 * warm * SECOND as f64;
-                    assert!(sum <= limit, "{what}: {sum} of {limit} at {}", at - since);
+                        transfers.iter().filter(|t| (*at..at + SECOND).contains(&t.0)).map(|t| t.1).sum();
+                    let capacity_share = 0.2 + 0.8 * (at - since) as f64 / (10 * SECOND) as f64;
+                    let limit = multiple * 20.0 * capacity_share * SECOND as f64;
+                    assert!(
+                        sum <= limit,
+                        "{case}: {sum} µs of transfers in a second, limit {limit}, {} µs after the start",
+                        at - since
+                    );
                 }
             }
         }
     }
 }
 
-/// Regression: the parents were lost, and every router turned to the origin at once.
+/// Guards against an overload of the origin: when the parents were lost, every router sent its fills there
+/// at once.
 #[test]
 fn the_origin_is_not_overloaded_when_the_parents_are_lost() {
     for routers in [4, 40, 180] {
@@ -91,23 +101,23 @@
                 vec![Member { state: MemberState::Gone, ..member(11) }],
             );
         }
-        // No fill ends: all attempts that named the origin are in flight there.
-        let named = |fleet: &mut [RouterHarness], rounds: u64| {
-            let mut named = 0;
+        // No fill ends, so all attempts that name the origin are in flight there.
+        let count_origin_fills = |fleet: &mut [RouterHarness], rounds: u64| {
+            let mut fills = 0;
             for object in 0..rounds {
                 for router in fleet.iter_mut() {
                     let actions = router.send_request(0, object);
                     let to_origin = |s: &&SentAttempt| s.fill.is_some_and(|f| f.source == ORIGIN);
-                    named += attempts_in(&actions).iter().filter(to_origin).count();
+                    fills += attempts_in(&actions).iter().filter(to_origin).count();
                 }
             }
-            named
+            fills
         };
-        let first = named(&mut fleet, 1);
+        let first = count_origin_fills(&mut fleet, 1);
         assert!((1..=72).contains(&first), "{routers} routers: {first} fills in flight at the origin");
-        let more = first + named(&mut fleet, 20);
+        let more = first + count_origin_fills(&mut fleet, 20);
         assert!(more <= 96.max(routers as usize), "{routers} routers: {more} fills in flight at the origin");
-        // Fills in time widen each router's window there.
+        // Fills that end within the latency objective widen each router's window at the origin.
         let mut fleet = self::fleet(routers, &settings(), &[1, 2, 3, 20]);
         for object in 100..160 {
             for router in &mut fleet {
@@ -116,27 +126,28 @@
                 }
             }
         }
-        let after = named(&mut fleet[..], 1);
+        let after = count_origin_fills(&mut fleet[..], 1);
         assert!(after as u32 * 10 >= routers * 9, "{routers} routers: {after} fills at the origin");
     }
 }
 
-/// A fill window below one is decided by a draw: with at least one each, 180 routers would overload a source.
+/// Guards against a minimum of one fill in each router's window, by which 180 routers would overload a
+/// source. A window below one admits fills at random.
 #[test]
 fn a_source_with_late_fills_gets_less_than_one_fill_from_each_router() {
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 20]);
     for object in 0..60 {
         let attempt = router.attempt_for(object);
         router.now += 450_000;
-        let over = |took| attempt.ended(Outcome::Ok, CacheStatus::Filled, took);
-        router.handle(Event::AttemptEnded(over(450_000)));
+        let ended = |elapsed| attempt.ended(Outcome::Ok, CacheStatus::Filled, elapsed);
+        router.handle(Event::AttemptEnded(ended(450_000)));
     }
     let at_parent = (100..200).filter(|o| router.peek_source(*o) == ServerId(11)).count();
-    assert!((1..60).contains(&at_parent), "{at_parent} of 100 lone fills");
+    assert!((1..60).contains(&at_parent), "{at_parent} of 100 successive fills at the parent");
 }
 
-/// Regression: a router that sends a parent one fill in some seconds went on naming one that refused
-/// connections, for as long as the member list held it.
+/// Guards against a router that sends a parent only one fill in several seconds and keeps naming it while it
+/// refuses connections, for as long as it is in the member list.
 #[test]
 fn a_first_failure_triggers_a_health_check_and_a_failed_check_ejects_the_server() {
     let mut router =
@@ -155,7 +166,11 @@
         load_report: Vec::new(),
     };
     router.handle(health_checked(Outcome::Ok));
-    assert_eq!(router.peek_source(object), ServerId(11), "an answer leaves it as it was");
+    assert_eq!(
+        router.peek_source(object),
+        ServerId(11),
+        "a parent that passes its health check stays in use"
+    );
     let attempt = router.attempt_for(object);
     assert_eq!(
         health_checks(&router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
@@ -169,14 +184,15 @@
     assert_eq!(
         health_checks(&router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
         0,
-        "not where it is not allowed"
+        "no health checks where the settings disable them"
     );
 }
 
-/// Regression: at a router that sends little, three late responses were three failures.
+/// Guards against ejecting a healthy server: at a router that sends few requests, three late responses
+/// counted as three failures.
 #[test]
-fn late_responses_of_a_server_that_passes_health_checks_are_no_failures() {
-    let run = |outcome| {
+fn late_responses_of_a_server_that_passes_health_checks_do_not_count_as_failures() {
+    let run_late_responses = |outcome| {
         let mut router =
             RouterHarness::with_servers(Settings { health_checks: true, ..settings() }, &[1, 11, 12, 20]);
         let (mut health_checks, mut ejected) = (0, false);
@@ -185,49 +201,53 @@
                 break;
             }
             let actions = router.send_request(0, object);
-            let late = actions.iter().find_map(|a| match a {
+            let timer = actions.iter().find_map(|a| match a {
                 Action::SetTimer { at, token } if *at < router.now + 500_000 => Some((*at, *token)),
                 _ => None,
             });
-            let (at, token) = late.expect("a timer before the objective");
+            let (at, token) = timer.expect("a timer before the objective");
             router.now = at;
-            let mut asked = router.handle(Event::Timer(token));
-            while let Some(action) = asked.pop() {
+            let mut pending_actions = router.handle(Event::Timer(token));
+            while let Some(action) = pending_actions.pop() {
                 ejected |= matches!(action, Action::Log(_));
                 if let Action::HealthCheck(server) = action {
                     health_checks += 1;
-                    let probe =
+                    let health_checked =
                         Event::HealthChecked { server, outcome, elapsed: 1_000, load_report: Vec::new() };
-                    asked.extend(router.handle(probe));
+                    pending_actions.extend(router.handle(health_checked));
                 }
             }
         }
         (health_checks, ejected)
     };
-    assert_eq!(run(Outcome::Ok), (6, false));
-    assert!(run(Outcome::TimedOut).1, "silence to health checks as well ejects it");
+    assert_eq!(run_late_responses(Outcome::Ok), (6, false));
+    assert!(run_late_responses(Outcome::TimedOut).1, "a server that also fails health checks is ejected");
 }
 
-/// Lost responses: the work is done, so that the same cache holds the object by now.
+/// Guards against a second fill at another cache when responses get lost: the first cache has done the work
+/// and holds the object by now.
 #[test]
-fn where_responses_get_lost_in_general_the_same_cache_gets_a_hedged_request() {
-    let late = |router: &mut RouterHarness, object| {
+fn the_hedged_request_goes_to_the_same_cache_when_responses_are_often_lost() {
+    let hedge_late_response = |router: &mut RouterHarness, object| {
         let actions = router.send_request(0, object);
         let attempt = attempts_in(&actions)[0].clone();
         let ok = router.attempt_for(object);
         router.now += 400_000;
         router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Filled);
-        let due = |a: &Action| match a {
+        let due_token = |a: &Action| match a {
             Action::SetTimer { at, token } if *at <= router.now => Some(*token),
             _ => None,
         };
-        let tokens: Vec<TimerToken> = actions.iter().filter_map(due).collect();
-        let again: Vec<SentAttempt> =
+        let tokens: Vec<TimerToken> = actions.iter().filter_map(due_token).collect();
+        let hedged: Vec<SentAttempt> =
             tokens.into_iter().flat_map(|t| attempts_in(&router.handle(Event::Timer(t)))).collect();
-        (attempt, again)
+        (attempt, hedged)
     };
     let mut router = RouterHarness::with_default_site();
-    assert!(late(&mut router, 5).1.is_empty(), "a response that is only late is waited for");
+    assert!(
+        hedge_late_response(&mut router, 5).1.is_empty(),
+        "no hedged request for a response that is only late"
+    );
     for object in 10..16 {
         let attempt = router.attempt_for(object);
         let ok = router.attempt_for(object);
@@ -235,8 +255,8 @@
         router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Hit);
         router.end_attempt(&attempt, 0, Outcome::TimedOut, CacheStatus::Unknown);
     }
-    let (attempt, again) = late(&mut router, 5);
-    assert_eq!(again.iter().map(|s| s.server).collect::<Vec<_>>(), [attempt.server]);
+    let (attempt, hedged) = hedge_late_response(&mut router, 5);
+    assert_eq!(hedged.iter().map(|s| s.server).collect::<Vec<_>>(), [attempt.server]);
     let mut router = RouterHarness::with_servers(
         Settings { request_collapsing: false, ..settings() },
         &[1, 2, 3, 11, 12, 13, 20],
@@ -248,7 +268,10 @@
         router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Hit);
         router.end_attempt(&attempt, 0, Outcome::TimedOut, CacheStatus::Unknown);
     }
-    assert!(late(&mut router, 5).1.is_empty(), "without request collapsing it would fill the bytes twice");
+    assert!(
+        hedge_late_response(&mut router, 5).1.is_empty(),
+        "without request collapsing it would fill the bytes twice"
+    );
 }
 
 #[test]
@@ -268,49 +291,49 @@
     router.now += 2_000_000;
     for (id, token) in ids.into_iter().zip(timers) {
         let actions = router.handle(Event::Timer(token));
-        let own = |a: &Action| matches!(a, Action::Reject { request, .. } if request.0 == id);
-        assert_eq!(actions.iter().filter(|a| own(a)).count(), 1, "{id}: {actions:?}");
+        let rejects_it = |a: &Action| matches!(a, Action::Reject { request, .. } if request.0 == id);
+        assert_eq!(actions.iter().filter(|a| rejects_it(a)).count(), 1, "{id}: {actions:?}");
         assert_eq!(actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count(), 1);
     }
 }
 
 #[test]
-fn invalid_numbers_in_settings_and_requests_do_no_harm() {
-    for odd in [0.0, -1.0, f64::NAN, f64::INFINITY] {
+fn requests_are_answered_despite_invalid_numbers_in_settings_and_requests() {
+    for invalid in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let rule = SlowStartRule {
-            initial_capacity_share: odd,
+            initial_capacity_share: invalid,
             warm_up_time: SECOND,
-            overload_multiple: odd,
+            overload_multiple: invalid,
             overload_window: SECOND,
         };
         let mut settings = Settings {
-            transfer_kb_per_s: odd,
+            transfer_kb_per_s: invalid,
             cache_slow_start: rule,
             parent_slow_start: rule,
             ..settings()
         };
-        settings.classes[0].objective_stretch = odd;
+        settings.classes[0].objective_stretch = invalid;
         (settings.classes[0].freshness_lifetime, settings.classes[0].stale_grace) =
             (Micros::MAX, Micros::MAX);
         let mut router = RouterHarness::new(settings);
-        let odd_member = |id| Member { size: odd, started_at: router.now, ..member(id) };
-        let members = [1, 2, 11, 12, 20].map(odd_member).to_vec();
+        let invalid_member = |id| Member { size: invalid, started_at: router.now, ..member(id) };
+        let members = [1, 2, 11, 12, 20].map(invalid_member).to_vec();
         router.update_members(MemberUpdate::Full, members);
         for now in [router.now, router.now + 2 * SECOND, Micros::MAX - 1] {
             router.now = now;
             let mut request = router.new_request_until(5, Micros::MAX);
-            request.size_kb = odd;
+            request.size_kb = invalid;
             let actions = router.handle(Event::Request(request));
             let answered = !attempts_in(&actions).is_empty() || is_rejected(&actions);
-            assert!(answered, "{odd} at {now}: {actions:?}");
+            assert!(answered, "{invalid} at {now}: {actions:?}");
             router.handle(Event::Purged { object: None, group: 5, age: Micros::MAX });
         }
     }
 }
 
-/// A decision must not sort the whole list, and one event may name thousands of servers.
+/// Guards against decisions that sort the complete member list: one event may list thousands of servers.
 #[test]
-fn a_list_of_several_thousand_servers_is_handled() {
+fn fills_avoid_the_origin_with_several_thousand_servers_listed() {
     let mut router = RouterHarness::new(settings());
     let entry =
         |n: u32| Member { server: ServerId(1000 + n), ..member(if n.is_multiple_of(5) { 11 } else { 1 }) };
@@ -323,27 +346,28 @@
     }
 }
 
-/// Regression: fills went on to a third parent and further, and each fetched the same object again.
+/// Guards against fills that go on to a third parent and further: each fetched the same object again.
 #[test]
 fn a_fill_goes_to_the_origin_when_both_parents_reject_fills() {
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 13, 14, 20]);
     let object = router.object_with_first_parent(11);
-    let source = |router: &mut RouterHarness, object| {
+    let reject_fill = |router: &mut RouterHarness, object| {
         let attempt = router.attempt_for(object);
         router.end_attempt(&attempt, 0, Outcome::Rejected, CacheStatus::SourceRejected);
         attempt.source()
     };
-    // Both parents reject fills, and are backed off from for a moment.
-    let first = source(&mut router, object);
+    // Both parents reject fills; the router sends them none during the backoff.
+    let first = reject_fill(&mut router, object);
     let second = router.peek_source(object);
     assert!(first == ServerId(11) && second != first && second != ORIGIN);
-    let theirs: Vec<u64> = (2000..9000).filter(|o| router.peek_source(*o) == second).take(1).collect();
-    source(&mut router, theirs[0]);
+    let objects_of_second: Vec<u64> =
+        (2000..9000).filter(|o| router.peek_source(*o) == second).take(1).collect();
+    reject_fill(&mut router, objects_of_second[0]);
     assert_eq!(router.peek_source(object), ORIGIN);
 }
 
-/// A source that a cache could not reach is as lost if the cache rejects the request for it as if it fails:
-/// its objects go to the next parent.
+/// Guards against naming a lost source further because the cache that could not reach it rejects the request
+/// instead of failing it. The source's objects go to the next parent.
 #[test]
 fn a_source_that_caches_report_as_unreachable_is_ejected() {
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 20]);
@@ -354,11 +378,11 @@
         router.end_attempt(&attempt, 0, Outcome::Rejected, CacheStatus::SourceUnreachable);
         router.now += 10_000;
     }
-    assert_ne!(router.peek_source(object), ServerId(11), "a lost parent is not named");
+    assert_ne!(router.peek_source(object), ServerId(11), "an ejected parent is not named as a source");
 }
 
-/// Regression: a hundred routers that each sent a probation request every 0.7 s made a steady share of all
-/// fills fail.
+/// Guards against probation requests at a constant interval: a hundred routers that each sent one every 0.7 s
+/// made a steady share of all fills fail.
 #[test]
 fn probation_requests_to_a_lost_source_back_off() {
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 20]);
@@ -377,5 +401,8 @@
         router.now += 50_000;
     }
     // Three failures, then probation requests after 0.7, 1.4, 2.8 and 5.6 s (each with half of it as jitter).
-    assert!((4..=10).contains(&probations), "{probations} in 20 s; every 0.7 s would be 28");
+    assert!(
+        (4..=10).contains(&probations),
+        "{probations} probation requests in 20 s; one every 0.7 s would be 28"
+    );
 }
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists in xDS form: decoding, encoding, and responses that are rejected as a whole.
+//! Endpoint lists in xDS form: decoding, encoding, rejection of invalid responses, and watching a file.
 
 mod emulated;
 
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-const SNAKE: &str = r#"{"version_info":"7","resources":[
+const SNAKE_CASE: &str = r#"{"version_info":"7","resources":[
     {"@type":"type.googleapis.com/envoy.config.cluster.v3.Cluster","name":"cache","type":"EDS",
      "eds_cluster_config":{"service_name":"caches","eds_config":{}},"connect_timeout":"0.4s"},
     {"@type":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment","cluster_name":"caches",
@@ -24,7 +24,7 @@
 
 #[test]
 fn snake_case_and_camel_case_decode_to_the_same_endpoints() {
-    let update = xds::parse(SNAKE).expect("a valid response");
+    let update = xds::parse(SNAKE_CASE).expect("a valid response");
     assert_eq!((update.version.as_str(), update.members.len()), ("7", 2));
     let first = Endpoint {
         cell: 2,
@@ -47,14 +47,15 @@
         ("load_balancing_weight", "loadBalancingWeight"),
         ("filter_metadata", "filterMetadata"),
     ];
-    let camel = pairs.iter().fold(SNAKE.to_owned(), |text, (snake, camel)| text.replace(snake, camel));
-    assert_ne!(camel, SNAKE);
-    assert_eq!(xds::parse(&camel), Ok(update));
+    let camel_case =
+        pairs.iter().fold(SNAKE_CASE.to_owned(), |text, (snake, camel)| text.replace(snake, camel));
+    assert_ne!(camel_case, SNAKE_CASE);
+    assert_eq!(xds::parse(&camel_case), Ok(update));
 }
 
 #[test]
 fn an_encoded_update_decodes_to_itself() {
-    let update = xds::parse(SNAKE).expect("a valid response");
+    let update = xds::parse(SNAKE_CASE).expect("a valid response");
     assert_eq!(xds::parse(&xds::format(&update)), Ok(update));
 }
 
@@ -71,7 +72,7 @@
         ("true", None),
     ];
     for (status, state) in states {
-        let update = xds::parse(&SNAKE.replace("\"HEALTHY\"", status));
+        let update = xds::parse(&SNAKE_CASE.replace("\"HEALTHY\"", status));
         assert_eq!(update.ok().map(|u| u.members[0].state), state, "{status}");
     }
 }
@@ -91,31 +92,31 @@
         ("]}]}]}", "]}]}]"),
     ];
     for (from, to) in faults {
-        let text = SNAKE.replacen(from, to, 1);
-        assert_ne!(text, SNAKE, "{from}");
+        let text = SNAKE_CASE.replacen(from, to, 1);
+        assert_ne!(text, SNAKE_CASE, "{from}");
         assert!(xds::parse(&text).is_err(), "{from} -> {to}");
     }
 }
 
 #[test]
-fn a_watched_file_that_becomes_invalid_leaves_the_last_valid_list() {
+fn the_last_valid_list_stays_in_use_when_the_watched_file_becomes_invalid() {
     let path = std::env::temp_dir().join(format!("foxhold-xds-{}.json", std::process::id()));
-    std::fs::write(&path, SNAKE).expect("a file");
+    std::fs::write(&path, SNAKE_CASE).expect("a file");
     run_with_paused_clock(async {
         let (mailbox, mut inbox) = mpsc::channel(8);
         let (file, first) = WatchedFile::open(path.clone(), xds::parse).expect("a valid file");
         assert_eq!(first.members.len(), 2);
         tokio::task::spawn_local(follow_file(file, DispatcherSender::new(mailbox)));
-        std::fs::write(&path, SNAKE.replace("9090", "0")).expect("a file");
+        std::fs::write(&path, SNAKE_CASE.replace("9090", "0")).expect("a file");
         assert!(
             timeout(Duration::from_secs(5), inbox.recv()).await.is_err(),
-            "an invalid version, and one unchanged"
+            "no update for an invalid file or an unchanged one"
         );
-        std::fs::write(&path, SNAKE.replace("\"HEALTHY\"", "\"DRAINING\"")).expect("a file");
+        std::fs::write(&path, SNAKE_CASE.replace("\"HEALTHY\"", "\"DRAINING\"")).expect("a file");
         let Some(DispatcherMessage::Members { members, .. }) = inbox.recv().await else { panic!("no list") };
         assert_eq!(members[0].state, MemberState::Draining);
         sleep(Duration::from_secs(2)).await;
-        assert!(inbox.try_recv().is_err(), "reported once");
+        assert!(inbox.try_recv().is_err(), "the change is reported only once");
     });
     std::fs::remove_file(&path).expect("the file");
 }
