--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 test:
 	cargo test --locked --workspace --all-features
 
-# 100 directors restarted at once before each kind of trouble with the board; 30 among the tests.
+# Restarts 100 directors at once for each kind of discovery service fault; `make test` restarts 30.
 readiness:
 	FOXHOLD_READINESS_PROCESSES=100 cargo test --locked --test readiness -- --nocapture
 
@@ -15,23 +15,23 @@
 	cargo clippy --locked --workspace --all-targets --all-features -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --all-features --no-deps --quiet
 
-# A director for the example deployment, with both frontends.
+# Runs a director for the example deployment, with both frontends.
 run: build
 	ROUTER_CONFIG=examples/config.json FOXHOLD_FRONT=examples/foxhold.yaml target/release/foxhold
 
-# The servers of the example deployment; runs until it is stopped.
+# Runs the servers of the example deployment until interrupted.
 toys:
 	cargo run --locked --example example_servers
 
-# A signed link to try.
+# Prints a signed link of the example deployment.
 sign:
 	@cargo run --locked --quiet --example sign -- /guide-videos/one.mp4
 
-# All of it at once: the example servers, the director with both frontends, and some requests through each.
+# Runs the example servers and a director, and sends requests through both frontends.
 demo: build
 	@cargo run --locked --quiet --example demo
 
-# What a decision costs, by criterion; and a request through daemon and library.
+# Measures the time of a decision (criterion) and of a request through the daemon and through the library.
 bench:
 	cargo bench --locked --bench decide
 	cargo run --locked --release -p foxhold-testbed -- overhead
--- a/examples/axum.rs
+++ b/examples/axum.rs
@@ -1,8 +1,8 @@
-//! The director in an axum application, in front of the example deployment (see README.md). Signed URLs go to
-//! the director, beside a route of the application's own.
+//! The director in an axum application, in front of the example deployment (see README.md). The application
+//! serves one route itself; signed URLs go to the director.
 //!
-//! `cargo run --example axum --features axum`, then `make sign` and request the link from port 7105, with
-//! `-H 'Host: 127.0.0.1:7101'`, the host that it was signed for.
+//! `cargo run --example axum --features axum`, then `make sign`. Request the link from port 7105, with
+//! `-H 'Host: 127.0.0.1:7101'`: the link is signed for that host.
 
 use axum::routing::get;
 use axum::Router;
--- a/examples/demo.rs
+++ b/examples/demo.rs
@@ -1,9 +1,9 @@
-//! The example deployment, the director in front of it, and some requests through each frontend: `make demo`.
+//! Starts the example deployment and a director, and sends requests through each frontend: `make demo`.
 
 #[path = "example_servers.rs"]
 mod servers;
 #[path = "sign.rs"]
-#[allow(dead_code, reason = "the example uses a part of it")]
+#[allow(dead_code, reason = "only `link` is used here")]
 mod sign;
 
 use std::io::{Read, Write};
@@ -28,10 +28,10 @@
         .spawn()
         .map_err(|e| format!("{program}: {e}"))?;
     let _director = Director(director);
-    let begun = Instant::now();
+    let started = Instant::now();
     while TcpStream::connect(SIGNED_ADDRESS).is_err() {
-        if begun.elapsed() > Duration::from_secs(5) {
-            return Err("the director did not come up".into());
+        if started.elapsed() > Duration::from_secs(5) {
+            return Err(format!("the director did not listen on {SIGNED_ADDRESS} within 5 s").into());
         }
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// The director's process, which does not outlive the demonstration.
+/// The director's process, killed when this is dropped.
 struct Director(Child);
 
 impl Drop for Director {
@@ -67,9 +67,9 @@
         stream,
         "{line} HTTP/1.1\r\nHost: {address}\r\n{headers}Content-Length: {length}\r\nConnection: close\r\n\r\n{body}"
     )?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap_or((&answer, ""));
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    let (head, body) = response.split_once("\r\n\r\n").unwrap_or((&response, ""));
     println!("\n{title}\n  sent   {address} {line}\n  got    {}", head.lines().next().unwrap_or("nothing"));
     if !body.is_empty() {
         println!("         {}", body.trim_end());
--- a/examples/example_servers.rs
+++ b/examples/example_servers.rs
@@ -1,5 +1,5 @@
-//! The servers of the example deployment, on loopback: a cache, a parent and an origin that hold every object, and
-//! a discovery service on which nothing changes. Start it, then the director (see README.md).
+//! The servers of the example deployment, on loopback: a cache, a parent and an origin, which hold every object,
+//! and a discovery service without changes. Start them before the director (see README.md).
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 ];
 const DISCOVERY_ADDRESS: &str = "127.0.0.1:7200";
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Bytes after a request's body.
+/// The line end after a request's body.
 const LINE_END_BYTES: usize = 2;
 
 /// Serves until the process ends.
@@ -60,7 +60,7 @@
     }
 }
 
-/// Says each second that nothing has changed since the list in the configuration.
+/// Sends a heartbeat each second with the revision of the member list in the configuration.
 fn send_heartbeats(mut stream: TcpStream) -> std::io::Result<()> {
     loop {
         stream.write_all(b"1\n")?;
--- a/examples/sign.rs
+++ b/examples/sign.rs
@@ -1,4 +1,4 @@
-//! Signs a path with the key of `examples/keys.json`, for an hour:
+//! Signs a path with the key of `examples/keys.json`. The link is valid for an hour:
 //! `cargo run --example sign -- /guide-videos/one.mp4`.
 
 use base64::engine::general_purpose::URL_SAFE;
@@ -6,7 +6,7 @@
 use hmac::{Hmac, KeyInit, Mac};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The secret of `examples/keys.json`, which everybody knows.
+/// The secret of `examples/keys.json`, which is public.
 const SECRET: &[u8] = b"not a real secret";
 const VALIDITY_S: u64 = 3600;
 
@@ -15,7 +15,7 @@
     Ok(())
 }
 
-/// Signs a path for the example deployment.
+/// Returns the signed URL of a path in the example deployment.
 pub fn link(path: &str) -> Result<String, Box<dyn std::error::Error>> {
     let expires = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs() + VALIDITY_S;
     let separator = if path.contains('?') { '&' } else { '?' };
