--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,5 +1,5 @@
-//! The cost of one decision: a request and the end of its attempt, with fleets of four sizes.
-#![allow(missing_docs, reason = "the macros of criterion make a function of their own")]
+//! Measures the cost of one decision, a request and the end of its attempt, for fleets of four sizes.
+#![allow(missing_docs, reason = "the criterion macros generate a public function without documentation")]
 
 #[path = "../tests/emulated/mod.rs"]
 mod emulated;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Nine caches in ten, the rest parents, and the origin.
+/// Returns the origin, one parent in every ten servers, and caches.
 fn members(servers: u32) -> Vec<Member> {
     let member = |id: u32| {
         let (zone, kind) = match id {
@@ -50,20 +50,20 @@
 }
 
 fn request(n: u64, objects: u64, now: Micros) -> Request {
-    let mixed = n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16;
+    let hash = n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 16;
     Request {
         id: RequestId(n),
-        class: (mixed % 2) as usize,
-        object: ObjectId(mixed % objects),
-        part: (mixed % 3) as u32,
-        group: Some((mixed % 32) as u32),
+        class: (hash % 2) as usize,
+        object: ObjectId(hash % objects),
+        part: (hash % 3) as u32,
+        group: Some((hash % 32) as u32),
         deadline: now + 3_000_000,
         size_kb: 200.0,
         is_retry: false,
     }
 }
 
-/// Hands a request to the router, and the successful end of its attempt.
+/// Passes a request to the router, and then the successful end of its attempt.
 fn decide(router: &mut Router, n: u64, objects: u64, out: &mut Vec<Action>) {
     let now = n * 500;
     out.clear();
--- a/tests/cancellation_log.rs
+++ b/tests/cancellation_log.rs
@@ -1,4 +1,4 @@
-//! What is proven of cancelled requests by the reports of their attempts.
+//! Checks what the reports of attempts prove about cancelled requests: that they never ran or may have run.
 
 use foxhold::dispatch::cancellation_log::{
     CancellationLog, ExecutionProof, ProvenCancellation, MAX_WAITING_REQUESTS,
@@ -30,20 +30,20 @@
 }
 
 #[test]
-fn what_is_proven_at_cancellation_is_returned_at_once() {
+fn a_proof_that_is_complete_at_cancellation_is_returned_at_once() {
     let mut log = CancellationLog::default();
     assert_eq!(log.request_cancelled(RequestId(1), &class(), NeverRan, 0), proven(NeverRan));
     assert_eq!(log.request_cancelled(RequestId(2), &class(), MayHaveRun, 1), proven(MayHaveRun));
     assert_eq!(
         log.attempt_reported(RequestId(2), proof_of(AttemptError::NotWritten)),
         None,
-        "what comes later changes nothing"
+        "expected a later report to change nothing"
     );
     assert_eq!(log.waiting(), 0);
 }
 
 #[test]
-fn a_missing_report_counts_as_having_run_and_so_does_a_request_beyond_capacity() {
+fn missing_reports_and_requests_beyond_capacity_count_as_may_have_run() {
     let mut log = CancellationLog::default();
     assert_eq!(log.request_cancelled(RequestId(0), &class(), NeverRan, 1), None);
     assert_eq!(log.report_timed_out(RequestId(0)), proven(MayHaveRun));
@@ -56,8 +56,9 @@
 }
 
 quickcheck! {
-    /// Never ran is reported only where every attempt proves it, and exactly one proof is returned.
-    fn the_proof_is_the_worst_of_all_attempts(errors: Vec<u8>) -> bool {
+    /// Checks that `NeverRan` is returned only if every attempt proves it, and that exactly one proof is
+    /// returned.
+    fn the_proof_is_never_ran_only_if_all_attempts_prove_it(errors: Vec<u8>) -> bool {
         let mut log = CancellationLog::default();
         let request = RequestId(7);
         if errors.is_empty() {
--- a/tests/cluster_frame.rs
+++ b/tests/cluster_frame.rs
@@ -1,4 +1,4 @@
-//! Authenticated framing of messages among directors, and the file of the keys.
+//! Authenticated framing of messages between directors, and the key file.
 #![cfg(feature = "peers")]
 
 use foxhold::cluster::frame::{Body, FrameCodec, Message, Rejection, VERSION};
@@ -7,26 +7,26 @@
 use foxhold::replication::gossip::GossipMessage;
 use proptest::prelude::*;
 
-fn codec(fleet: &str, byte: u8) -> FrameCodec {
+fn codec_with_key(fleet: &str, byte: u8) -> FrameCodec {
     FrameCodec::new(fleet, &[vec![byte; 32]]).expect("a key")
 }
 
-fn message() -> Message {
+fn root_digest_message() -> Message {
     let from = Member::new("a", "127.0.0.1:1".parse().expect("an address"), 1);
     Message { from, incarnation: 7, number: 1, body: Body::Gossip(GossipMessage::RootDigest(5)) }
 }
 
 #[test]
-fn foreign_datagrams_are_rejected_with_their_cause() {
-    let good = codec("one", 1).encode(&message()).expect("small");
-    assert_eq!(codec("one", 1).decode(&good), Ok(message()));
-    assert_eq!(codec("two", 1).decode(&good), Err(Rejection::Fleet));
-    assert_eq!(codec("one", 2).decode(&good), Err(Rejection::Unauthenticated));
-    assert_eq!(codec("one", 1).decode(&good[..10]), Err(Rejection::Size));
+fn datagrams_of_other_fleets_keys_sizes_and_versions_are_rejected_with_a_cause() {
+    let good = codec_with_key("one", 1).encode(&root_digest_message()).expect("small");
+    assert_eq!(codec_with_key("one", 1).decode(&good), Ok(root_digest_message()));
+    assert_eq!(codec_with_key("two", 1).decode(&good), Err(Rejection::Fleet));
+    assert_eq!(codec_with_key("one", 2).decode(&good), Err(Rejection::Unauthenticated));
+    assert_eq!(codec_with_key("one", 1).decode(&good[..10]), Err(Rejection::Size));
     let later_version = [&[VERSION + 1], &good[1..]].concat();
-    assert_eq!(codec("one", 1).decode(&later_version), Err(Rejection::Version));
+    assert_eq!(codec_with_key("one", 1).decode(&later_version), Err(Rejection::Version));
     let two_keys = FrameCodec::new("one", &[vec![2; 32], vec![1; 32]]).expect("keys");
-    assert_eq!(two_keys.decode(&good), Ok(message()), "an older key is still accepted");
+    assert_eq!(two_keys.decode(&good), Ok(root_digest_message()), "expected the older key to be accepted");
 }
 
 proptest! {
@@ -35,15 +35,15 @@
 
     #[test]
     fn damaged_datagrams_are_rejected(position in 0usize..60, change in 1u8..=255) {
-        let mut datagram = codec("one", 1).encode(&message()).expect("small");
+        let mut datagram = codec_with_key("one", 1).encode(&root_digest_message()).expect("small");
         let position = position % datagram.len();
         datagram[position] ^= change;
-        prop_assert!(codec("one", 1).decode(&datagram).is_err());
+        prop_assert!(codec_with_key("one", 1).decode(&datagram).is_err());
     }
 
     #[test]
     fn arbitrary_bytes_are_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        prop_assert!(codec("one", 1).decode(&bytes).is_err());
+        prop_assert!(codec_with_key("one", 1).decode(&bytes).is_err());
     }
 }
 
--- a/tests/cluster_members.rs
+++ b/tests/cluster_members.rs
@@ -13,7 +13,7 @@
     timer: Timer,
 }
 
-/// Members whose messages arrive at once, and whose timers expire in order of time.
+/// A network that delivers messages at once and fires timers by their deadlines.
 struct Network {
     members: BTreeMap<SocketAddr, Members>,
     timers: Vec<PendingTimer>,
@@ -37,7 +37,7 @@
         self.apply(address(port), output);
     }
 
-    /// Does what a member asks for, and what others ask for on its messages.
+    /// Carries out the output of a member, and the output of others that its messages cause.
     fn apply(&mut self, from: SocketAddr, output: ProtocolOutput) {
         let mut outputs = vec![(from, output)];
         while let Some((from, output)) = outputs.pop() {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn duplicate_names_are_found_by_all_members_until_one_is_gone() {
+fn all_members_detect_duplicate_names_until_one_owner_is_gone() {
     let mut network = Network::new();
     for (name, port) in [("a", 1), ("b", 2), ("c", 3), ("b", 4)] {
         network.start(name, port, 10);
@@ -86,7 +86,7 @@
         assert_eq!(duplicates.get("b"), Some(&vec![address(2), address(4)]), "{:?}", member.local());
         assert_eq!(duplicates.len(), 1);
     }
-    // One of the two stops: the other is the only one of that name.
+    // One of the two stops: only the other has that name.
     network.members.remove(&address(2));
     network.run(20);
     assert!(network.members.values().all(|member| member.duplicate_names().is_empty()));
--- a/tests/cluster_status.rs
+++ b/tests/cluster_status.rs
@@ -1,4 +1,4 @@
-//! The JSON of the command `peers`, whose names operators' scripts read.
+//! The JSON that the command `peers` prints. Operators' scripts depend on its names.
 #![cfg(feature = "peers")]
 
 use foxhold::cluster::{PeerStatus, Status};
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! The dispatcher with a clock that stands still and a connector that records its commands.
+//! The dispatcher with a paused clock and a connector that records its commands.
 
 mod emulated;
 
@@ -21,7 +21,7 @@
 use tokio::time::{sleep, Instant};
 
 #[test]
-fn the_first_end_of_an_attempt_counts_and_later_ones_change_nothing() {
+fn only_the_first_end_of_an_attempt_counts() {
     run_with_paused_clock(async {
         let site = site();
         let pending = site.dispatcher.submit(request(1));
@@ -33,14 +33,14 @@
         assert_eq!(
             pending.await,
             ClientResponse::Failed(FailureReason::UpstreamFailed),
-            "a write that may have run"
+            "expected a failure: the write may have run"
         );
-        assert_eq!(site.connector.attempts().len(), 1, "and is never retried");
+        assert_eq!(site.connector.attempts().len(), 1, "expected no retry");
     });
 }
 
 #[test]
-fn a_write_is_retried_only_where_its_attempt_certainly_never_ran() {
+fn a_write_is_retried_only_if_its_attempt_provably_never_ran() {
     let is_retried = |error: AttemptError| {
         run_with_paused_clock(async move {
             let site = site();
@@ -52,13 +52,13 @@
             sent > 1
         })
     };
-    assert!(is_retried(AttemptError::NotConnected), "by another route");
+    assert!(is_retried(AttemptError::NotConnected), "expected a retry by another route");
     assert!(is_retried(AttemptError::NotWritten) && is_retried(AttemptError::PartiallyWritten));
     assert!(!is_retried(AttemptError::Unanswered) && !is_retried(AttemptError::ResponseInterrupted));
 }
 
 #[test]
-fn a_request_that_no_server_can_take_is_rejected_at_once_with_a_retry_after() {
+fn a_request_without_a_usable_server_is_rejected_at_once_with_a_retry_after() {
     run_with_paused_clock(async {
         let site = site();
         let members = [("cache-1", "a"), ("cache-2", "b"), ("parent-1", "c"), ("origin-1", "d")];
@@ -93,8 +93,9 @@
     });
 }
 
-/// Connections that were established late passed for a congested link, so that fills were rejected: most
-/// where a third of them are late. The time counts from when the server had the request.
+/// Guards against a regression: connections that were established late were taken for a congested link, and
+/// fills were rejected, most of all if a third of the connections were late. The time of an attempt counts
+/// from when the server has received the request.
 #[test]
 fn time_spent_waiting_for_a_connection_is_not_counted_against_the_server() {
     run_with_paused_clock(async {
--- a/tests/dispatch/credentials.rs
+++ b/tests/dispatch/credentials.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep, Instant};
 
 #[test]
-fn a_credential_that_expires_while_its_request_is_pending_ends_it_at_that_moment() {
+fn a_pending_request_ends_when_its_credential_expires() {
     for (class, expected) in [
         (0, ClientResponse::Rejected { retry_after: None, reason: FailureReason::CredentialExpired }),
         (1, ClientResponse::Failed(FailureReason::CredentialExpired)), // a write that may have run
@@ -29,21 +29,21 @@
 }
 
 #[test]
-fn a_credential_is_valid_to_its_last_microsecond_and_no_longer() {
-    for (left, sent) in [(1_000, 1), (0, 0)] {
+fn a_credential_is_valid_until_exactly_its_expiry() {
+    for (remaining, expected_attempts) in [(1_000, 1), (0, 0)] {
         run_with_paused_clock(async {
             let site = site();
-            let expires_at = Some(site.clock.unix() + left);
+            let expires_at = Some(site.clock.unix() + remaining);
             let pending =
                 site.dispatcher.submit(ClientRequest { credential_expires_at: expires_at, ..request(1) });
             tokio::task::yield_now().await;
             tokio::task::yield_now().await;
-            assert_eq!(site.connector.attempts().len(), sent);
+            assert_eq!(site.connector.attempts().len(), expected_attempts);
             let response = pending.await;
-            // Unsent, it is harmless to retry with a new credential, a write as well.
+            // A request that was not sent, even a write, can safely be retried with a new credential.
             assert_eq!(
                 matches!(response, ClientResponse::Rejected { reason: FailureReason::CredentialExpired, .. }),
-                sent == 0,
+                expected_attempts == 0,
                 "{response:?}"
             );
         });
--- a/tests/dispatch/endpoints.rs
+++ b/tests/dispatch/endpoints.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and connection actors that end.
+//! Changes of the endpoint list, and restarts of connection actors that ended.
 
 use crate::emulated::{listing, run_with_paused_clock};
 use crate::fixture::*;
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn a_draining_server_gets_no_new_request_and_is_named_as_no_fill_source() {
+fn a_draining_server_gets_no_new_requests_and_is_not_named_as_fill_source() {
     run_with_paused_clock(async {
         let site = site();
         for (name, kind, zone) in [("cache-1", "cache", "edge"), ("parent-1", "parent", "hub")] {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_restarted_server_ends_the_attempts_at_its_previous_process() {
+fn a_restart_of_a_server_ends_the_attempts_at_its_previous_process() {
     run_with_paused_clock(async {
         let site = site();
         let pending = site.dispatcher.submit(request(1));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_connection_actor_that_ended_is_started_anew() {
+fn a_connection_actor_that_ended_is_restarted() {
     run_with_paused_clock(async {
         let site = site_with_connector(RecordingConnector::ending_after_one_command());
         for n in 1..=3 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn objects_and_servers_have_numbers_by_their_names_alone() {
+fn numbers_of_objects_and_servers_depend_only_on_their_names() {
     assert_eq!(object_number("7f3a9c21e0b4d655"), 0x7f3a_9c21_e0b4_d655);
     assert_eq!(object_number("guide/one.mp4"), object_number("guide/one.mp4"));
     assert_ne!(object_number("guide/one.mp4"), object_number("guide/two.mp4"));
--- a/tests/dispatch/fixture.rs
+++ b/tests/dispatch/fixture.rs
@@ -1,4 +1,4 @@
-//! A dispatcher whose clock stands still and whose connector records the commands to each server.
+//! A dispatcher with a paused clock and a connector that records the commands to each server.
 
 use crate::emulated::{listing, settings};
 use foxhold::dispatch::{self, *};
@@ -16,8 +16,8 @@
 #[derive(Clone, Default)]
 pub struct RecordingConnector {
     commands: Rc<RefCell<Vec<(String, EndpointCommand)>>>,
-    /// Each connection actor ends after its first command, as one that panics does.
-    ends_after_one: bool,
+    /// Whether each connection actor ends after its first command, as one that panics does.
+    ends_after_one_command: bool,
 }
 
 impl EndpointConnector for RecordingConnector {
@@ -32,7 +32,7 @@
         tokio::task::spawn_local(async move {
             while let Some(command) = commands.recv().await {
                 connector.commands.borrow_mut().push((name.clone(), command));
-                if connector.ends_after_one {
+                if connector.ends_after_one_command {
                     return;
                 }
             }
@@ -42,12 +42,12 @@
 }
 
 impl RecordingConnector {
-    /// A connector whose connection actors each end after their first command.
+    /// Returns a connector whose connection actors each end after their first command.
     pub fn ending_after_one_command() -> Self {
-        RecordingConnector { ends_after_one: true, ..RecordingConnector::default() }
+        RecordingConnector { ends_after_one_command: true, ..RecordingConnector::default() }
     }
 
-    /// The attempts sent so far, with the names of their servers.
+    /// Returns the attempts sent so far, with the names of their servers.
     pub fn attempts(&self) -> Vec<(String, UpstreamRequest)> {
         let attempt = |(name, command): &(String, EndpointCommand)| match command {
             EndpointCommand::Send(request) => Some((name.clone(), request.clone())),
@@ -56,7 +56,7 @@
         self.commands.borrow().iter().filter_map(attempt).collect()
     }
 
-    /// The number of attempts cancelled so far.
+    /// Returns the number of attempts cancelled so far.
     pub fn cancellations(&self) -> usize {
         self.commands.borrow().iter().filter(|(_, c)| matches!(c, EndpointCommand::Cancel(_))).count()
     }
@@ -94,7 +94,7 @@
     Site { dispatcher: running.dispatcher, connector, clock }
 }
 
-/// A request of a class; class 1 writes.
+/// Returns a request of a class; class 1 holds writes.
 pub fn request(class: usize) -> ClientRequest {
     ClientRequest {
         id: "00000000000000aa".into(),
@@ -106,23 +106,23 @@
     }
 }
 
-/// The same under an id of its own.
+/// Returns the same request with a newly generated id.
 pub fn request_with_new_id(site: &Site, class: usize) -> ClientRequest {
     ClientRequest { id: site.dispatcher.generate_request_id(), ..request(class) }
 }
 
-/// A server's response from its cache.
+/// Returns a server's response from its cache.
 pub fn served() -> AttemptResult {
     served_as(CacheStatus::Hit)
 }
 
-/// A server's response with this cache status.
+/// Returns a server's response with this cache status.
 pub fn served_as(cache_status: CacheStatus) -> AttemptResult {
     let status = ResponseStatus::Ok(Representation { etag: None, body: "bytes".into() });
     Ok(UpstreamResponse { status, cache_status, source_wait: 0, load_report: Vec::new() })
 }
 
-/// Lets all other tasks run until they wait.
+/// Lets all other tasks run until they are idle.
 pub async fn run_until_idle() {
     sleep(Duration::from_millis(1)).await;
 }
--- a/tests/dispatch/limits.rs
+++ b/tests/dispatch/limits.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, Instant};
 
 #[test]
-fn an_unresponsive_server_still_leaves_one_response_before_the_client_gives_up() {
+fn a_client_of_an_unresponsive_server_gets_a_response_before_its_timeout() {
     for class in [0, 1] {
         run_with_paused_clock(async {
             let (site, started) = (site(), Instant::now());
@@ -25,7 +25,7 @@
             assert_eq!(
                 site.connector.cancellations(),
                 site.connector.attempts().len(),
-                "all attempts in flight are cancelled"
+                "expected all attempts in flight to be cancelled"
             );
         });
     }
@@ -38,7 +38,7 @@
         let mut pending = Vec::new();
         for _ in 0..256 {
             pending.extend((0..16).map(|_| site.dispatcher.submit(request_with_new_id(&site, 1))));
-            run_until_idle().await; // so that no mailbox fills
+            run_until_idle().await; // keeps the mailboxes from filling up
         }
         assert_eq!(site.connector.attempts().len(), 4096);
         let started = Instant::now();
@@ -73,9 +73,10 @@
     });
 }
 
-/// Guards short timeouts: what is reserved for the response's way is a small part of them, and never nothing.
+/// Guards against a reserve for the delivery of the response that takes a large part of a short timeout, or
+/// is zero.
 #[test]
-fn a_response_leaves_before_the_client_times_out_by_a_small_share_of_its_timeout() {
+fn a_response_is_sent_a_small_share_of_the_timeout_before_the_client_times_out() {
     for (timeout, min_ms, max_ms) in [(60, 54, 59), (200, 185, 196), (2000, 1960, 1980)] {
         run_with_paused_clock(async move {
             let site = site();
@@ -90,8 +91,8 @@
     }
 }
 
-/// An attempt may wait half of the time in which a drain or a purge must be complete, and a retry that
-/// servers recognize by its key no longer than they do.
+/// Checks that an attempt may wait half of the time in which a drain or a purge must be complete, and that a
+/// retry with an idempotency key waits no longer than servers recognize the key.
 #[test]
 fn the_send_deadline_follows_grace_periods_and_the_idempotency_window() {
     for (drain, purge, wait) in [(1_000_000, 1_000_000, 500), (300_000, 0, 150), (900_000, 200_000, 100)] {
@@ -99,8 +100,12 @@
             let site = site_with_settings(Settings { drain_grace: drain, purge_grace: purge, ..settings() });
             let (_pending, now) = (site.dispatcher.submit(request(1)), Instant::now());
             run_until_idle().await;
-            let by = site.connector.attempts()[0].1.send_deadline;
-            assert_eq!(by.saturating_duration_since(now).as_millis(), wait, "{drain} {purge}");
+            let send_deadline = site.connector.attempts()[0].1.send_deadline;
+            assert_eq!(
+                send_deadline.saturating_duration_since(now).as_millis(),
+                wait,
+                "drain {drain}, purge {purge}"
+            );
         });
     }
     run_with_paused_clock(async {
@@ -113,7 +118,7 @@
         sleep(Duration::from_millis(300)).await;
         end_attempt(&site, site.connector.attempts()[0].1.attempt_id, Err(AttemptError::Unanswered)).await;
         let retry = &site.connector.attempts()[1].1;
-        let by = retry.send_deadline.saturating_duration_since(first).as_millis();
-        assert!((395..=400).contains(&by), "{by}");
+        let wait_ms = retry.send_deadline.saturating_duration_since(first).as_millis();
+        assert!((395..=400).contains(&wait_ms), "expected 395 to 400 ms, got {wait_ms} ms");
     });
 }
--- a/tests/dispatch/purges.rs
+++ b/tests/dispatch/purges.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 #[test]
-fn a_purge_limits_the_age_of_copies_even_where_the_group_is_unknown() {
+fn a_purge_of_a_group_also_limits_the_age_of_copies_of_an_unknown_group() {
     run_with_paused_clock(async {
         let site = site();
         let purge = DispatcherMessage::Purged {
@@ -29,9 +29,10 @@
     });
 }
 
-/// Directors that are notified late may have an old copy fetched long after servers have dropped theirs.
+/// Guards against old copies that are fetched long after servers have dropped theirs, through directors that
+/// were notified late.
 #[test]
-fn a_purge_with_a_retention_is_in_force_for_as_long_as_that() {
+fn a_purge_with_a_retention_stays_in_force_for_that_time() {
     run_with_paused_clock(async {
         let site = site();
         let (at, started) = (site.clock.unix(), Instant::now());
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn not_before_bars_older_copies_and_joining_fills_until_it_is_lifted() {
+fn not_before_excludes_older_copies_and_joined_fills_until_it_is_lifted() {
     run_with_paused_clock(async {
         let site = site();
         for (at, limited) in [(Some(site.clock.unix() - 250_000), true), (None, false)] {
--- a/tests/fill_source_choice.rs
+++ b/tests/fill_source_choice.rs
@@ -1,80 +1,84 @@
-//! Where objects are cached and filled from in ordinary operation: the choice of two parents, the residency
+//! The choice of caches and fill sources in normal operation: the two candidate parents, the residency
 //! estimate, fills in flight and the placement by hash.
 
 mod common;
 use common::*;
 use foxhold::*;
 
-/// A router with two parents only, an object whose first is `.1` and whose second is `.2`.
-fn two_parents() -> (RouterHarness, u64, ServerId, ServerId) {
+/// Returns a router with two parents only, an object, and the object's first and second parent.
+fn router_with_two_parents() -> (RouterHarness, u64, ServerId, ServerId) {
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 13, 20]);
     let object = router.object_with_first_parent(11);
     (router, object, ServerId(11), ServerId(13))
 }
 
-/// Keeps `n` fills in flight at a parent, for objects of its own.
-fn occupy(router: &mut RouterHarness, parent: ServerId, n: usize) -> Vec<SentAttempt> {
-    let mut held = Vec::new();
+/// Starts `n` fills at a parent and leaves them in flight. Their objects are used for this parent only.
+fn start_fills(router: &mut RouterHarness, parent: ServerId, n: usize) -> Vec<SentAttempt> {
+    let mut in_flight = Vec::new();
     let mut object = 50_000 + u64::from(parent.0) * 1000;
-    while held.len() < n {
+    while in_flight.len() < n {
         object += 1;
         if router.peek_source(object) == parent {
-            held.push(router.attempt_for(object));
+            in_flight.push(router.attempt_for(object));
         }
     }
-    held
+    in_flight
 }
 
-/// Makes the second parent an estimated holder of the object: the first is away during a fill.
+/// Makes the second parent an estimated holder of the object, by draining the first during a fill.
 fn fill_from_second(router: &mut RouterHarness, object: u64, first: ServerId, second: ServerId) {
-    let gone = Member { state: MemberState::Draining, ..member(first.0) };
-    router.update_members(MemberUpdate::Incremental, vec![gone]);
+    let draining = Member { state: MemberState::Draining, ..member(first.0) };
+    router.update_members(MemberUpdate::Incremental, vec![draining]);
     assert_eq!(router.complete_fill(object).source(), second);
     router.update_members(MemberUpdate::Incremental, vec![member(first.0)]);
 }
 
 #[test]
-fn an_unpopular_object_stays_with_its_first_parent_however_busy() {
-    let (mut router, object, first, _) = two_parents();
-    occupy(&mut router, first, 10);
+fn an_unpopular_object_is_filled_from_its_first_parent_even_if_that_is_busy() {
+    let (mut router, object, first, _) = router_with_two_parents();
+    start_fills(&mut router, first, 10);
     assert_eq!(router.attempt_for(object).source(), first);
 }
 
 #[test]
-fn an_estimated_holder_wins_only_if_the_first_parent_is_over_half_busier() {
-    let (mut router, object, first, second) = two_parents();
+fn an_estimated_holder_is_chosen_only_if_the_first_parent_is_over_half_busier() {
+    let (mut router, object, first, second) = router_with_two_parents();
     fill_from_second(&mut router, object, first, second);
-    occupy(&mut router, second, 2);
-    occupy(&mut router, first, 3);
-    assert_eq!(router.peek_source(object), first, "exactly half higher: the first wins");
-    occupy(&mut router, first, 1);
-    assert_eq!(router.peek_source(object), second, "over half higher: the second wins");
+    start_fills(&mut router, second, 2);
+    start_fills(&mut router, first, 3);
+    assert_eq!(router.peek_source(object), first, "expected the first parent at exactly half more load");
+    start_fills(&mut router, first, 1);
+    assert_eq!(router.peek_source(object), second, "expected the second parent at over half more load");
 }
 
 #[test]
-fn the_residency_estimate_ends_after_thirty_seconds_and_with_a_restart() {
-    let (mut router, object, first, second) = two_parents();
+fn the_residency_estimate_ends_after_thirty_seconds_or_a_restart() {
+    let (mut router, object, first, second) = router_with_two_parents();
     fill_from_second(&mut router, object, first, second);
-    occupy(&mut router, first, 4);
+    start_fills(&mut router, first, 4);
     assert_eq!(router.peek_source(object), second);
     router.now += 31_000_000;
     assert_eq!(router.peek_source(object), first);
 
-    let (mut router, object, first, second) = two_parents();
+    let (mut router, object, first, second) = router_with_two_parents();
     fill_from_second(&mut router, object, first, second);
     router.now += 20_000_000;
     router.update_members(
         MemberUpdate::Incremental,
         vec![Member { started_at: router.now - 10_500_000, ..member(second.0) }],
     );
-    occupy(&mut router, first, 4);
-    assert_eq!(router.peek_source(object), first, "a restarted parent is no estimated holder");
+    start_fills(&mut router, first, 4);
+    assert_eq!(
+        router.peek_source(object),
+        first,
+        "expected a restarted parent not to be an estimated holder"
+    );
 }
 
 #[test]
-fn a_popular_object_may_be_filled_from_the_second_parent() {
-    let (mut router, object, first, second) = two_parents();
-    occupy(&mut router, first, 4);
+fn a_popular_object_is_filled_from_the_second_parent_if_the_first_is_busy() {
+    let (mut router, object, first, second) = router_with_two_parents();
+    start_fills(&mut router, first, 4);
     assert_eq!(router.peek_source(object), first);
     for _ in 0..60 {
         router.peek_source(object);
@@ -83,19 +87,19 @@
 }
 
 #[test]
-fn a_failed_fill_counts_until_a_later_one_succeeds() {
-    let (mut router, object, first, second) = two_parents();
+fn a_failed_fill_counts_against_its_parent_until_a_later_one_succeeds() {
+    let (mut router, object, first, second) = router_with_two_parents();
     fill_from_second(&mut router, object, first, second);
-    let held = occupy(&mut router, first, 1);
+    let in_flight = start_fills(&mut router, first, 1);
     let again =
-        attempts_in(&router.end_attempt(&held[0], 0, Outcome::Failed, CacheStatus::SourceUnreachable));
-    assert_eq!(again[0].source(), second, "the retry is filled from the other parent");
+        attempts_in(&router.end_attempt(&in_flight[0], 0, Outcome::Failed, CacheStatus::SourceUnreachable));
+    assert_eq!(again[0].source(), second, "expected the retry to be filled from the other parent");
     router.end_attempt(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
-    let (mut object_there, mut filled) = (90_000, false);
-    assert_eq!(router.peek_source(object), second, "one failed fill against none");
+    let (mut other_object, mut filled) = (90_000, false);
+    assert_eq!(router.peek_source(object), second, "expected the parent without a failed fill");
     while !filled {
-        object_there += 1;
-        let sent = router.attempt_for(object_there);
+        other_object += 1;
+        let sent = router.attempt_for(other_object);
         filled = sent.source() == first;
         router.end_attempt(
             &sent,
@@ -104,25 +108,25 @@
             if filled { CacheStatus::Filled } else { CacheStatus::Hit },
         );
     }
-    assert_eq!(router.peek_source(object), first, "a later success clears it");
+    assert_eq!(router.peek_source(object), first, "expected a later success to clear the failure");
 }
 
 #[test]
-fn an_unusable_parent_is_replaced_by_the_other_then_the_next_then_the_origin() {
+fn unusable_parents_are_replaced_by_the_remaining_ones_and_finally_by_the_origin() {
     let mut router = RouterHarness::with_default_site();
     let object = router.object_with_first_parent(11);
-    let mut seen = vec![router.peek_source(object)];
+    let mut sources = vec![router.peek_source(object)];
     for _ in 0..3 {
-        let last = *seen.last().expect("one seen");
+        let last = *sources.last().expect("a source");
         router.update_members(
             MemberUpdate::Incremental,
             vec![Member { state: MemberState::Gone, ..member(last.0) }],
         );
-        seen.push(router.peek_source(object));
+        sources.push(router.peek_source(object));
     }
-    assert_eq!(seen.last(), Some(&ORIGIN));
-    seen.sort();
-    assert_eq!(seen, [ServerId(11), ServerId(12), ServerId(13), ORIGIN]);
+    assert_eq!(sources.last(), Some(&ORIGIN));
+    sources.sort();
+    assert_eq!(sources, [ServerId(11), ServerId(12), ServerId(13), ORIGIN]);
 }
 
 #[test]
@@ -136,48 +140,51 @@
     }
 }
 
-/// Routers that judge by their own traffic which objects are popular disagree, and each disagreement costs a
-/// duplicate copy: the placement of parts must not depend on what one router has seen.
+/// Guards against placement that depends on the traffic of one router: routers that judge popularity by their
+/// own traffic disagree, and each disagreement costs a duplicate copy.
 #[test]
-fn parts_are_spread_over_three_caches_alike_at_every_router() {
+fn every_router_spreads_the_parts_of_an_object_over_the_same_three_caches() {
     let ids = [1, 2, 3, 4, 11, 12, 13, 20];
     let (mut a, mut b) =
         (RouterHarness::with_servers(settings(), &ids), RouterHarness::with_servers(settings(), &ids));
     for object in 500..600 {
         b.peek_source(object);
     }
-    let place = |router: &mut RouterHarness, object, part| {
+    let cache_and_source = |router: &mut RouterHarness, object, part| {
         let request = Request { part, ..router.new_request(0, object) };
         let attempt = attempts_in(&router.handle(Event::Request(request)))[0].clone();
         router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
         (attempt.server, attempt.source())
     };
     for object in 1..60 {
-        let places: Vec<_> = (0..24).map(|part| place(&mut a, object, part)).collect();
-        assert_eq!(places, (0..24).map(|part| place(&mut b, object, part)).collect::<Vec<_>>());
-        let mut caches: Vec<_> = places.iter().map(|p| p.0).collect();
+        let placements: Vec<_> = (0..24).map(|part| cache_and_source(&mut a, object, part)).collect();
+        assert_eq!(
+            placements,
+            (0..24).map(|part| cache_and_source(&mut b, object, part)).collect::<Vec<_>>()
+        );
+        let mut caches: Vec<_> = placements.iter().map(|p| p.0).collect();
         caches.sort();
         caches.dedup();
-        assert_eq!(caches.len(), 3, "of four caches three hold the object's parts");
-        assert!(places.iter().all(|p| p.1 == places[0].1), "all parts are filled by one parent");
+        assert_eq!(caches.len(), 3, "expected three of four caches to hold the object's parts");
+        assert!(placements.iter().all(|p| p.1 == placements[0].1), "expected one parent to fill all parts");
         a.now += 20_000_000;
         b.now += 20_000_000;
     }
 }
 
 #[test]
-fn the_loss_of_a_cache_moves_its_own_objects_only() {
+fn the_loss_of_a_cache_moves_only_the_objects_that_it_held() {
     let mut router = RouterHarness::with_default_site();
-    let place = |router: &mut RouterHarness, o| {
+    let serving_cache = |router: &mut RouterHarness, o| {
         let s = router.attempt_for(o);
         router.end_attempt(&s, 0, Outcome::Ok, CacheStatus::Hit);
         s.server
     };
-    let before: Vec<_> = (1..100).map(|o| place(&mut router, o)).collect();
+    let caches_before: Vec<_> = (1..100).map(|o| serving_cache(&mut router, o)).collect();
     router.update_members(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(2) }]);
-    for (object, was) in (1..100).zip(before) {
-        let is = place(&mut router, object);
-        assert!(if was == ServerId(2) { is != was } else { is == was });
+    for (object, before) in (1..100).zip(caches_before) {
+        let after = serving_cache(&mut router, object);
+        assert!(if before == ServerId(2) { after != before } else { after == before });
     }
 }
 
@@ -199,6 +206,14 @@
     for object in 0..50 {
         router.complete_fill(object);
     }
-    assert_eq!(router.attempt_for(3).fill.expect("a fill").cache_rank, 2, "requested again");
-    assert_eq!(router.attempt_for(888).fill.expect("a fill").cache_rank, 1, "requested once");
+    assert_eq!(
+        router.attempt_for(3).fill.expect("a fill").cache_rank,
+        2,
+        "expected rank 2 for an object requested again"
+    );
+    assert_eq!(
+        router.attempt_for(888).fill.expect("a fill").cache_rank,
+        1,
+        "expected rank 1 for an object requested once"
+    );
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Drain overrides against what sources list.
+//! Drain overrides that apply to the endpoints listed by discovery sources.
 
 use foxhold::dispatch::membership::{DrainOverrides, Endpoint};
 use foxhold::policy::types::{MemberState, Micros};
@@ -16,32 +16,40 @@
     }
 }
 
-/// The state that a source's listing has once the overrides are applied.
-fn state_after(drains: &mut DrainOverrides, state: MemberState, started_at: Micros) -> MemberState {
+/// Returns the state of a listed endpoint after the overrides have been applied.
+fn state_with_overrides(drains: &mut DrainOverrides, state: MemberState, started_at: Micros) -> MemberState {
     let mut listing = listing(state, started_at);
     drains.apply(&mut listing);
     listing.state
 }
 
 #[test]
-fn a_drain_override_stands_above_the_sources_until_another_process_runs_there() {
+fn a_drain_override_takes_precedence_over_the_sources_until_a_new_process_starts() {
     let mut drains = DrainOverrides::default();
     drains.begin(&listing(MemberState::Running, 5));
-    assert_eq!(state_after(&mut drains, MemberState::Running, 5), MemberState::Draining);
-    assert_eq!(state_after(&mut drains, MemberState::Running, 5), MemberState::Draining, "each time");
-    assert_eq!(state_after(&mut drains, MemberState::Running, 6), MemberState::Running, "a new process");
+    assert_eq!(state_with_overrides(&mut drains, MemberState::Running, 5), MemberState::Draining);
     assert_eq!(
-        state_after(&mut drains, MemberState::Running, 5),
+        state_with_overrides(&mut drains, MemberState::Running, 5),
+        MemberState::Draining,
+        "expected the override to apply to every listing"
+    );
+    assert_eq!(
+        state_with_overrides(&mut drains, MemberState::Running, 6),
+        MemberState::Running,
+        "expected no override for a new process"
+    );
+    assert_eq!(
+        state_with_overrides(&mut drains, MemberState::Running, 5),
         MemberState::Running,
-        "the override has ended"
+        "expected the override to stay ended"
     );
     drains.begin(&listing(MemberState::Running, 5));
-    assert_eq!(state_after(&mut drains, MemberState::Gone, 5), MemberState::Gone);
+    assert_eq!(state_with_overrides(&mut drains, MemberState::Gone, 5), MemberState::Gone);
     assert!(drains.is_empty());
 }
 
 #[test]
-fn a_drain_override_can_be_ended_and_does_not_outlive_the_list() {
+fn a_drain_override_ends_on_request_or_when_its_server_is_no_longer_listed() {
     let mut drains = DrainOverrides::default();
     drains.begin(&listing(MemberState::Running, 5));
     assert!(drains.end("a") && !drains.end("a"));
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,5 +1,5 @@
-//! The hash order of an object, which the router finds without a logarithm for each server and remembers,
-//! against the order by full scores, in random fleets.
+//! Compares the router's hash order of servers with the order by full scores, in random fleets. The router
+//! stores the orders that it has found, and finds them without a logarithm for each server.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use foxhold::*;
 use quickcheck::{Arbitrary, Gen};
 
-/// The finalizer of splitmix64.
-fn mix(a: u64, b: u64) -> u64 {
+/// Hashes two numbers with the finalizer of splitmix64.
+fn splitmix64_hash(a: u64, b: u64) -> u64 {
     let mut x = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for k in [0xbf58_476d_1ce4_e5b9_u64, 0x94d0_49bb_1331_11eb] {
         x = (x ^ (x >> 29)).wrapping_mul(k);
@@ -16,10 +16,11 @@
     x ^ (x >> 32)
 }
 
-/// All servers of a role by size over the negative logarithm of the hash, the largest first; by id on a tie.
-fn by_score(object: u64, role: &[Member]) -> Vec<ServerId> {
+/// Returns all servers of a role, sorted by their size over the negative logarithm of the hash: the largest
+/// first, ties by id.
+fn order_by_score(object: u64, role: &[Member]) -> Vec<ServerId> {
     let score = |m: &Member| {
-        let unit = (mix(object, u64::from(m.server.0)) >> 11) as f64 / (1u64 << 53) as f64;
+        let unit = (splitmix64_hash(object, u64::from(m.server.0)) >> 11) as f64 / (1u64 << 53) as f64;
         m.size / -unit.max(1e-18).ln()
     };
     let mut all: Vec<&Member> = role.iter().collect();
@@ -27,11 +28,12 @@
     all.into_iter().map(|m| m.server).collect()
 }
 
-/// The cache of an object that is not hot: the part picks among the object's first three.
-fn cache(object: u64, part: u32, caches: &[Member]) -> ServerId {
-    let mut order = by_score(object, caches);
-    let few = order.len().min(3);
-    order[..few].sort_by_key(|id| mix(object ^ u64::from(id.0), u64::from(part) + 1));
+/// Returns the cache of an object that is not hot: the part chooses among the first three in the object's
+/// order.
+fn cache_of(object: u64, part: u32, caches: &[Member]) -> ServerId {
+    let mut order = order_by_score(object, caches);
+    let candidates = order.len().min(3);
+    order[..candidates].sort_by_key(|id| splitmix64_hash(object ^ u64::from(id.0), u64::from(part) + 1));
     order[0]
 }
 
@@ -39,7 +41,7 @@
 fn the_first_cache_and_parent_are_those_of_the_full_hash_order() {
     let mut gen = Gen::from_size_and_seed(64, 20);
     for round in 0..60 {
-        // Sizes alike, somewhat uneven, and by a factor of thirty.
+        // Equal sizes, slightly uneven sizes, and sizes that differ by a factor of thirty.
         let count = [1, 2, 3, 5, 6, 7, 24, 200, 700][round % 9];
         let size = |gen: &mut Gen| match round % 3 {
             0 => 8.0,
@@ -60,20 +62,24 @@
         members.sort_by_key(|m| m.server);
         members.dedup_by_key(|m| m.server);
         let mut router = RouterHarness::with_seed(settings(), round as u64);
-        for churn in 0..3 {
-            // A new list invalidates the remembered orders.
+        for list in 0..3 {
+            // A new list invalidates the stored orders.
             router.update_members(MemberUpdate::Full, members.clone());
-            let of = |kind| members.iter().filter(|m| m.kind == kind).cloned().collect::<Vec<_>>();
-            let (caches, parents) = (of(0), of(1));
+            let of_kind = |kind| members.iter().filter(|m| m.kind == kind).cloned().collect::<Vec<_>>();
+            let (caches, parents) = (of_kind(0), of_kind(1));
             for n in 0..40u64 {
                 let object = u64::arbitrary(&mut gen) | 1;
-                for again in 0..2 {
-                    router.now += 900_000_000; // nothing is hot or was requested lately
+                for repeat in 0..2 {
+                    router.now += 900_000_000; // no object is hot or was requested recently
                     let request = router.new_request(0, object);
                     let attempt = attempts_in(&router.handle(Event::Request(request))).remove(0);
-                    assert_eq!(attempt.server, cache(object, 0, &caches), "{round} {churn} {n} {again}");
+                    assert_eq!(attempt.server, cache_of(object, 0, &caches), "{round} {list} {n} {repeat}");
                     let source = attempt.fill.map(|f| f.source);
-                    assert_eq!(source, Some(by_score(object, &parents)[0]), "{round} {churn} {n} {again}");
+                    assert_eq!(
+                        source,
+                        Some(order_by_score(object, &parents)[0]),
+                        "{round} {list} {n} {repeat}"
+                    );
                     router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
                 }
             }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,5 @@
-//! Random but legal event sequences from seeds; the five rules are asserted on every action.
+//! Random sequences of valid events from fixed seeds. The five rules are checked on every action of the
+//! router.
 
 mod common;
 #[path = "property/rule_checker.rs"]
@@ -10,7 +11,7 @@
 
 const STEPS: usize = 3_000;
 const SERVERS: [u32; 8] = [1, 2, 3, 4, 11, 12, 13, 20];
-/// Servers that drain, leave and restart: all but the origin.
+/// Number of servers, from the start of [`SERVERS`], that drain, leave and restart: all but the origin.
 const UNSTABLE_SERVERS: u64 = 7;
 const OBJECTS: u64 = 40;
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// A router under random events, and the checker of its actions.
+/// A router that receives random events, and the checker of its actions.
 struct RandomRun {
     random: RandomNumbers,
     checker: RuleChecker,
@@ -67,7 +68,7 @@
         self.checker.timers.retain(|timer| timer.0 > now);
         for token in due {
             let actions = self.router.handle(Event::Timer(token));
-            // A timer fires within a tick of its time.
+            // A timer may fire up to one tick late: moves the deadline so that a final response is not late.
             for action in &actions {
                 if let Action::Reject { request, .. } | Action::Fail(request) = action {
                     let tracked = self.checker.requests.get_mut(request).expect("a received request");
@@ -78,7 +79,7 @@
         }
     }
 
-    /// A random event; `None` if none of the drawn kind is possible now.
+    /// Returns a random event, or `None` if no event of the drawn kind is possible now.
     fn next_event(&mut self) -> Option<Event> {
         match self.random.below(20) {
             0..=8 => Some(self.request()),
@@ -143,7 +144,7 @@
         }))
     }
 
-    /// Requests with the numbers of their attempts in flight.
+    /// Returns the attempts in flight, each as its request and its number within the request.
     fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         let mut in_flight = Vec::new();
         for (id, tracked) in &self.checker.requests {
@@ -185,7 +186,7 @@
         Event::Members { kind: MemberUpdate::Incremental, members: vec![entry] }
     }
 
-    /// Fires all timers: each request that is not finished has one at its deadline that ends it.
+    /// Fires all remaining timers. Each unfinished request has a timer at its deadline that ends it.
     fn finish(&mut self) {
         self.advance(5_000_000);
         for (_, token) in std::mem::take(&mut self.checker.timers) {
@@ -203,7 +204,7 @@
 }
 
 /// Runs a random sequence of events, and returns the number of requests.
-fn run(seed: u64) -> usize {
+fn run_random_events(seed: u64) -> usize {
     let mut run = RandomRun::new(seed);
     for _ in 0..STEPS {
         let elapsed = run.random.below(40_000);
@@ -220,20 +221,20 @@
 
 #[test]
 fn the_five_rules_hold_in_random_event_sequences() {
-    let taken: usize = (1..=16).map(run).sum();
-    assert!(taken > 10_000, "{taken}");
+    let requests: usize = (1..=16).map(run_random_events).sum();
+    assert!(requests > 10_000, "expected more than 10,000 requests, got {requests}");
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let run = || {
+    let actions_of_run = || {
         let mut router = RouterHarness::with_default_site();
-        let mut all = Vec::new();
+        let mut actions = Vec::new();
         for n in 0..500 {
             router.now += 3_000;
-            all.extend(router.send_request(n % 3, 1 + (n as u64 * 7) % 11));
+            actions.extend(router.send_request(n % 3, 1 + (n as u64 * 7) % 11));
         }
-        all
+        actions
     };
-    assert_eq!(run(), run());
+    assert_eq!(actions_of_run(), actions_of_run());
 }
--- a/tests/property/rule_checker.rs
+++ b/tests/property/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The five rules that every decision keeps, checked from outside the router.
+//! A checker of the five rules that every decision follows. It sees only the router's events and actions.
 
 use crate::common::*;
 use foxhold::*;
@@ -21,7 +21,7 @@
 pub struct TrackedRequest {
     pub request: Request,
     pub attempts: Vec<Attempt>,
-    /// Has a final response of the router, or was ended by an outcome or the client.
+    /// Whether the router sent a final response, an attempt succeeded or the client cancelled.
     pub finished: bool,
 }
 
@@ -32,18 +32,18 @@
     pub notified_at: Micros,
 }
 
-/// A server that started, and the transfer times sent to it since.
+/// A server that started, and the transfer times that have been sent to it since.
 pub struct StartedServer {
     pub started_at: Micros,
     pub sent: Vec<(Micros, f64)>,
 }
 
-/// Follows the actions of a router and asserts the rules on each of them.
+/// Asserts the five rules on each action of a router.
 pub struct RuleChecker {
     pub settings: Settings,
     pub now: Micros,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
-    /// Since when servers drain or are gone.
+    /// The time at which each server began to drain or left the member list.
     pub departed: BTreeMap<ServerId, Micros>,
     pub purges: Vec<IssuedPurge>,
     pub started: BTreeMap<ServerId, StartedServer>,
@@ -108,11 +108,14 @@
     }
 
     fn check_timing(&self, tracked: &TrackedRequest) {
-        assert!(!tracked.finished, "rule 1: an attempt after the end");
+        assert!(!tracked.finished, "rule 1: an attempt after the request finished");
         assert!(self.now <= tracked.request.deadline, "rule 1: an attempt after the deadline");
         assert!(tracked.attempts.len() < self.settings.max_attempts as usize);
         if !self.settings.hedging {
-            assert!(tracked.attempts.iter().all(|a| a.outcome.is_some()), "two attempts in flight");
+            assert!(
+                tracked.attempts.iter().all(|a| a.outcome.is_some()),
+                "two attempts in flight without hedging"
+            );
         }
     }
 
@@ -122,10 +125,13 @@
                 Idempotency::Idempotent => {}
                 Idempotency::AtMostOnce => panic!("rule 2: an at-most-once request was retried"),
                 Idempotency::IdempotencyKey { scope, window } => {
-                    assert!(self.now - earlier.sent_at < window, "rule 2: past the window");
+                    assert!(
+                        self.now - earlier.sent_at < window,
+                        "rule 2: a retry past the idempotency window"
+                    );
                     let cell = |id: ServerId| (member(id.0).zone, member(id.0).cell);
                     let in_scope = scope == KeyScope::All || cell(server) == cell(earlier.server);
-                    assert!(in_scope, "rule 2: other cell");
+                    assert!(in_scope, "rule 2: a retry in another cell");
                 }
             }
         }
@@ -134,12 +140,16 @@
     fn check_departures(&self, server: ServerId, fill: Option<Fill>) {
         for used in [Some(server), fill.map(|fill| fill.source)].into_iter().flatten() {
             if let Some(departed_at) = self.departed.get(&used) {
-                assert!(self.now <= departed_at + self.settings.drain_grace, "rule 3: {used:?} had left");
+                assert!(
+                    self.now <= departed_at + self.settings.drain_grace,
+                    "rule 3: {used:?} used after the drain grace"
+                );
             }
         }
     }
 
-    /// A server that is both the cache and the source counts twice, which is stricter.
+    /// Checks the budget of a server in slow start. A server that is both cache and source counts twice,
+    /// which is stricter than the rule.
     fn check_slow_start(&mut self, used: ServerId, transfer_time: f64) {
         let now = self.now;
         let Some(started) = self.started.get_mut(&used) else { return };
@@ -152,7 +162,7 @@
         let sum: f64 = in_window.map(|sent| sent.1).sum();
         let routers = if used.0 > 10 { 2.0 } else { 1.0 };
         let budget = rule.overload_multiple * 20.0 * warm.min(1.0) * rule.overload_window as f64 / routers;
-        assert!(sum <= budget, "rule 4: {used:?} got {sum} of {budget}");
+        assert!(sum <= budget, "rule 4: {used:?} received {sum} us of transfer time, budget {budget} us");
     }
 
     fn check_purges(&self, object: ObjectId, fill: Option<Fill>) {
@@ -163,7 +173,7 @@
             let Some(fill) = fill.filter(|_| is_binding) else { continue };
             let age = now - purge.purged_at;
             let is_limited = fill.max_age > 0 && fill.max_age <= age;
-            assert!(is_limited && !fill.collapse, "rule 5: {fill:?} for a purge {age} ago");
+            assert!(is_limited && !fill.collapse, "rule 5: {fill:?} for a purge {age} us ago");
         }
     }
 }
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -1,6 +1,6 @@
-//! Unfavourable orders of events on real connections, forced each time: two things are done with nothing run
-//! between them, or an emulated server waits for a step. `docs/design/races.md` lists the places and their
-//! verdicts.
+//! Races on real connections, each forced into its unfavourable order: a test does two things without running
+//! other tasks in between, or an emulated server waits for a step of the test. `docs/design/races.md` lists
+//! the places and their verdicts.
 
 mod emulated;
 
@@ -20,14 +20,14 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A platform's frontend whose shutdown the test decides on.
+/// A platform frontend whose shutdown the test controls.
 struct TestFrontend {
     address: String,
     close: watch::Sender<ShutdownPhase>,
     slots: Rc<ConnectionSlots>,
 }
 
-async fn frontend(dispatcher: &Dispatcher, usual_slots: usize) -> TestFrontend {
+async fn start_frontend(dispatcher: &Dispatcher, usual_slots: usize) -> TestFrontend {
     let (close, shutdown) = watch::channel(ShutdownPhase::Running);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -42,10 +42,10 @@
     TestFrontend { address, close, slots }
 }
 
-/// The mailbox is full when the client disconnects, so the message of it is lost; then the attempt ends, and
-/// the policy would retry.
+/// Guards against a retry for a client that has disconnected: the mailbox is full at the disconnect, so the
+/// message about it is lost. Then the attempt ends, and the policy would retry.
 #[test]
-fn no_retry_is_sent_for_a_client_whose_disconnect_found_the_mailbox_full() {
+fn no_retry_is_sent_if_the_mailbox_was_full_when_the_client_disconnected() {
     run_local(async {
         let (server, address) = SteppedServer::start().await;
         let ([cache, parent, origin], mut members) =
@@ -61,11 +61,11 @@
         };
         let pending = dispatcher.submit(request);
         let mut stream = server.connection().await;
-        let line_of_attempt = line(&mut stream).await;
-        let id = line_of_attempt.split(' ').nth(1).expect("an id").to_owned();
-        let nobody = AttemptId { request: u64::MAX, attempt: 0 };
-        while dispatcher.sender().try_send(DispatcherMessage::AttemptWritten(nobody)) {}
-        drop(pending); // finds the mailbox full
+        let attempt_line = line(&mut stream).await;
+        let id = attempt_line.split(' ').nth(1).expect("an id").to_owned();
+        let unknown_attempt = AttemptId { request: u64::MAX, attempt: 0 };
+        while dispatcher.sender().try_send(DispatcherMessage::AttemptWritten(unknown_attempt)) {}
+        drop(pending); // the client disconnects; the mailbox is full
         stream.write_all(format!("{id} EIO - 0\r\n\r\n").as_bytes()).await.expect("a reader");
         while dispatcher.metrics().await.expect("a dispatcher").tables.pending_requests > 0 {
             tokio::task::yield_now().await;
@@ -79,13 +79,14 @@
     });
 }
 
-/// A client that keeps sending fills what is read ahead; its disconnect behind that was never noticed.
+/// Guards against a regression: a client that keeps sending fills the read-ahead buffer, and its disconnect
+/// behind those bytes was never noticed.
 #[test]
-fn the_disconnect_of_a_client_that_sends_much_is_noticed() {
+fn the_disconnect_of_a_client_that_keeps_sending_is_noticed() {
     run_local(async {
         let ([cache, ..], members) = start_cache_parent_origin(ServerBehavior::Silent).await;
         let dispatcher = start(settings(), Clock::system(), members);
-        let frontend = frontend(&dispatcher, 100).await;
+        let frontend = start_frontend(&dispatcher, 100).await;
         let mut client = TcpStream::connect(&frontend.address).await.expect("a frontend");
         client.write_all(get(1).as_bytes()).await.expect("a reader");
         while cache.requests().is_empty() {
@@ -95,20 +96,24 @@
         let disconnected_at = Instant::now();
         drop(client);
         while !cache.lines.borrow().iter().any(|l| l.starts_with("never_mind ")) {
-            assert!(disconnected_at.elapsed() < Duration::from_millis(100), "not cancelled");
+            assert!(
+                disconnected_at.elapsed() < Duration::from_millis(100),
+                "expected a cancellation within 100 ms"
+            );
             tokio::task::yield_now().await;
         }
     });
 }
 
-/// Request and disconnect are both in the socket before the director reads: nothing is sent for nobody.
+/// Guards against sending a request for a disconnected client: request and disconnect are both in the socket
+/// before the director reads.
 #[test]
 fn a_request_whose_client_disconnected_before_it_was_read_is_not_sent() {
     run_local(async {
         let ([cache, ..], members) =
             start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
-        let frontend = frontend(&dispatcher, 100).await;
+        let frontend = start_frontend(&dispatcher, 100).await;
         let mut client = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
         client.write_all(get(1).as_bytes()).expect("a reader");
         drop(client);
@@ -120,7 +125,8 @@
     });
 }
 
-/// The shutdown and a request on an idle connection arrive together, the request first.
+/// Guards against dropping a request on an idle connection that arrives together with the shutdown, right
+/// before it.
 #[test]
 fn a_request_that_arrived_before_the_shutdown_is_answered() {
     run_local(async {
@@ -128,7 +134,7 @@
             start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         for n in 0..8 {
-            let frontend = frontend(&dispatcher, 100).await;
+            let frontend = start_frontend(&dispatcher, 100).await;
             let mut client = TcpStream::connect(&frontend.address).await.expect("a frontend");
             client.write_all(get(100 + n).as_bytes()).await.expect("a reader");
             let mut head = [0; 12];
@@ -139,38 +145,43 @@
             let mut client = client.into_std().expect("a socket");
             client.write_all(get(200 + n).as_bytes()).expect("a reader");
             frontend.close.send(ShutdownPhase::CloseIdle).expect("connections");
-            assert_eq!(read_all(client).await, "HTTP/1.1 200");
+            assert_eq!(read_response_start(client).await, "HTTP/1.1 200");
         }
     });
 }
 
-/// A new connection and its request are in the listener's queue, unnoticed, when the shutdown begins.
+/// Guards against dropping a new connection that waits with its request in the listener's queue, not yet
+/// noticed, when the shutdown begins.
 #[test]
 fn a_connection_that_arrived_before_the_shutdown_is_accepted_and_answered() {
     run_local(async {
         let (_servers, members) =
             start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
-        for late in [false, true] {
-            let frontend = frontend(&dispatcher, 100).await;
-            tokio::task::yield_now().await; // it listens
+        for is_request_late in [false, true] {
+            let frontend = start_frontend(&dispatcher, 100).await;
+            tokio::task::yield_now().await; // the frontend starts to listen
             let mut client = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
-            if !late {
+            if !is_request_late {
                 client.write_all(get(1).as_bytes()).expect("a reader");
             }
             frontend.close.send(ShutdownPhase::CloseIdle).expect("a listener");
-            if late {
-                // Its request is on its way.
+            if is_request_late {
+                // The request arrives after the shutdown has begun.
                 sleep(Duration::from_millis(20)).await;
                 client.write_all(get(2).as_bytes()).expect("a reader");
             }
-            assert_eq!(read_all(client).await, "HTTP/1.1 200", "late {late}");
+            assert_eq!(
+                read_response_start(client).await,
+                "HTTP/1.1 200",
+                "request after the shutdown: {is_request_late}"
+            );
         }
     });
 }
 
-/// Reads to the end, and returns the beginning of the response.
-async fn read_all(client: std::net::TcpStream) -> String {
+/// Reads the response to its end, and returns its first 12 bytes.
+async fn read_response_start(client: std::net::TcpStream) -> String {
     client.set_nonblocking(true).expect("a socket");
     let mut client = TcpStream::from_std(client).expect("a socket");
     let mut bytes = Vec::new();
@@ -178,9 +189,10 @@
     String::from_utf8_lossy(&bytes[..bytes.len().min(12)]).into_owned()
 }
 
-/// A frontend whose two slots are taken by connections with a request begun, so that none can be evicted.
-async fn full_frontend(dispatcher: &Dispatcher) -> (TestFrontend, Vec<std::net::TcpStream>) {
-    let frontend = frontend(dispatcher, 0).await;
+/// Starts a frontend whose two slots are taken by connections that have begun a request, so that none can be
+/// evicted.
+async fn start_full_frontend(dispatcher: &Dispatcher) -> (TestFrontend, Vec<std::net::TcpStream>) {
+    let frontend = start_frontend(dispatcher, 0).await;
     let connect = |_| std::net::TcpStream::connect(&frontend.address).expect("a frontend");
     let mut occupied: Vec<_> = (0..2).map(connect).collect();
     while frontend.slots.waiting_connections() < 2 {
@@ -195,44 +207,46 @@
     (frontend, occupied)
 }
 
-/// A connection in the listener's queue at the shutdown that finds no slot was dropped, which resets it.
+/// Guards against a regression: a connection in the listener's queue at the shutdown was dropped if it found
+/// no slot, which resets it.
 #[test]
 fn a_connection_that_arrived_before_the_shutdown_and_finds_no_slot_is_rejected() {
     run_local(async {
         let (_servers, members) =
             start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
-        let (frontend, _occupied) = full_frontend(&dispatcher).await;
-        // With nothing run in between: a connection with a complete request, and the shutdown.
+        let (frontend, _occupied) = start_full_frontend(&dispatcher).await;
+        // A connection with a complete request and the shutdown, without running other tasks in between.
         let mut client = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
         client.write_all(get(1).as_bytes()).expect("a reader");
         frontend.close.send(ShutdownPhase::CloseIdle).expect("a frontend");
-        let text = read_all(client).await;
+        let text = read_response_start(client).await;
         assert!(text.starts_with("HTTP/1.1 503"), "{text}");
     });
 }
 
-/// A connection beyond all slots is accepted before its request has arrived: the rejection was written at
-/// once and the connection closed, so that the request met a close, which resets the rejection with the rest.
+/// Guards against a regression: a connection beyond all slots is accepted before its request has arrived. The
+/// rejection was written at once and the connection closed, so that the request arrived at a closed
+/// connection, and the reset discarded the rejection.
 #[test]
 fn a_request_that_arrives_after_its_connection_found_no_slot_is_rejected_completely() {
     run_local(async {
         let (servers, members) =
             start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
-        let (frontend, _occupied) = full_frontend(&dispatcher).await;
+        let (frontend, _occupied) = start_full_frontend(&dispatcher).await;
         for n in 0..8 {
             let mut client = TcpStream::connect(&frontend.address).await.expect("a frontend");
             // Accepted and found to have no slot before a byte of the request is written.
             for _ in 0..50 {
                 tokio::task::yield_now().await;
             }
-            client.write_all(get(n).as_bytes()).await.expect("it is still there");
+            client.write_all(get(n).as_bytes()).await.expect("an open connection");
             let mut head = [0; 12];
             timeout(SOON, client.read_exact(&mut head)).await.expect("in time").expect("an answer");
             assert_eq!(&head, b"HTTP/1.1 503");
-            // What it still writes does not reset the rest of the response.
-            client.write_all(&[b'x'; 8192]).await.expect("it is read");
+            // Bytes that the client still writes do not reset the rest of the response.
+            client.write_all(&[b'x'; 8192]).await.expect("a reader");
             let mut rest = Vec::new();
             timeout(SOON, client.read_to_end(&mut rest))
                 .await
@@ -244,7 +258,8 @@
     });
 }
 
-/// A new connection is to be evicted when its complete request has arrived and is not read.
+/// Guards against a lost request: a new connection is to be evicted when its complete request has arrived but
+/// has not been read.
 #[test]
 fn a_new_connection_whose_complete_request_has_arrived_is_not_evicted_unanswered() {
     run_local(async {
@@ -252,7 +267,7 @@
             start_cache_parent_origin(ServerBehavior::Responds("ID ACK - 2\r\nok\r\n")).await;
         let dispatcher = start(settings(), Clock::system(), members);
         for n in 0..8 {
-            let frontend = frontend(&dispatcher, 1).await;
+            let frontend = start_frontend(&dispatcher, 1).await;
             let mut first = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
             while frontend.slots.waiting_connections() == 0 {
                 tokio::task::yield_now().await;
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -29,7 +29,7 @@
         ConnectionActor { commands, reports }
     }
 
-    /// Puts an attempt into the mailbox, with nothing run meanwhile.
+    /// Puts an attempt into the mailbox without running other tasks.
     fn send(&self, attempt: u32, id: &str, body: Vec<u8>) -> CancellationToken {
         let deadline = Instant::now() + Duration::from_secs(20);
         let request = emulated::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
@@ -59,10 +59,11 @@
     }
 }
 
-/// The server's close has arrived, the runtime has not noticed, and an attempt is put to the connection: it
-/// was written, had to count as run, and one of a class that must not run twice failed.
+/// Guards against a regression: the server's close has arrived but the runtime has not noticed, and an
+/// attempt is sent on the connection. The attempt was written and had to count as run, so that one of a class
+/// that must not run twice failed.
 #[test]
-fn an_attempt_that_meets_an_idle_connection_just_closed_is_sent_on_another() {
+fn an_attempt_is_sent_on_another_connection_if_the_idle_one_has_just_closed() {
     run_local(async {
         let (server, address) = SteppedServer::start().await;
         let mut actor = ConnectionActor::start(&address, transport(), 9);
@@ -80,10 +81,11 @@
     });
 }
 
-/// The command that cancels an attempt can find a mailbox full, or cross the attempt on its way from a
-/// connection that has ended to another: the request's token is checked right before the first byte.
+/// Guards against sending a cancelled attempt whose cancel command is lost: the command can find the mailbox
+/// full, or miss an attempt that moves from an ended connection to another. The request's token is checked
+/// right before the first byte.
 #[test]
-fn an_attempt_queued_behind_another_is_not_sent_once_cancelled_even_if_the_command_is_lost() {
+fn a_cancelled_attempt_in_a_queue_is_not_sent_even_if_the_cancel_command_is_lost() {
     for ended in [false, true] {
         run_local(async {
             let (server, address) = SteppedServer::start().await;
@@ -92,9 +94,9 @@
             let cancellation = actor.send(1, "b", Vec::new());
             let mut first = server.connection().await;
             first.read_exact(&mut [0; 100]).await.expect("its beginning");
-            cancellation.cancel(); // and no command to cancel it
+            cancellation.cancel(); // without a cancel command
             if ended {
-                drop(first); // handed back to the actor, which would put it on another connection
+                drop(first); // the queued attempt returns to the actor, which would send it elsewhere
                 assert_eq!(actor.attempt_error().await, (0, AttemptError::PartiallyWritten));
             } else {
                 let mut all = vec![0; 1 << 20];
@@ -111,10 +113,10 @@
     }
 }
 
-/// What the kernel has buffered and not sent can't be taken back: requests were sent after their clients had
-/// disconnected, once a server that had not read began to.
+/// Guards against a regression: bytes in the kernel's send buffer can't be withdrawn, so requests were sent
+/// after their clients had disconnected, once a server that had not been reading began to read.
 #[test]
-fn an_attempt_queued_behind_another_is_not_written_to_the_socket_before_that_is_sent() {
+fn a_queued_attempt_is_not_written_to_the_socket_before_the_previous_one_is_sent() {
     run_local(async {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4096).expect("a socket");
@@ -124,7 +126,7 @@
         let mut actor = ConnectionActor::start(&address, transport(), 1);
         actor.send(0, "a", vec![b'x'; 300_000]);
         let mut stream = server.connection().await;
-        sleep(Duration::from_millis(50)).await; // as much as the kernel takes
+        sleep(Duration::from_millis(50)).await; // fills the kernel's buffers
         let cancellation = actor.send(1, "b", Vec::new());
         sleep(Duration::from_millis(50)).await;
         cancellation.cancel();
@@ -135,7 +137,8 @@
     });
 }
 
-/// A connection that is established late delayed what established ones had capacity for.
+/// Guards against a regression: attempts for which established connections had capacity were delayed by
+/// waiting for a connection that was established late.
 #[test]
 fn an_attempt_prefers_an_established_connection_to_one_being_established() {
     run_local(async {
@@ -143,25 +146,25 @@
         let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
         let mut actor = ConnectionActor::start(&address, slow, 9);
         (0..4).for_each(|n| drop(actor.send(n, &format!("a{n}"), Vec::new())));
-        let mut up = BufReader::new(listener.accept().await.expect("a connection").0);
+        let mut established = BufReader::new(listener.accept().await.expect("a connection").0);
         for n in 0..4 {
-            assert!(line(&mut up).await.starts_with(&format!("want a{n} ")));
+            assert!(line(&mut established).await.starts_with(&format!("want a{n} ")));
         }
         let _waiting = fill_accept_queue(&address).await;
         actor.send(4, "late", Vec::new()); // one carries four at most before another is opened
         tokio::task::yield_now().await;
         for n in 0..3 {
-            up.write_all(format!("a{n} ACK - 0\r\n\r\n").as_bytes()).await.expect("a reader");
+            established.write_all(format!("a{n} ACK - 0\r\n\r\n").as_bytes()).await.expect("a reader");
             actor.expect_served(n).await;
         }
-        // As many attempts are in flight on the one as on the other.
+        // Both connections now have equally many attempts in flight.
         actor.send(5, "soon", Vec::new());
-        assert!(line(&mut up).await.starts_with("want soon "));
+        assert!(line(&mut established).await.starts_with("want soon "));
     });
 }
 
-/// In the queue for a connection being established: cancelled by a command, or by the request's token alone,
-/// as on sites whose servers can't cancel.
+/// Guards against sending a request that was cancelled while it waited for a connection to be established: by
+/// a command, or by the request's token alone, as on sites whose servers can't cancel.
 #[test]
 fn a_request_cancelled_before_its_connection_is_established_is_not_sent() {
     for by_command in [true, false] {
@@ -171,20 +174,23 @@
             let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
             let mut actor = ConnectionActor::start(&address, slow, 9);
             let cancellation = actor.send(0, "a", Vec::new());
-            tokio::task::yield_now().await; // the connection is begun
+            tokio::task::yield_now().await; // the actor begins to connect
             cancellation.cancel();
             if by_command {
                 let cancel = EndpointCommand::Cancel(AttemptId { request: 1, attempt: 0 });
-                actor.commands.try_send(cancel).expect("room");
+                actor.commands.try_send(cancel).expect("capacity");
             }
             actor.send(1, "b", Vec::new());
             for _ in waiting.iter() {
-                listener.accept().await.expect("one of ours");
+                listener.accept().await.expect("a connection of the test");
             }
-            // The kernel retries after about a second.
+            // The kernel retries the director's connection after about a second.
             let accepted = timeout(SOON, listener.accept()).await.expect("a connection in time");
             let mut stream = BufReader::new(accepted.expect("the director's").0);
-            assert!(line(&mut stream).await.starts_with("want b "), "by command: {by_command}");
+            assert!(
+                line(&mut stream).await.starts_with("want b "),
+                "expected only b, cancelled by command: {by_command}"
+            );
             stream.write_all(b"b ACK - 0\r\n\r\n").await.expect("a reader");
             if !by_command {
                 assert_eq!(actor.attempt_error().await, (0, AttemptError::Cancelled));
--- a/tests/replication/fixtures.rs
+++ b/tests/replication/fixtures.rs
@@ -7,10 +7,10 @@
 
 /// A second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
-/// The Unix time at which tests begin, in microseconds.
+/// The Unix time at which each test starts, in microseconds.
 pub const UNIX: u64 = 1_700_000_000 * SECOND;
 
-/// So many cases, with a fixed seed.
+/// Returns a configuration for this number of cases, with a fixed seed.
 pub fn property_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -20,12 +20,12 @@
     }
 }
 
-/// The time so many seconds after the tests' beginning.
+/// Returns the clock reading `seconds` after the start of the test.
 pub fn at(seconds: u64) -> ClockReading {
     ClockReading { monotonic: seconds * SECOND, unix: UNIX + seconds * SECOND }
 }
 
-/// The empty state of a director.
-pub fn state(incarnation: u64) -> ReplicatedState {
+/// Returns the empty state of a director.
+pub fn empty_state(incarnation: u64) -> ReplicatedState {
     ReplicatedState::new(Incarnation(incarnation), Bounds::default())
 }
--- a/tests/replication/simulation.rs
+++ b/tests/replication/simulation.rs
@@ -1,6 +1,6 @@
-//! Directors in simulated time, and the messages on their way between them.
+//! A fleet of directors in simulated time, and the messages in flight between them.
 
-use crate::fixtures::{state, SECOND, UNIX};
+use crate::fixtures::{empty_state, SECOND, UNIX};
 use foxhold::replication::entry::{encode, Key, Kind, Value};
 use foxhold::replication::gossip::{GossipMessage, GossipProtocol};
 use foxhold::replication::state::{ClockReading, ReplicatedState};
@@ -8,21 +8,21 @@
 
 /// A step of simulated time, in microseconds.
 const TICK: u64 = 20_000;
-/// The shortest bound on a message's delay, in microseconds.
+/// The bound on a message's delay if [`Links::max_delay`] is 0, in microseconds.
 const MIN_MAX_DELAY: u64 = 1_000;
 
-/// How the links between directors behave.
+/// Properties of the links between directors.
 #[derive(Default)]
 pub struct Links {
     /// The share of messages that are lost.
     pub loss: f64,
     /// The share of messages that arrive twice.
     pub duplication: f64,
-    /// The longest delay beside [`MIN_MAX_DELAY`], in microseconds.
+    /// The longest delay in addition to [`MIN_MAX_DELAY`], in microseconds.
     pub max_delay: u64,
 }
 
-/// A message on its way.
+/// A message that has been sent but not received.
 struct InFlight {
     from: usize,
     to: usize,
@@ -31,9 +31,9 @@
 
 /// A fleet of directors.
 pub struct Simulation {
-    /// The directors; none: it is stopped.
+    /// The directors; `None` for a stopped one.
     pub directors: Vec<Option<GossipProtocol<usize>>>,
-    /// How the links behave at present.
+    /// The current properties of all links.
     pub links: Links,
     /// The partition of each director: only those in the same one can reach each other.
     pub partition: Vec<u8>,
@@ -45,7 +45,7 @@
 }
 
 impl Simulation {
-    /// So many directors, all started now.
+    /// Returns a fleet of `directors` directors that all start now.
     pub fn new(directors: usize, seed: u64) -> Simulation {
         let mut simulation = Simulation {
             directors: (0..directors).map(|_| None).collect(),
@@ -60,23 +60,23 @@
         simulation
     }
 
-    /// The next draw, from 0 to 1.
+    /// Draws the next random number, from 0 to 1.
     pub fn unit(&mut self) -> f64 {
         self.random =
             self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.random >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The present time.
+    /// Returns the current simulated time.
     pub fn now(&self) -> ClockReading {
         ClockReading { monotonic: self.monotonic, unix: UNIX + self.monotonic }
     }
 
-    /// Starts a director with what its disk held.
+    /// Starts a director with the entries that it had stored on disk.
     pub fn start(&mut self, n: usize, stored: Vec<(Key, Value)>) {
         self.random = self.random.wrapping_add(1);
         let (incarnation, now) = (self.random ^ (n as u64) << 48, self.now());
-        let mut state = state(incarnation);
+        let mut state = empty_state(incarnation);
         stored.into_iter().for_each(|(key, value)| {
             let _ = state.merge(&key, &value, now);
         });
@@ -93,7 +93,7 @@
         (0..self.directors.len()).filter(|n| self.directors[*n].is_some())
     }
 
-    /// The entries of a director, as its disk holds them.
+    /// Returns the entries of a director, as they are stored on disk.
     pub fn stored(&self, n: usize) -> Vec<(Key, Value)> {
         let Some(director) = &self.directors[n] else { return Vec::new() };
         let entries = Kind::ALL.into_iter().flat_map(|kind| director.state.entries_of_kind(kind));
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Runs for so many seconds.
+    /// Advances the simulated time by `seconds`, in steps of [`TICK`].
     pub fn run(&mut self, seconds: f64) {
         let end = self.monotonic + (seconds * SECOND as f64) as u64;
         while self.monotonic < end {
@@ -161,7 +161,7 @@
         changed
     }
 
-    /// Whether all running directors hold the same entries.
+    /// Returns whether all running directors hold the same entries.
     pub fn is_in_sync(&self) -> bool {
         let states: Vec<Vec<u8>> = self.running().map(|n| encode(&self.stored(n))).collect();
         states.iter().all(|state| *state == states[0])
--- a/tests/replication_gossip.rs
+++ b/tests/replication_gossip.rs
@@ -7,7 +7,7 @@
 #[path = "replication/simulation.rs"]
 mod simulation;
 
-use fixtures::{at, property_config, state, SECOND, UNIX};
+use fixtures::{at, empty_state, property_config, SECOND, UNIX};
 use foxhold::dispatch::Endpoint;
 use foxhold::replication::digest::Node;
 use foxhold::replication::entry::{encode, DrainCommand, Key, Kind, Value};
@@ -30,14 +30,14 @@
 
 // ---- two directors ----
 
-/// A director that holds these purges of groups.
-fn director(incarnation: u64, purges: &BTreeMap<u32, u64>) -> GossipProtocol<u8> {
-    let mut state = state(incarnation);
+/// Returns a director that holds these purges of groups.
+fn director_with_purges(incarnation: u64, purges: &BTreeMap<u32, u64>) -> GossipProtocol<u8> {
+    let mut state = empty_state(incarnation);
     purges.iter().for_each(|(group, n)| drop(state.purge(Key::Group(*group), UNIX + n, at(1))));
     GossipProtocol::new(state, incarnation, at(1))
 }
 
-fn root(director: &GossipProtocol<u8>) -> u64 {
+fn root_digest(director: &GossipProtocol<u8>) -> u64 {
     director.state.digest().sum(Node::ROOT)
 }
 
@@ -49,21 +49,21 @@
         purges_of_a in proptest::collection::btree_map(0u32..400, 0u64..3, 0..200),
         purges_of_b in proptest::collection::btree_map(0u32..400, 0u64..3, 0..200),
     ) {
-        let (mut a, mut b) = (director(1, &purges_of_a), director(2, &purges_of_b));
-        // Neither catches up any more: from here on digests alone find what differs.
+        let (mut a, mut b) = (director_with_purges(1, &purges_of_a), director_with_purges(2, &purges_of_b));
+        // Both have left the catch-up stage: from here on only digests find the differences.
         for director in [&mut a, &mut b] {
             director.tick(at(9), &mut Vec::new());
             prop_assert_eq!(director.stage(), Stage::NoPeers);
         }
         let mut walks = 0;
-        while root(&a) != root(&b) {
+        while root_digest(&a) != root_digest(&b) {
             walks += 1;
-            prop_assert!(walks < 40, "after {} walks", walks);
-            let mut in_flight = vec![(false, GossipMessage::RootDigest(root(&a)))];
+            prop_assert!(walks < 40, "expected equal states within 40 walks, now at {}", walks);
+            let mut in_flight = vec![(false, GossipMessage::RootDigest(root_digest(&a)))];
             let mut messages = 0;
             while let Some((is_to_a, message)) = in_flight.pop() {
                 messages += 1;
-                prop_assert!(messages < 5_000, "a walk without end");
+                prop_assert!(messages < 5_000, "expected a walk to end within 5,000 messages");
                 let mut replies = Vec::new();
                 if is_to_a {
                     a.handle_message(&2, message, at(9), &mut replies)
@@ -80,7 +80,7 @@
     #[test]
     fn arbitrary_messages_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let Ok(message) = postcard::from_bytes::<GossipMessage>(&bytes) else { return Ok(()) };
-        let mut director = GossipProtocol::<u8>::new(state(1), 1, at(1));
+        let mut director = GossipProtocol::<u8>::new(empty_state(1), 1, at(1));
         director.handle_message(&1, message, at(2), &mut Vec::new());
         director.tick(at(3), &mut Vec::new());
     }
@@ -88,8 +88,9 @@
 
 // ---- fleets ----
 
-/// One random step of a fleet of six: a purge, a drain or undrain, an event of the discovery source that only
-/// some directors receive, a restart from disk, or another partition. Returns the entry that changed.
+/// Applies one random step to a fleet of six: a purge, a drain or undrain, an event of the discovery source
+/// that only some directors receive, a restart from disk, or a different partition. Returns the entry that
+/// changed.
 fn random_step(fleet: &mut Simulation, step: u64) -> Option<(Key, Value)> {
     let n = (fleet.unit() * 6.0) as usize;
     let server = format!("server-{}", step % 4);
@@ -129,12 +130,12 @@
     }
 }
 
-/// A few hundred updates at six directors. In the end all hold the merge of all updates.
+/// Applies 250 random steps to six directors, which in the end must all hold the merge of all updates.
 #[test]
 fn directors_converge_despite_loss_duplicates_delay_partitions_and_restarts() {
     for seed in 1..=6 {
         let mut fleet = Simulation::new(6, seed);
-        let mut expected = state(0);
+        let mut expected = empty_state(0);
         fleet.run(5.0);
         fleet.links = Links { loss: 0.2, duplication: 0.2, max_delay: 2 * SECOND };
         for step in 0..250u64 {
@@ -155,23 +156,26 @@
 }
 
 #[test]
-fn catching_up_continues_with_another_source_when_one_dies() {
+fn catch_up_continues_with_another_source_if_some_stop() {
     let mut fleet = Simulation::new(4, 5);
     for group in 0..3_000u32 {
         fleet.change(0, purge_group(group));
     }
     fleet.run(30.0);
-    assert!(fleet.is_in_sync(), "by digests, for not so many updates may be pending");
+    assert!(fleet.is_in_sync(), "expected equal states by digests, because fewer updates may be pending");
     fleet.start(3, Vec::new());
     fleet.run(0.06);
     let held = |fleet: &Simulation| fleet.directors[3].as_ref().map_or(0, |n| n.state.len());
-    assert!(held(&fleet) > 0 && held(&fleet) < 3_000, "midway: {}", held(&fleet));
-    // Two of its three possible sources are killed.
+    assert!(held(&fleet) > 0 && held(&fleet) < 3_000, "expected some of 3,000 entries, got {}", held(&fleet));
+    // Two of its three possible sources stop.
     (fleet.directors[0], fleet.directors[1]) = (None, None);
     fleet.run(3.0);
     let director = fleet.directors[3].as_ref().expect("running");
     assert_eq!((director.stage(), director.state.len()), (Stage::CaughtUp, 3_000));
-    assert!(director.counters().source_changes > 0, "some lanes continued with another source");
+    assert!(
+        director.counters().source_changes > 0,
+        "expected some transfer lanes to continue with another source"
+    );
 }
 
 #[test]
@@ -184,7 +188,7 @@
     assert!(fleet.is_in_sync() && fleet.directors.iter().flatten().all(|n| n.state.len() == 1));
 }
 
-/// The time from an update until the last of 300 directors has it, with a twentieth of all messages lost.
+/// Measures the time from an update until all of 300 directors have it, with 5% of the messages lost.
 #[test]
 fn update_reaches_three_hundred_directors_within_a_second_and_a_half_despite_loss() {
     let mut fleet = Simulation::new(300, 3);
@@ -197,7 +201,7 @@
         while !fleet.directors.iter().flatten().all(has_update) {
             fleet.run(0.02);
             elapsed += 0.02;
-            assert!(elapsed < 2.0, "update {group}");
+            assert!(elapsed < 2.0, "update {group} not at all directors within 2 s");
         }
         assert!(elapsed <= 1.5, "update {group} took {elapsed:.2} s");
     }
--- a/tests/replication_model.rs
+++ b/tests/replication_model.rs
@@ -1,6 +1,6 @@
-//! A model check of the merge rules: every order of updates, messages and restarts, for a few directors. What
-//! was removed does not return, and a drain that no undrain has observed stays in force. Mutants of the rules
-//! have to be found by the same check.
+//! A model check of the merge rules: every order of updates, messages and restarts, for three directors.
+//! Removed entries must not return, and a drain that no undrain has observed must stay in force. The same
+//! check must detect mutants of the rules.
 #![cfg(feature = "peers")]
 
 use foxhold::replication::entry::{DrainRecord, EndpointRecord, Incarnation, Value};
@@ -10,16 +10,16 @@
 struct Rules {
     name: &'static str,
     merge: fn(&mut Value, &Value),
-    /// What a director keeps after a merge or an update: a mutant forgets too early.
+    /// Reduces a value to what a director keeps after a merge or an update; a mutant discards too early.
     keep: fn(&mut Value),
-    /// The incarnation of a director after so many restarts from nothing.
+    /// Returns the incarnation of a director after a number of restarts without stored state.
     incarnation: fn(usize, u32) -> Incarnation,
-    /// What a director sends of a value.
+    /// Returns what a director sends of a value.
     snapshot: fn(&Value) -> Value,
 }
 
-const AS_BUILT: Rules = Rules {
-    name: "as built",
+const CURRENT_RULES: Rules = Rules {
+    name: "current rules",
     merge: |value, other| {
         let _ = value.merge(other);
     },
@@ -28,7 +28,7 @@
     snapshot: Value::clone,
 };
 
-/// How much happens at most.
+/// Upper bounds on the steps of one history.
 #[derive(Clone, Copy)]
 struct Limits {
     updates: u32,
@@ -38,29 +38,30 @@
 
 const LIMITS: Limits = Limits { updates: 4, messages: 3, restarts: 1 };
 
-/// Directors, all messages ever sent (each may arrive at any time, any number of times, or never), and what
-/// was done.
+/// The directors, all messages sent so far (each may arrive at any time, any number of times, or never), and
+/// the record of events that the invariants need.
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World {
-    /// Encoded, for `Value` is not ordered.
+struct ModelState {
+    /// The value of each director, encoded because `Value` has no order.
     held: Vec<Vec<u8>>,
     sent: BTreeSet<Vec<u8>>,
     restarts: Vec<u32>,
     updates: u32,
     /// Whether the last update at any director was a drain.
     last_is_drain: bool,
-    /// The last event at any director.
+    /// Number of the last event at any director.
     last_event: u32,
-    /// Drains that each director has seen removed, and the highest event that it has seen.
+    /// Drains that each director has seen removed.
     removed: Vec<BTreeSet<(Incarnation, u32)>>,
+    /// The highest event that each director has seen.
     seen: Vec<u64>,
 }
 
-fn pack(value: &Value) -> Vec<u8> {
+fn encode_value(value: &Value) -> Vec<u8> {
     foxhold::replication::entry::encode(value)
 }
 
-fn unpack(bytes: &[u8]) -> Value {
+fn decode_value(bytes: &[u8]) -> Value {
     postcard::from_bytes(bytes).expect("an encoded value")
 }
 
@@ -73,10 +74,10 @@
     }
 }
 
-/// Explores all that can happen within the limits; the number of worlds, or what went wrong.
+/// Explores all states that are reachable within the limits. Returns their number, or the violated invariant.
 fn explore(rules: &Rules, start: Value, limits: Limits) -> Result<usize, String> {
-    let first = World {
-        held: vec![pack(&start); DIRECTORS],
+    let first = ModelState {
+        held: vec![encode_value(&start); DIRECTORS],
         sent: BTreeSet::new(),
         restarts: vec![0; DIRECTORS],
         updates: 0,
@@ -85,11 +86,11 @@
         removed: vec![BTreeSet::new(); DIRECTORS],
         seen: vec![0; DIRECTORS],
     };
-    let mut known: HashSet<World> = HashSet::from([first.clone()]);
+    let mut known: HashSet<ModelState> = HashSet::from([first.clone()]);
     let mut queue = VecDeque::from([first]);
-    while let Some(world) = queue.pop_front() {
-        check(rules, &world)?;
-        for next in steps(rules, &world, &start, limits) {
+    while let Some(state) = queue.pop_front() {
+        check_invariants(rules, &state)?;
+        for next in steps(rules, &state, &start, limits) {
             if known.insert(next.clone()) {
                 queue.push_back(next);
             }
@@ -98,10 +99,10 @@
     Ok(known.len())
 }
 
-fn check(rules: &Rules, world: &World) -> Result<(), String> {
-    let wrong = |what: &str| Err(format!("{}: {what}", rules.name));
-    // All values and messages are merged at one place, in two orders.
-    let everything: Vec<Value> = world.held.iter().chain(&world.sent).map(|b| unpack(b)).collect();
+fn check_invariants(rules: &Rules, state: &ModelState) -> Result<(), String> {
+    let violation = |what: &str| Err(format!("{}: {what}", rules.name));
+    // Merges all values and messages in two orders.
+    let all_values: Vec<Value> = state.held.iter().chain(&state.sent).map(|b| decode_value(b)).collect();
     let merge_all = |values: &mut dyn Iterator<Item = &Value>| {
         let mut merged: Option<Value> = None;
         for value in values {
@@ -112,29 +113,31 @@
         }
         merged.expect("directors")
     };
-    let (one, other) = (merge_all(&mut everything.iter()), merge_all(&mut everything.iter().rev()));
-    if one != other {
-        return wrong("the order of copies makes a difference");
+    let (forward, backward) = (merge_all(&mut all_values.iter()), merge_all(&mut all_values.iter().rev()));
+    if forward != backward {
+        return violation("the order of merges changes the result");
     }
-    if matches!(one, Value::Drain(_)) && world.last_is_drain && !drain_record(&one).is_draining() {
-        return wrong("the last update was a drain, nobody has removed it, and it is lost");
+    if matches!(forward, Value::Drain(_)) && state.last_is_drain && !drain_record(&forward).is_draining() {
+        return violation("the last update was a drain that no undrain has removed, and it is lost");
     }
-    if matches!(&one, Value::Endpoint(_, record) if world.last_event > 0 && record.cell != world.last_event) {
-        return wrong("an older event replaces the last one");
+    if matches!(&forward, Value::Endpoint(_, record)
+        if state.last_event > 0 && record.cell != state.last_event)
+    {
+        return violation("an older event has replaced the last one");
     }
-    for (n, held) in world.held.iter().enumerate() {
-        match unpack(held) {
+    for (n, held) in state.held.iter().enumerate() {
+        match decode_value(held) {
             Value::Drain(record) => {
                 let in_force = |d: &&(Incarnation, u32)| {
                     record.drains_by_incarnation.get(&d.0) == Some(&d.1)
                         && record.undrains_by_incarnation.get(&d.0) < Some(&d.1)
                 };
-                if let Some(dot) = world.removed[n].iter().find(in_force) {
-                    return wrong(&format!("a removed drain is in force again: {dot:?}"));
+                if let Some(drain) = state.removed[n].iter().find(in_force) {
+                    return violation(&format!("a removed drain is in force again: {drain:?}"));
                 }
             }
-            Value::Endpoint(revision, _) if revision < world.seen[n] => {
-                return wrong("an older event has returned")
+            Value::Endpoint(revision, _) if revision < state.seen[n] => {
+                return violation("an older event has returned")
             }
             _ => {}
         }
@@ -143,75 +146,75 @@
 }
 
 /// Stores what the rules keep of a value, and records what this director has seen.
-fn store(rules: &Rules, world: &mut World, n: usize, mut value: Value) {
+fn store(rules: &Rules, state: &mut ModelState, n: usize, mut value: Value) {
     (rules.keep)(&mut value);
     match &value {
-        Value::Drain(record) => record_removed(world, n, record),
-        Value::Endpoint(revision, _) => world.seen[n] = world.seen[n].max(*revision),
+        Value::Drain(record) => record_removed(state, n, record),
+        Value::Endpoint(revision, _) => state.seen[n] = state.seen[n].max(*revision),
         Value::Purged(_) => {}
     }
-    world.held[n] = pack(&value);
+    state.held[n] = encode_value(&value);
 }
 
-fn record_removed(world: &mut World, n: usize, record: &DrainRecord) {
+fn record_removed(state: &mut ModelState, n: usize, record: &DrainRecord) {
     let removed = record.undrains_by_incarnation.iter();
-    world.removed[n].extend(removed.map(|(incarnation, number)| (*incarnation, *number)));
+    state.removed[n].extend(removed.map(|(incarnation, number)| (*incarnation, *number)));
 }
 
-/// All worlds that one step leads to.
-fn steps(rules: &Rules, world: &World, start: &Value, limits: Limits) -> Vec<World> {
+/// Returns all states that one step leads to.
+fn steps(rules: &Rules, state: &ModelState, start: &Value, limits: Limits) -> Vec<ModelState> {
     let mut next = Vec::new();
     for n in 0..DIRECTORS {
-        if world.updates < limits.updates {
-            next.extend(update_steps(rules, world, n));
+        if state.updates < limits.updates {
+            next.extend(update_steps(rules, state, n));
         }
-        if world.sent.len() < limits.messages {
-            next.extend(send_step(rules, world, n));
+        if state.sent.len() < limits.messages {
+            next.extend(send_step(rules, state, n));
         }
-        next.extend(receive_steps(rules, world, n));
-        if world.restarts[n] < limits.restarts && world.restarts.iter().sum::<u32>() < 1 {
-            next.push(restart_step(world, n, start));
+        next.extend(receive_steps(rules, state, n));
+        if state.restarts[n] < limits.restarts && state.restarts.iter().sum::<u32>() < 1 {
+            next.push(restart_step(state, n, start));
         }
     }
     next
 }
 
-/// An update is made at this director.
-fn update_steps(rules: &Rules, world: &World, n: usize) -> Vec<World> {
-    let held = unpack(&world.held[n]);
+/// Returns the states after each possible update at director `n`.
+fn update_steps(rules: &Rules, state: &ModelState, n: usize) -> Vec<ModelState> {
+    let held = decode_value(&state.held[n]);
     let mut next = Vec::new();
-    for (value, is_drain) in possible_updates(rules, world, n, &held) {
-        let mut world = World {
-            updates: world.updates + 1,
+    for (value, is_drain) in possible_updates(rules, state, n, &held) {
+        let mut state = ModelState {
+            updates: state.updates + 1,
             last_is_drain: is_drain,
-            last_event: world.updates + 1,
-            ..world.clone()
+            last_event: state.updates + 1,
+            ..state.clone()
         };
-        // An update of this director is merged like any other.
+        // A director merges its own updates like any other.
         let mut merged = held.clone();
         (rules.merge)(&mut merged, &value);
-        // Recorded before the rules forget anything.
+        // Recorded before the rules discard anything.
         if let Value::Drain(record) = &value {
-            record_removed(&mut world, n, record);
+            record_removed(&mut state, n, record);
         }
-        store(rules, &mut world, n, merged);
-        next.push(world);
+        store(rules, &mut state, n, merged);
+        next.push(state);
     }
     next
 }
 
-/// The updates that can follow a value, and whether each is a drain.
-fn possible_updates(rules: &Rules, world: &World, n: usize, held: &Value) -> Vec<(Value, bool)> {
+/// Returns the updates that can follow a value, each with whether it is a drain.
+fn possible_updates(rules: &Rules, state: &ModelState, n: usize, held: &Value) -> Vec<(Value, bool)> {
     match held {
         Value::Drain(record) => {
-            let incarnation = (rules.incarnation)(n, world.restarts[n]);
+            let incarnation = (rules.incarnation)(n, state.restarts[n]);
             vec![
                 (Value::Drain(record.with_drain(incarnation, 0)), true),
                 (Value::Drain(record.with_undrain(0)), false),
             ]
         }
         Value::Endpoint(..) => {
-            let revision = u64::from(world.updates) + 1;
+            let revision = u64::from(state.updates) + 1;
             let record = EndpointRecord { cell: revision as u32, ..EndpointRecord::default() };
             vec![(Value::Endpoint(revision, record), false)]
         }
@@ -219,39 +222,40 @@
     }
 }
 
-/// This director sends its value, if it has not been sent before.
-fn send_step(rules: &Rules, world: &World, n: usize) -> Option<World> {
-    let snapshot = pack(&(rules.snapshot)(&unpack(&world.held[n])));
-    if world.sent.contains(&snapshot) {
+/// Returns the state after director `n` sends its value, or `None` if that value has been sent before.
+fn send_step(rules: &Rules, state: &ModelState, n: usize) -> Option<ModelState> {
+    let snapshot = encode_value(&(rules.snapshot)(&decode_value(&state.held[n])));
+    if state.sent.contains(&snapshot) {
         return None;
     }
-    let mut world = world.clone();
-    world.sent.insert(snapshot);
-    Some(world)
+    let mut state = state.clone();
+    state.sent.insert(snapshot);
+    Some(state)
 }
 
-/// Any message arrives at this director. It stays in the world, for it may arrive again.
-fn receive_steps(rules: &Rules, world: &World, n: usize) -> Vec<World> {
+/// Returns the states after the arrival of each message at director `n`. Messages stay because they may
+/// arrive again.
+fn receive_steps(rules: &Rules, state: &ModelState, n: usize) -> Vec<ModelState> {
     let receive = |message: &Vec<u8>| {
-        let mut merged = unpack(&world.held[n]);
-        (rules.merge)(&mut merged, &unpack(message));
-        let mut world = world.clone();
-        store(rules, &mut world, n, merged);
-        world
+        let mut merged = decode_value(&state.held[n]);
+        (rules.merge)(&mut merged, &decode_value(message));
+        let mut state = state.clone();
+        store(rules, &mut state, n, merged);
+        state
     };
-    world.sent.iter().map(receive).collect()
+    state.sent.iter().map(receive).collect()
 }
 
-/// This director loses its memory and restarts.
-fn restart_step(world: &World, n: usize, start: &Value) -> World {
-    let mut world = world.clone();
-    world.held[n] = pack(start);
-    world.restarts[n] += 1;
-    // What only this director held is lost, as is permitted.
-    (world.last_is_drain, world.last_event) = (false, 0);
-    world.removed[n].clear();
-    world.seen[n] = 0;
-    world
+/// Returns the state after director `n` loses its memory and restarts.
+fn restart_step(state: &ModelState, n: usize, start: &Value) -> ModelState {
+    let mut state = state.clone();
+    state.held[n] = encode_value(start);
+    state.restarts[n] += 1;
+    // Entries that only this director held may be lost.
+    (state.last_is_drain, state.last_event) = (false, 0);
+    state.removed[n].clear();
+    state.seen[n] = 0;
+    state
 }
 
 fn no_drain() -> Value {
@@ -264,32 +268,32 @@
 
 #[test]
 fn rules_hold_in_every_order_of_updates_messages_and_restarts() {
-    let worlds = explore(&AS_BUILT, no_drain(), Limits { updates: 3, ..LIMITS }).expect("drains");
-    println!("drains: {worlds} worlds");
-    assert!(worlds > 10_000, "{worlds}");
-    let worlds = explore(&AS_BUILT, no_event(), LIMITS).expect("events");
-    println!("events: {worlds} worlds");
-    assert!(worlds > 1_000, "{worlds}");
+    let states = explore(&CURRENT_RULES, no_drain(), Limits { updates: 3, ..LIMITS }).expect("drains");
+    println!("drains: {states} states");
+    assert!(states > 10_000, "{states}");
+    let states = explore(&CURRENT_RULES, no_event(), LIMITS).expect("events");
+    println!("events: {states} states");
+    assert!(states > 1_000, "{states}");
 }
 
-/// Four updates: 918,970 worlds, some minutes without optimisation.
+/// Explores four updates: 918,970 states, which take some minutes without optimisation.
 #[test]
-#[ignore = "the large form: cargo test --release --test replication_model -- --ignored --nocapture"]
+#[ignore = "takes some minutes: cargo test --release --test replication_model -- --ignored --nocapture"]
 fn rules_hold_with_one_more_update() {
-    let worlds = explore(&AS_BUILT, no_drain(), LIMITS).expect("drains");
-    println!("drains: {worlds} worlds");
-    assert!(worlds > 500_000, "{worlds}");
+    let states = explore(&CURRENT_RULES, no_drain(), LIMITS).expect("drains");
+    println!("drains: {states} states");
+    assert!(states > 500_000, "{states}");
 }
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of mutants")]
-fn every_mutant_of_the_rules_is_found() {
+fn the_check_detects_every_mutant_of_the_rules() {
     let mutants = [
         (
             Rules {
-                name: "the last to arrive wins",
+                name: "the last value to arrive wins",
                 merge: |value, other| *value = other.clone(),
-                ..AS_BUILT
+                ..CURRENT_RULES
             },
             no_drain(),
         ),
@@ -304,26 +308,26 @@
                         }
                     }
                 },
-                ..AS_BUILT
+                ..CURRENT_RULES
             },
             no_drain(),
         ),
         (
             Rules {
-                name: "an incarnation is used again after a restart",
+                name: "an incarnation is reused after a restart",
                 incarnation: |n, _| Incarnation(n as u64),
-                ..AS_BUILT
+                ..CURRENT_RULES
             },
             no_drain(),
         ),
         (
             Rules {
-                name: "a message that forgets the revision",
+                name: "a message omits the revision",
                 snapshot: |value| match value {
                     Value::Endpoint(_, record) => Value::Endpoint(9, record.clone()),
                     other => other.clone(),
                 },
-                ..AS_BUILT
+                ..CURRENT_RULES
             },
             no_event(),
         ),
@@ -331,14 +335,14 @@
             Rules {
                 name: "the last event to arrive wins",
                 merge: |value, other| *value = other.clone(),
-                ..AS_BUILT
+                ..CURRENT_RULES
             },
             no_event(),
         ),
     ];
     for (rules, start) in mutants {
-        let found = explore(&rules, start, LIMITS);
-        println!("{found:?}");
-        assert!(found.is_err(), "{} was not found", rules.name);
+        let result = explore(&rules, start, LIMITS);
+        println!("{result:?}");
+        assert!(result.is_err(), "mutant not detected: {}", rules.name);
     }
 }
--- a/tests/replication_state.rs
+++ b/tests/replication_state.rs
@@ -5,7 +5,7 @@
 #[path = "replication/fixtures.rs"]
 mod fixtures;
 
-use fixtures::{at, property_config, state, SECOND, UNIX};
+use fixtures::{at, empty_state, property_config, SECOND, UNIX};
 use foxhold::dispatch::Endpoint;
 use foxhold::replication::digest::{DigestTree, Node};
 use foxhold::replication::entry::{
@@ -17,7 +17,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn object(name: &str) -> Key {
+fn object_key(name: &str) -> Key {
     Key::Object(name.into())
 }
 
@@ -32,8 +32,8 @@
     proptest::collection::btree_map((0u64..3).prop_map(Incarnation), 1u32..4, 0..3)
 }
 
-/// Values of one kind, few enough that they collide.
-fn values(kind: u8) -> BoxedStrategy<Value> {
+/// Generates values of one kind, from a range small enough that they collide.
+fn values_of(kind: u8) -> BoxedStrategy<Value> {
     match kind {
         0 => (0u64..5).prop_map(Value::Purged).boxed(),
         1 => (0u64..3, drain_numbers(), drain_numbers())
@@ -67,36 +67,36 @@
 
     #[test]
     fn merge_is_commutative_associative_and_idempotent(
-        (a, b, c) in (0u8..3).prop_flat_map(|kind| (values(kind), values(kind), values(kind)))
+        (a, b, c) in (0u8..3).prop_flat_map(|kind| (values_of(kind), values_of(kind), values_of(kind)))
     ) {
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a.clone());
-        prop_assert_eq!(merged(&merged(&a, &b), &b), merged(&a, &b), "a copy that arrives twice");
+        prop_assert_eq!(merged(&merged(&a, &b), &b), merged(&a, &b), "expected no change by a duplicate");
     }
 
     #[test]
     fn digest_does_not_depend_on_the_order_of_entries(
         order in Just((0u64..200).collect::<Vec<_>>()).prop_shuffle()
     ) {
-        let fill = |order: &[u64]| {
-            let mut state = state(1);
-            order.iter().for_each(|n| drop(state.purge(object(&n.to_string()), UNIX + n, at(1))));
+        let root_digest_of = |order: &[u64]| {
+            let mut state = empty_state(1);
+            order.iter().for_each(|n| drop(state.purge(object_key(&n.to_string()), UNIX + n, at(1))));
             state.digest().sum(Node::ROOT)
         };
         let sorted: Vec<u64> = (0..200).collect();
-        prop_assert_eq!(fill(&order), fill(&sorted));
+        prop_assert_eq!(root_digest_of(&order), root_digest_of(&sorted));
     }
 }
 
 #[test]
 fn undrain_removes_only_the_drains_that_it_has_observed() {
-    let (mut a, mut b) = (state(1), state(2));
+    let (mut a, mut b) = (empty_state(1), empty_state(2));
     a.apply_member_update(1, ListScope::Full, &[endpoint("x", MemberState::Running, 0)], at(1));
     b.apply_member_update(1, ListScope::Full, &[endpoint("x", MemberState::Running, 0)], at(1));
     let (key, value) = a.set_drain("x", DrainCommand::Drain, at(2)).expect("capacity").expect("a change");
     b.merge(&key, &value, at(2)).expect("a valid entry");
-    let drains = |state: &ReplicatedState| match state.get(&Key::Drain("x".into())) {
+    let is_draining = |state: &ReplicatedState| match state.get(&Key::Drain("x".into())) {
         Some(Value::Drain(record)) => record.is_draining(),
         _ => false,
     };
@@ -104,28 +104,32 @@
     let (_, undrain) = a.set_drain("x", DrainCommand::Undrain, at(3)).expect("capacity").expect("a change");
     let (_, concurrent_drain) =
         b.set_drain("x", DrainCommand::Drain, at(3)).expect("capacity").expect("a change");
-    assert!(!drains(&a) && drains(&b));
+    assert!(!is_draining(&a) && is_draining(&b));
     a.merge(&key, &concurrent_drain, at(4)).expect("a valid entry");
     b.merge(&key, &undrain, at(4)).expect("a valid entry");
-    assert!(drains(&a) && drains(&b), "the drain that was not observed stays");
+    assert!(is_draining(&a) && is_draining(&b), "expected the unobserved drain to stay");
     let (_, undrain) = b.set_drain("x", DrainCommand::Undrain, at(5)).expect("capacity").expect("a change");
     a.merge(&key, &undrain, at(5)).expect("a valid entry");
     a.merge(&key, &value, at(5)).expect("a valid entry");
-    assert!(!drains(&a) && !drains(&b), "the old drain does not return");
-    // Another process runs there: drains of the one before no longer count.
+    assert!(!is_draining(&a) && !is_draining(&b), "expected the old drain not to return");
+    // A new process runs at the endpoint: drains of the former process no longer count.
     let (_, value) = a.set_drain("x", DrainCommand::Drain, at(6)).expect("capacity").expect("a change");
     b.merge(&key, &value, at(6)).expect("a valid entry");
     b.apply_member_update(2, ListScope::Incremental, &[endpoint("x", MemberState::Running, UNIX)], at(7));
     let (_, later_undrain) =
         b.set_drain("x", DrainCommand::Undrain, at(8)).expect("capacity").expect("a change");
     a.merge(&key, &later_undrain, at(8)).expect("a valid entry");
-    assert!(!drains(&a) && !drains(&b));
-    assert_eq!(a.merge(&key, &value, at(9)), Ok(MergeOutcome::Unchanged), "it is about the former process");
+    assert!(!is_draining(&a) && !is_draining(&b));
+    assert_eq!(
+        a.merge(&key, &value, at(9)),
+        Ok(MergeOutcome::Unchanged),
+        "expected a drain of the former process to change nothing"
+    );
 }
 
 #[test]
 fn full_list_sets_tombstones_that_older_copies_do_not_undo() {
-    let (mut a, mut b) = (state(1), state(2));
+    let (mut a, mut b) = (empty_state(1), empty_state(2));
     let two = [endpoint("x", MemberState::Running, 0), endpoint("y", MemberState::Running, 0)];
     for state in [&mut a, &mut b] {
         state.apply_member_update(1, ListScope::Full, &two, at(1));
@@ -134,21 +138,21 @@
     let updates = a.apply_member_update(2, ListScope::Full, &two[..1], at(2));
     assert_eq!(a.endpoint_state("y"), Some(MemberState::Gone));
     assert_eq!(a.merge(&Key::Endpoint("y".into()), &older, at(3)), Ok(MergeOutcome::Unchanged));
-    assert_eq!(a.endpoint_state("y"), Some(MemberState::Gone), "the later event stands");
+    assert_eq!(a.endpoint_state("y"), Some(MemberState::Gone), "expected the later event to stay in force");
     for (key, value) in updates {
         b.merge(&key, &value, at(3)).expect("a valid entry");
     }
     assert_eq!(
         a.digest().sum(Node::ROOT),
         b.digest().sum(Node::ROOT),
-        "all directors store the same tombstone"
+        "expected the same tombstone at all directors"
     );
 }
 
 #[test]
-fn conflicting_copies_of_one_version_are_reported_and_resolved_alike() {
+fn conflicting_copies_of_one_version_are_reported_and_resolved_identically() {
     let endpoint_of_size = |size| Value::Endpoint(3, EndpointRecord { size, ..EndpointRecord::default() });
-    let (mut a, mut b) = (state(1), state(2));
+    let (mut a, mut b) = (empty_state(1), empty_state(2));
     let key = Key::Endpoint("x".into());
     a.merge(&key, &endpoint_of_size(1.0), at(1)).expect("a valid entry");
     b.merge(&key, &endpoint_of_size(2.0), at(1)).expect("a valid entry");
@@ -173,58 +177,58 @@
 
 #[test]
 fn malformed_expired_and_future_entries_are_rejected() {
-    let mut state = state(1);
-    let long_name = object(&"x".repeat(600));
+    let mut state = empty_state(1);
+    let long_name = object_key(&"x".repeat(600));
     assert_eq!(state.merge(&long_name, &Value::Purged(UNIX), at(1)), Err(MergeError::Malformed));
-    assert_eq!(state.merge(&object(""), &Value::Purged(UNIX), at(1)), Err(MergeError::Malformed));
+    assert_eq!(state.merge(&object_key(""), &Value::Purged(UNIX), at(1)), Err(MergeError::Malformed));
     assert_eq!(
-        state.merge(&object("x"), &Value::Drain(DrainRecord::default()), at(1)),
+        state.merge(&object_key("x"), &Value::Drain(DrainRecord::default()), at(1)),
         Err(MergeError::Malformed)
     );
-    assert_eq!(state.merge(&object("x"), &Value::Purged(UNIX), at(700)), Err(MergeError::Expired));
+    assert_eq!(state.merge(&object_key("x"), &Value::Purged(UNIX), at(700)), Err(MergeError::Expired));
     // Clocks may differ by ten seconds, but not by an hour.
     assert_eq!(
-        state.merge(&object("x"), &Value::Purged(UNIX + 11 * SECOND), at(1)),
+        state.merge(&object_key("x"), &Value::Purged(UNIX + 11 * SECOND), at(1)),
         Ok(MergeOutcome::Changed)
     );
     assert_eq!(
-        state.merge(&object("x"), &Value::Purged(UNIX + 3_600 * SECOND), at(1)),
+        state.merge(&object_key("x"), &Value::Purged(UNIX + 3_600 * SECOND), at(1)),
         Err(MergeError::FromFuture)
     );
 }
 
 #[test]
 fn purge_expires_by_its_own_time_and_does_not_return() {
-    let (mut a, mut b) = (state(1), state(2));
-    let (key, value) = a.purge(object("x"), UNIX, at(0)).expect("capacity").expect("a change");
+    let (mut a, mut b) = (empty_state(1), empty_state(2));
+    let (key, value) = a.purge(object_key("x"), UNIX, at(0)).expect("capacity").expect("a change");
     b.merge(&key, &value, at(0)).expect("a valid entry");
-    assert!(a.expire(at(600)).is_empty(), "still kept");
+    assert!(a.expire(at(600)).is_empty(), "expected the purge to be kept for 600 s");
     assert_eq!(a.expire(at(601)), vec![key.clone()]);
-    // The other's clock is behind: it still has the purge, and sends it.
+    // The clock of the other director is behind: it still has the purge, and sends it.
     assert!(b.expire(at(595)).is_empty());
     assert_eq!(a.merge(&key, &value, at(601)), Err(MergeError::Expired));
     assert!(a.is_empty());
 }
 
 #[test]
-fn tombstones_expire_and_a_director_that_was_away_for_longer_forgets_its_list() {
-    let (mut here, mut away) = (state(1), state(2));
+fn tombstones_expire_and_a_director_away_for_longer_drops_its_member_list() {
+    let (mut here, mut away) = (empty_state(1), empty_state(2));
     for state in [&mut here, &mut away] {
         state.apply_member_update(1, ListScope::Full, &[endpoint("x", MemberState::Running, 0)], at(1));
-        state.purge(object("o"), UNIX + 1_000 * SECOND, at(1_000)).expect("capacity");
+        state.purge(object_key("o"), UNIX + 1_000 * SECOND, at(1_000)).expect("capacity");
     }
     here.set_drain("x", DrainCommand::Drain, at(1)).expect("capacity");
     here.apply_member_update(2, ListScope::Incremental, &[endpoint("x", MemberState::Gone, 0)], at(2));
     assert!(here.expire(at(602)).is_empty());
     let expired = here.expire(at(1_210));
-    assert_eq!(expired.len(), 2, "the tombstone and the drain: {expired:?}");
-    // It still lists the server that others have forgotten.
+    assert_eq!(expired.len(), 2, "expected the tombstone and the drain to expire: {expired:?}");
+    // The director that was away still lists the server whose tombstone has expired elsewhere.
     assert_eq!(away.endpoint_state("x"), Some(MemberState::Running));
     assert_eq!(away.forget_members(), 1);
     assert_eq!(
         (away.endpoint_state("x"), away.count(Kind::Purges)),
         (None, 1),
-        "purges carry their time and stay"
+        "expected the purge to stay, because purges carry their time"
     );
 }
 
@@ -245,7 +249,7 @@
     assert_eq!(
         state.merge(&tombstone(3).0, &tombstone(3).1, at(1)),
         Err(MergeError::Expired),
-        "its tombstone was evicted"
+        "expected a rejection, because this tombstone was evicted"
     );
     // An entry that is stored can always be updated.
     assert_eq!(state.merge(&Key::Group(3), &Value::Purged(UNIX + 1), at(1)), Ok(MergeOutcome::Changed));
@@ -264,14 +268,14 @@
     let key = Key::Drain("x".into());
     let rejected = (0..1_000).filter(|n| state.merge(&key, &drain(*n), at(1)).is_err()).count();
     assert_eq!(rejected, 1_000 - 256);
-    assert!(encode(&(&key, state.get(&key))).len() < 8_000, "it fits a message");
-    assert_eq!(state.purge(object("y"), UNIX, at(1)), Err(MergeError::NoCapacity));
+    assert!(encode(&(&key, state.get(&key))).len() < 8_000, "expected the entry to fit a message");
+    assert_eq!(state.purge(object_key("y"), UNIX, at(1)), Err(MergeError::NoCapacity));
     assert_eq!(state.set_drain("y", DrainCommand::Drain, at(1)), Err(MergeError::NoCapacity));
 }
 
 #[test]
-fn digest_of_an_emptied_state_is_that_of_a_new_one() {
-    let mut state = state(1);
+fn digest_of_an_emptied_state_equals_that_of_a_new_one() {
+    let mut state = empty_state(1);
     for n in 0..500u32 {
         state.purge(Key::Group(n), UNIX + u64::from(n), at(1)).expect("capacity");
         state.purge(Key::Group(n), UNIX + u64::from(n) + 1, at(1)).expect("capacity");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,14 +1,15 @@
-//! The five rules that every decision keeps: deadlines, idempotency, drains, slow start and purges.
+//! Tests of the five rules that every decision follows: deadlines, idempotency, drains, slow start and
+//! purges.
 
 mod common;
 use common::*;
 use foxhold::*;
 
 #[test]
-fn a_request_is_rejected_at_its_deadline_and_nothing_follows() {
+fn rejects_a_request_once_at_its_deadline_and_sends_no_further_attempt() {
     let mut router = RouterHarness::with_default_site();
     let actions = router.send_request(0, 5);
-    let sent_one = attempts_in(&actions)[0].clone();
+    let attempt = attempts_in(&actions)[0].clone();
     router.now += 2_000_000;
     let timers = actions.iter().filter_map(|a| match a {
         Action::SetTimer { at, token } if *at <= router.now => Some(*token),
@@ -17,7 +18,7 @@
     let late: Vec<Action> =
         timers.collect::<Vec<_>>().into_iter().flat_map(|t| router.handle(Event::Timer(t))).collect();
     assert!(is_rejected(&late));
-    let after = router.end_attempt(&sent_one, 0, Outcome::TimedOut, CacheStatus::Unknown);
+    let after = router.end_attempt(&attempt, 0, Outcome::TimedOut, CacheStatus::Unknown);
     assert!(attempts_in(&after).is_empty() && !is_rejected(&after) && !is_failed(&after));
 }
 
@@ -27,7 +28,11 @@
         let mut router = RouterHarness::with_servers(Settings { direct_requests: false, ..settings() }, ids);
         let actions = router.send_request(0, 5);
         if ids == [1] {
-            assert_eq!(attempts_in(&actions)[0].source(), ServerId(1), "no source: only what is cached");
+            assert_eq!(
+                attempts_in(&actions)[0].source(),
+                ServerId(1),
+                "expected the cache itself as source, which serves cached copies only"
+            );
         } else {
             let has_retry_after =
                 |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0);
@@ -41,7 +46,7 @@
 }
 
 #[test]
-fn without_caches_a_request_goes_directly_to_its_parent() {
+fn a_request_goes_directly_to_its_parent_if_no_cache_is_listed() {
     let mut router = RouterHarness::with_servers(settings(), &[11, 12, 13, 20]);
     let attempt = router.attempt_for(5);
     assert_eq!(attempt.server, attempt.source());
@@ -93,7 +98,7 @@
         router.now += 1_100_000;
         assert!(
             is_failed(&router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::Unknown)),
-            "past its window"
+            "expected a failure past the idempotency window"
         );
         router.now += 10_000_000;
     }
@@ -139,7 +144,7 @@
     assert!(router.handle(Event::Timer(*token)).contains(&Action::Subscribe));
 }
 
-/// Transfer time sent to a server that started lately, over any window of one second, against the rule.
+/// Compares the transfer time sent to a recently started server in each window of one second with the rule.
 #[test]
 fn a_server_in_slow_start_stays_within_its_budget_over_any_window() {
     for id in [1, 11] {
@@ -157,46 +162,57 @@
                 router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
             }
         }
-        assert!(log.len() > 20, "it is used within its budget: {}", log.len());
-        let share = if id == 1 { 1.0 } else { 0.5 };
+        assert!(log.len() > 20, "expected more than 20 uses of the server in slow start, got {}", log.len());
+        let router_share = if id == 1 { 1.0 } else { 0.5 };
         for (start, _) in &log {
             let sum: f64 = log.iter().filter(|l| l.0 >= *start && l.0 < start + 1_000_000).map(|l| l.1).sum();
-            let warm = 0.2 + 0.8 * (*start - since) as f64 / 10_000_000.0;
-            assert!(sum <= share * 2.0 * 20.0 * warm * 1_000_000.0, "{sum} at {start}");
+            let warm_share = 0.2 + 0.8 * (*start - since) as f64 / 10_000_000.0;
+            assert!(
+                sum <= router_share * 2.0 * 20.0 * warm_share * 1_000_000.0,
+                "expected the budget to hold, got {sum} us in the second from {start}"
+            );
         }
     }
 }
 
 #[test]
-fn purges_limit_the_age_of_copies_until_servers_have_completed_them() {
+fn purges_limit_the_age_of_copies_until_servers_complete_them() {
     let mut router = RouterHarness::with_default_site();
-    let age = |router: &mut RouterHarness, o| {
+    let max_age_and_collapse = |router: &mut RouterHarness, o| {
         let s = router.attempt_for(o);
         router.end_attempt(&s, 0, Outcome::Ok, CacheStatus::Hit);
         let fill = s.fill.expect("a fill");
         (fill.max_age, fill.collapse)
     };
-    assert_eq!(age(&mut router, 5), (8_000_000, true));
+    assert_eq!(max_age_and_collapse(&mut router, 5), (8_000_000, true));
     router.handle(Event::Purged { object: Some(ObjectId(5)), group: 5, age: 100_000 });
-    assert_eq!(age(&mut router, 5), (100_000, false));
-    assert_eq!(age(&mut router, 37).0, 8_000_000, "same group, other object");
+    assert_eq!(max_age_and_collapse(&mut router, 5), (100_000, false));
+    assert_eq!(
+        max_age_and_collapse(&mut router, 37).0,
+        8_000_000,
+        "expected no limit for another object of the group"
+    );
     router.handle(Event::Purged { object: None, group: 6, age: 0 });
-    assert_eq!(age(&mut router, 38), (1, false), "an age of 0 would mean the default");
+    assert_eq!(
+        max_age_and_collapse(&mut router, 38),
+        (1, false),
+        "expected 1 because a maximum age of 0 means the default"
+    );
     router.now += 2_000_000;
-    assert_eq!(age(&mut router, 6).0, 2_000_000);
+    assert_eq!(max_age_and_collapse(&mut router, 6).0, 2_000_000);
     router.now += 20_000_000;
-    assert_eq!(age(&mut router, 6), (8_000_000, true));
+    assert_eq!(max_age_and_collapse(&mut router, 6), (8_000_000, true));
 }
 
 #[test]
-fn invalid_settings_are_an_error_and_not_a_panic() {
+fn invalid_settings_return_an_error_instead_of_a_panic() {
     assert!(Router::new(Settings::default(), 1).is_err());
     assert!(Router::new(Settings { zone: 9, ..settings() }, 1).is_err());
     assert!(Router::new(Settings { parent_kind: Some(9), ..settings() }, 1).is_err());
 }
 
 #[test]
-fn a_stale_copy_within_its_grace_is_accepted_without_a_working_source() {
+fn a_stale_copy_within_its_grace_is_accepted_if_no_source_works() {
     let mut router =
         RouterHarness::with_servers(Settings { direct_requests: false, ..settings() }, &[1, 2, 11, 12, 20]);
     let attempt = router.attempt_for(5);
@@ -207,10 +223,14 @@
     let mut router = RouterHarness::with_servers(settings(), &[1]);
     assert_eq!(router.attempt_for(5).fill.expect("a fill").max_age, 18_000_000);
     router.handle(Event::Purged { object: Some(ObjectId(5)), group: 0, age: 1_000 });
-    assert_eq!(router.attempt_for(5).fill.expect("a fill").max_age, 1_000, "but not one that was purged");
+    assert_eq!(
+        router.attempt_for(5).fill.expect("a fill").max_age,
+        1_000,
+        "expected no grace for a purged copy"
+    );
 }
 
-/// A started response serves the client: no hedged request, and no rejection at the deadline.
+/// Guards against a hedged request, or a rejection at the deadline, for a client whose response has started.
 #[test]
 fn a_started_response_is_neither_hedged_nor_rejected() {
     let mut router = RouterHarness::with_default_site();
@@ -227,7 +247,7 @@
     assert!(router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit).is_empty());
 }
 
-/// Pending requests keep the limit of their arrival.
+/// Checks that pending requests keep the limit that applied when they arrived.
 #[test]
 fn a_lower_attempt_limit_applies_to_new_requests_only() {
     let mut router = RouterHarness::with_default_site();
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers in slow start under the load of thirty routers, in random runs in simulated time.
+//! Servers in slow start under the load of 20 to 30 routers, in simulated runs of random sites.
 
 #[path = "slow_start/budget.rs"]
 mod budget;
@@ -19,10 +19,10 @@
 use std::sync::OnceLock;
 
 const RUNS: u64 = 50;
-/// Of the runs with large budgets, every fifth measures how much of the budget is used.
+/// Every fifth run with large budgets measures how much of the budget is used.
 const LARGE_BUDGET_SAMPLING: u64 = 5;
 
-/// A random site: its slow-start rule, classes, load and number of routers.
+/// Returns a site with a random slow-start rule, classes, load and number of routers.
 fn random_site(role: Role, small_budget: bool, seed: u64) -> Site {
     let mut random = StdRng::seed_from_u64(seed);
     let rule = SlowStartRule {
@@ -32,17 +32,17 @@
         overload_window: random.random_range(1..=3) * SECOND,
     };
     let transfer_time = random.random_range(0.02e6..0.2e6);
-    let mix = |share, transfer_time, write| ClassMix { share, transfer_time, write };
-    // Every other site has sizes that differ twenty fold.
+    let class_mix = |share, transfer_time, write| ClassMix { share, transfer_time, write };
+    // Every second site has transfer times that differ by a factor of twenty.
     let classes = if seed.is_multiple_of(2) {
-        vec![mix(0.7, transfer_time, false), mix(0.3, 2.0 * transfer_time, false)]
+        vec![class_mix(0.7, transfer_time, false), class_mix(0.3, 2.0 * transfer_time, false)]
     } else {
-        vec![mix(0.35, 0.02e6, true), mix(0.35, 0.1e6, false), mix(0.3, 0.4e6, false)]
+        vec![class_mix(0.35, 0.02e6, true), class_mix(0.35, 0.1e6, false), class_mix(0.3, 0.4e6, false)]
     };
-    let allowed = if small_budget { random.random_range(3.0..10.0) } else { 100.0 };
-    // Many transfers in a short window over a long warming up would be millions of requests.
-    let short = SlowStartRule { warm_up_time: 10 * SECOND, overload_window: 3 * SECOND, ..rule };
-    let rule = if small_budget { rule } else { short };
+    let allowed_requests = if small_budget { random.random_range(3.0..10.0) } else { 100.0 };
+    // A large budget in a short window over a long warm-up time would take millions of requests.
+    let large_budget_rule = SlowStartRule { warm_up_time: 10 * SECOND, overload_window: 3 * SECOND, ..rule };
+    let rule = if small_budget { rule } else { large_budget_rule };
     let site = Site {
         role,
         routers: random.random_range(20..=30),
@@ -55,26 +55,28 @@
         direct_requests: seed % 4 < 2,
         seed,
     };
-    site.sized(allowed)
+    site.sized(allowed_requests)
 }
 
-/// Requests sent to servers, and those that they could have served, in mean requests.
+/// Requests that servers received, and requests that they could have served, both in mean requests.
 #[derive(Clone, Copy, Debug, Default)]
-struct Used {
+struct Usage {
     sent: f64,
     serviceable: f64,
 }
 
-impl Used {
-    /// What a server received, against the demand for a warm one up to a multiple of its capacity.
-    fn of(server: &WarmingServer, demand: &WarmingServer, multiple: f64) -> Used {
-        let serviceable = server.serviceable(&demand.windows(), multiple);
-        let sent = server.windows().iter().zip(&serviceable).map(|(sent, limit)| sent.min(*limit)).sum();
-        Used { sent, serviceable: serviceable.iter().sum() }
+impl Usage {
+    /// Compares what a server received with what it could serve: the demand for a warm server, up to
+    /// `multiple` times its capacity.
+    fn of(server: &WarmingServer, demand: &WarmingServer, multiple: f64) -> Usage {
+        let serviceable = server.serviceable_requests(&demand.requests_by_window(), multiple);
+        let sent =
+            server.requests_by_window().iter().zip(&serviceable).map(|(sent, limit)| sent.min(*limit)).sum();
+        Usage { sent, serviceable: serviceable.iter().sum() }
     }
 
-    fn plus(self, other: Used) -> Used {
-        Used { sent: self.sent + other.sent, serviceable: self.serviceable + other.serviceable }
+    fn plus(self, other: Usage) -> Usage {
+        Usage { sent: self.sent + other.sent, serviceable: self.serviceable + other.serviceable }
     }
 
     fn share(self) -> f64 {
@@ -82,27 +84,28 @@
     }
 }
 
-/// All runs of one kind of site.
+/// The results of all runs of one kind of site.
 #[derive(Debug, Default)]
 struct Summary {
-    /// The window that came nearest to an overload.
+    /// The window with the highest share of its budget.
     worst: WorstWindow,
     overloads: usize,
-    /// What was used of the budget, and of the capacity.
-    budget: Used,
-    capacity: Used,
-    /// The smallest share of the capacity that was used in one run.
+    /// Use of the budget, which is a multiple of the capacity.
+    budget: Usage,
+    /// Use of the capacity.
+    capacity: Usage,
+    /// The smallest share of the capacity that a single run used.
     min_share: f64,
 }
 
-fn summary(role: Role, small_budget: bool) -> Summary {
+fn summarize_runs(role: Role, small_budget: bool) -> Summary {
     let mut summary = Summary { min_share: f64::INFINITY, ..Summary::default() };
     for seed in 0..RUNS {
         let site = random_site(role, small_budget, seed);
         let simulation = Simulation::run(&site);
         let unlimited = (small_budget || seed.is_multiple_of(LARGE_BUDGET_SAMPLING))
             .then(|| Simulation::run(&Site { starts_known: false, ..site.clone() }));
-        let mut run = Used::default();
+        let mut run = Usage::default();
         for (id, server) in &simulation.warming {
             let worst = server.worst_window();
             summary.overloads += usize::from(worst.margin < 0.0);
@@ -110,8 +113,8 @@
                 summary.worst = worst;
             }
             if let Some(demand) = unlimited.as_ref().map(|run| &run.warming[id]) {
-                summary.budget = summary.budget.plus(Used::of(server, demand, site.rule.overload_multiple));
-                run = run.plus(Used::of(server, demand, 1.0));
+                summary.budget = summary.budget.plus(Usage::of(server, demand, site.rule.overload_multiple));
+                run = run.plus(Usage::of(server, demand, 1.0));
             }
         }
         if unlimited.is_some() {
@@ -121,7 +124,7 @@
     }
     println!(
         "{role:?}, small_budget {small_budget}: {} overloads, worst window {:.2} of an overload ({:?}); used \
-         {:.2} of the budget, {:.2} of the capacity, {:.2} in the least run",
+         {:.2} of the budget, {:.2} of the capacity, {:.2} in the run that used least",
         summary.overloads,
         summary.worst.ratio,
         summary.worst,
@@ -132,15 +135,16 @@
     summary
 }
 
-/// The summary of a kind of site, computed once for all tests.
+/// Returns the summary of a kind of site, which is computed once for all tests.
 fn cached_summary(role: Role, small_budget: bool) -> &'static Summary {
     static SUMMARIES: [OnceLock<Summary>; 4] = [const { OnceLock::new() }; 4];
     SUMMARIES[usize::from(role == Role::Parent) * 2 + usize::from(small_budget)]
-        .get_or_init(|| summary(role, small_budget))
+        .get_or_init(|| summarize_runs(role, small_budget))
 }
 
-/// Asserts that no server is overloaded, and that one that starts gets at least half of what it can serve.
-fn assert_within_limits_and_used(role: Role, small_budget: bool) {
+/// Asserts that no server is overloaded, and that servers in slow start receive at least half of what they
+/// can serve.
+fn assert_not_overloaded_and_half_used(role: Role, small_budget: bool) {
     let summary = cached_summary(role, small_budget);
     assert_eq!(summary.overloads, 0, "{summary:?}");
     assert!(summary.capacity.share() >= 0.5, "{summary:?}");
@@ -148,36 +152,40 @@
 
 #[test]
 fn caches_with_small_budgets_are_not_overloaded_and_are_used() {
-    assert_within_limits_and_used(Role::Cache, true);
+    assert_not_overloaded_and_half_used(Role::Cache, true);
 }
 
 #[test]
 fn caches_with_large_budgets_are_not_overloaded_and_are_used() {
-    assert_within_limits_and_used(Role::Cache, false);
+    assert_not_overloaded_and_half_used(Role::Cache, false);
 }
 
 #[test]
 fn parents_with_small_budgets_are_not_overloaded_and_are_used() {
-    assert_within_limits_and_used(Role::Parent, true);
+    assert_not_overloaded_and_half_used(Role::Parent, true);
 }
 
 #[test]
 fn parents_with_large_budgets_are_not_overloaded_and_are_used() {
-    assert_within_limits_and_used(Role::Parent, false);
+    assert_not_overloaded_and_half_used(Role::Parent, false);
 }
 
-/// The same against the whole budget, which is a multiple of the capacity.
+/// Checks the used share of the whole budget, which is a multiple of the capacity.
 #[test]
 fn a_cold_server_gets_half_of_its_budget_where_so_much_is_asked() {
     for (role, small_budget) in
         [(Role::Cache, true), (Role::Cache, false), (Role::Parent, true), (Role::Parent, false)]
     {
         let share = cached_summary(role, small_budget).budget.share();
-        assert!(share >= 0.5, "{role:?}, small_budget {small_budget}: {share:.2} of the budget");
+        assert!(
+            share >= 0.5,
+            "{role:?}, small_budget {small_budget}: {share:.2} of the budget, expected at least half"
+        );
     }
 }
 
-/// The tests above would find routers that do not know of the starts.
+/// Checks that the simulation detects overloads: routers that do not know when servers started apply no slow
+/// start.
 #[test]
 fn a_fleet_without_slow_start_overloads_servers() {
     let overloads = (0..RUNS / 5).filter(|seed| {
--- a/tests/slow_start/budget.rs
+++ b/tests/slow_start/budget.rs
@@ -1,12 +1,12 @@
-//! The budget of a server in slow start: in any window the work that it receives, in mean requests, may be at
-//! most `N + 2 * sqrt(N) + 2`, where `N` is what the settings allow it at that time.
+//! The budget of a server in slow start. The work that the server receives in any window, in mean requests,
+//! may be at most `N + 2 * sqrt(N) + 2`, where `N` is what the settings allow at that time.
 
 use foxhold::{Micros, SlowStartRule};
 
 /// A request that a server received.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedWork {
-    /// When.
+    /// The time of arrival.
     pub at: Micros,
     /// Transfer time at full rate, in microseconds.
     pub transfer_time: f64,
@@ -14,7 +14,7 @@
     pub start_known: bool,
 }
 
-/// A server in slow start, and all that it received since its start.
+/// A server in slow start, and all work that it has received since its start.
 #[derive(Clone, Debug)]
 pub struct WarmingServer {
     /// The slow-start rule of the settings.
@@ -25,39 +25,40 @@
     pub mean_transfer_time: f64,
     /// When it started.
     pub started_at: Micros,
-    /// In the order of time.
+    /// All work received, sorted by time.
     pub received: Vec<ReceivedWork>,
 }
 
-/// The window that came nearest to an overload, or is over it.
+/// The window with the highest ratio of received work to the budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorstWindow {
-    /// What was received in it, relative to the budget.
+    /// Received work relative to the budget; a ratio above 1 is an overload.
     pub ratio: f64,
-    /// Mean requests that were left of the budget; below 0 the server was overloaded.
+    /// The unused part of the budget, in mean requests; negative if the server was overloaded.
     pub margin: f64,
-    /// What the settings allowed, in mean requests.
+    /// The work that the settings allowed, in mean requests.
     pub allowed: f64,
     /// Seconds from the server's start to the window's end.
     pub age: f64,
-    /// The share received from routers that knew of the start.
+    /// The share of the work that came from routers that knew of the start.
     pub start_known_share: f64,
 }
 
 impl WarmingServer {
-    /// The share of its capacity at a time, at the least that the settings allow.
+    /// Returns the smallest share of its capacity that the settings allow at a time. It grows linearly from
+    /// the initial share to 1 over the warm-up time.
     fn capacity_share(&self, at: Micros) -> f64 {
         let age = at.saturating_sub(self.started_at) as f64 / self.rule.warm_up_time as f64;
         (self.rule.initial_capacity_share + (1.0 - self.rule.initial_capacity_share) * age).min(1.0)
     }
 
-    /// Mean requests that the settings allow it in one window at a time.
+    /// Returns the mean requests that the settings allow in one window at a time.
     pub fn allowed_requests(&self, at: Micros) -> f64 {
         self.rule.overload_multiple * self.size * self.capacity_share(at) * self.rule.overload_window as f64
             / self.mean_transfer_time
     }
 
-    /// The window with the least margin of those that end with a request, while the server warms up.
+    /// Returns the worst of the windows that end with a request while the server warms up.
     pub fn worst_window(&self) -> WorstWindow {
         let (mut worst, mut first, mut sum, mut known) = (WorstWindow::default(), 0, 0.0, 0.0);
         for sent in self.received.iter().filter(|s| s.at < self.started_at + self.rule.warm_up_time) {
@@ -86,20 +87,21 @@
         worst
     }
 
-    /// The mean requests received in each whole window from its start until it is warm.
-    pub fn windows(&self) -> Vec<f64> {
+    /// Returns the mean requests received in each whole window, from the start until the server is warm.
+    pub fn requests_by_window(&self) -> Vec<f64> {
         let mut counts = vec![0.0; (self.rule.warm_up_time / self.rule.overload_window) as usize];
         for sent in &self.received {
-            let place = (sent.at.saturating_sub(self.started_at) / self.rule.overload_window) as usize;
-            if let Some(count) = counts.get_mut(place) {
+            let index = (sent.at.saturating_sub(self.started_at) / self.rule.overload_window) as usize;
+            if let Some(count) = counts.get_mut(index) {
                 *count += sent.transfer_time / self.mean_transfer_time;
             }
         }
         counts
     }
 
-    /// What it could serve in each of these windows: a multiple of its capacity in the middle, or the demand.
-    pub fn serviceable(&self, demand: &[f64], multiple: f64) -> Vec<f64> {
+    /// Returns the mean requests that the server could serve in each window: the demand, up to a multiple of
+    /// the capacity in the middle of the window.
+    pub fn serviceable_requests(&self, demand: &[f64], multiple: f64) -> Vec<f64> {
         let middle = |n: usize| {
             self.started_at + self.rule.overload_window * n as Micros + self.rule.overload_window / 2
         };
--- a/tests/slow_start/simulation.rs
+++ b/tests/slow_start/simulation.rs
@@ -1,6 +1,6 @@
 //! Routers and emulated servers in simulated time. One server restarts and one joins, the traffic doubles for
-//! a while, routers start during the run, each learns of the members at a time of its own, and some receive
-//! five times the traffic of others. All random numbers come from one seed.
+//! a while and routers start during the run. Member updates reach each router after a different delay, and
+//! some routers receive five times the traffic of others. All random numbers come from one seed.
 
 use crate::budget::{ReceivedWork, WarmingServer};
 use crate::common;
@@ -16,26 +16,26 @@
 #[derive(Default)]
 struct Process {
     router: Option<Router>,
-    /// Counts its starts: events scheduled for an earlier one are dropped.
+    /// Number of starts so far; events scheduled for an earlier start are dropped.
     epoch: u32,
-    /// Servers of whose start it knows.
+    /// Servers whose start time the router has received.
     known_starts: HashSet<u32>,
-    /// Attempts in flight by request: the number of the event that ends each, and when it was sent.
+    /// Attempts in flight by request: the number of the event that ends each attempt, and when it was sent.
     in_flight: HashMap<RequestId, Vec<Option<(u64, Micros)>>>,
     requests: HashMap<RequestId, Request>,
 }
 
-/// A run of one site.
+/// A simulated run of one site.
 pub struct Simulation {
     site: Site,
     random: StdRng,
     now: Micros,
     last_event: u64,
     schedule: BinaryHeap<Reverse<(Micros, u64)>>,
-    /// By its number in `schedule`: the process, which start of it, and the event.
+    /// Events by their number in `schedule`, each with its process and the epoch of the process.
     events: HashMap<u64, (usize, u32, Scheduled)>,
     processes: Vec<Process>,
-    /// The member list, by server.
+    /// The member list by server id.
     list: BTreeMap<u32, Member>,
     pub warming: BTreeMap<u32, WarmingServer>,
     pub rejected: u64,
@@ -43,7 +43,7 @@
 }
 
 impl Simulation {
-    /// Runs a site to its end.
+    /// Simulates a site until the joining server is warm.
     pub fn run(site: &Site) -> Simulation {
         let end = JOIN + site.rule.warm_up_time;
         let mut simulation = Simulation {
@@ -83,10 +83,11 @@
         self.events.insert(self.last_event, (process, epoch, event));
     }
 
-    /// Schedules member updates and the starts of routers: a fifth is late, and another fifth is replaced.
+    /// Schedules member updates and the starts of routers: a fifth of the routers start late, and another
+    /// fifth are replaced.
     fn schedule_run(&mut self) {
-        let [back, joins] = self.site.warming_ids();
-        for id in CACHES.chain(PARENTS).chain([common::ORIGIN.0]).filter(|id| *id != joins) {
+        let [restarting, joining] = self.site.warming_ids();
+        for id in CACHES.chain(PARENTS).chain([common::ORIGIN.0]).filter(|id| *id != joining) {
             self.list.insert(id, self.site.member(id));
         }
         for process in 0..self.processes.len() {
@@ -101,13 +102,13 @@
             }
         }
         self.schedule_at(START, 0, Scheduled::Arrival);
-        let gone = Member { state: MemberState::Gone, ..self.site.member(back) };
-        let returned = Member { started_at: RESTART, ..self.site.member(back) };
-        let joined = Member { started_at: JOIN, ..self.site.member(joins) };
+        let gone = Member { state: MemberState::Gone, ..self.site.member(restarting) };
+        let returned = Member { started_at: RESTART, ..self.site.member(restarting) };
+        let joined = Member { started_at: JOIN, ..self.site.member(joining) };
         for (at, member) in [(REMOVAL, gone), (RESTART, returned), (JOIN, joined)] {
             self.schedule_member(at, member);
         }
-        for (id, started_at) in [(back, RESTART), (joins, JOIN)] {
+        for (id, started_at) in [(restarting, RESTART), (joining, JOIN)] {
             let (rule, size, mean_transfer_time) =
                 (self.site.rule, self.site.size, self.site.mean_transfer_time());
             self.warming.insert(
@@ -117,13 +118,13 @@
         }
     }
 
-    /// Schedules an update of a member for each router, at a time of its own.
+    /// Schedules an update of a member for each router, each after a random delay.
     fn schedule_member(&mut self, at: Micros, member: Member) {
         for process in 0..self.processes.len() {
-            let late = self.random.random_range(0..MAX_UPDATE_DELAY);
+            let delay = self.random.random_range(0..MAX_UPDATE_DELAY);
             self.last_event += 1;
-            self.schedule.push(Reverse((at + late, self.last_event)));
-            // For whichever start of the process there is by then.
+            self.schedule.push(Reverse((at + delay, self.last_event)));
+            // `u32::MAX`: the event is valid for any epoch of the process.
             self.events.insert(
                 self.last_event,
                 (process, u32::MAX, Scheduled::Members(process, vec![member.clone()])),
@@ -131,26 +132,26 @@
         }
     }
 
-    /// The member list at a time.
+    /// Returns the member list at a time.
     fn members_at(&self, now: Micros) -> Vec<Member> {
-        let [back, joins] = self.site.warming_ids();
+        let [restarting, joining] = self.site.warming_ids();
         let mut members: Vec<Member> = self.list.values().cloned().collect();
         for member in &mut members {
-            if member.server.0 == back && now >= REMOVAL {
+            if member.server.0 == restarting && now >= REMOVAL {
                 member.state = if now < RESTART { MemberState::Gone } else { MemberState::Running };
                 member.started_at = if now < RESTART { 0 } else { RESTART };
             }
         }
         if now >= JOIN {
-            members.push(Member { started_at: JOIN, ..self.site.member(joins) });
+            members.push(Member { started_at: JOIN, ..self.site.member(joining) });
         }
         members
     }
 
-    /// Whether a server responds.
+    /// Returns whether a server accepts connections at present.
     fn is_up(&self, id: u32) -> bool {
-        let [back, joins] = self.site.warming_ids();
-        !(id == back && (CRASH..RESTART).contains(&self.now) || id == joins && self.now < JOIN)
+        let [restarting, joining] = self.site.warming_ids();
+        !(id == restarting && (CRASH..RESTART).contains(&self.now) || id == joining && self.now < JOIN)
     }
 
     fn handle(&mut self, process: usize, epoch: u32, event: Scheduled) {
@@ -166,14 +167,14 @@
         }
         match event {
             Scheduled::Members(process, members) => {
-                let members = members.into_iter().map(|m| self.as_known_to(process, m)).collect();
-                self.event(process, Event::Members { kind: MemberUpdate::Incremental, members });
+                let members = members.into_iter().map(|m| self.member_as_seen_by(process, m)).collect();
+                self.deliver_event(process, Event::Members { kind: MemberUpdate::Incremental, members });
             }
-            Scheduled::Timer(token) => self.event(process, Event::Timer(token)),
+            Scheduled::Timer(token) => self.deliver_event(process, Event::Timer(token)),
             Scheduled::AttemptEnded(end) => self.attempt_ended(process, end),
             Scheduled::HealthChecked(server) => {
                 let outcome = if self.is_up(server.0) { Outcome::Ok } else { Outcome::ConnectError };
-                self.event(
+                self.deliver_event(
                     process,
                     Event::HealthChecked { server, outcome, elapsed: 2_000, load_report: Vec::new() },
                 );
@@ -182,31 +183,33 @@
         }
     }
 
-    fn as_known_to(&mut self, process: usize, member: Member) -> Member {
+    /// Records that a process has received the start of a member, and returns the member as the process sees
+    /// it.
+    fn member_as_seen_by(&mut self, process: usize, member: Member) -> Member {
         if member.started_at > 0 {
             self.processes[process].known_starts.insert(member.server.0);
         }
         Member { started_at: if self.site.starts_known { member.started_at } else { 0 }, ..member }
     }
 
-    /// Starts a new process with the present member list.
+    /// Starts a process with the current member list; it replaces an earlier process of that number.
     fn start(&mut self, process: usize) {
         let seed = self.random.random();
         let router = Router::new(self.site.settings(), seed).expect("good settings");
         let epoch = self.processes[process].epoch + 1;
         self.processes[process] = Process { router: Some(router), epoch, ..Process::default() };
         let members: Vec<Member> = self.members_at(self.now);
-        let members = members.into_iter().map(|m| self.as_known_to(process, m)).collect();
-        self.event(process, Event::Members { kind: MemberUpdate::Full, members });
+        let members = members.into_iter().map(|m| self.member_as_seen_by(process, m)).collect();
+        self.deliver_event(process, Event::Members { kind: MemberUpdate::Full, members });
     }
 
     fn arrival(&mut self) {
-        let times = if BURST.contains(&self.now) { 2.0 } else { 1.0 };
-        let gap = -(1.0 - self.unit()).ln() * 1e6 / (self.site.rate() * times);
+        let load_factor = if BURST.contains(&self.now) { 2.0 } else { 1.0 };
+        let gap = -(1.0 - self.unit()).ln() * 1e6 / (self.site.requests_per_second() * load_factor);
         self.schedule_at(self.now + gap as Micros + 1, 0, Scheduled::Arrival);
         let Some(process) = self.draw_process() else { return };
         let class = self.draw_class();
-        // Sizes within a class differ by a factor of three about the mean.
+        // Sizes within a class vary around the mean by a factor of three.
         let spread = (0..3).map(|_| self.unit()).sum::<f64>() - 1.5;
         let transfer_time = self.site.classes[class].transfer_time * (spread * 1.1).exp() / 1.16;
         let object = (self.unit().powi(3) * 4_000.0) as u64;
@@ -216,16 +219,16 @@
             class,
             object: ObjectId(object),
             deadline: self.now + 3 * SECOND,
-            // The settings have 1000 KB a second.
+            // The settings assume 1000 KB per second.
             size_kb: transfer_time / 1000.0,
             group: Some((object % 32) as u32),
             ..Request::default()
         };
         self.processes[process].requests.insert(request.id, request.clone());
-        self.event(process, Event::Request(request));
+        self.deliver_event(process, Event::Request(request));
     }
 
-    /// The process that receives the next request.
+    /// Draws the running process that receives the next request, weighted by traffic.
     fn draw_process(&mut self) -> Option<usize> {
         let weight = |p: usize| if p.is_multiple_of(5) { BUSY_ROUTER_MULTIPLE } else { 1.0 };
         let running: Vec<usize> =
@@ -239,14 +242,15 @@
 
     fn draw_class(&mut self) -> usize {
         let mut left = self.unit() * self.site.classes.iter().map(|c| c.share).sum::<f64>();
-        let place = self.site.classes.iter().position(|c| {
+        let index = self.site.classes.iter().position(|c| {
             left -= c.share;
             left < 0.0
         });
-        place.unwrap_or(0)
+        index.unwrap_or(0)
     }
 
-    fn event(&mut self, process: usize, event: Event) {
+    /// Passes an event to the router of a process, and carries out its actions.
+    fn deliver_event(&mut self, process: usize, event: Event) {
         let mut actions = Vec::new();
         if let Some(router) = &mut self.processes[process].router {
             router.handle(self.now, event, &mut actions);
@@ -254,7 +258,7 @@
         for action in actions {
             match action {
                 Action::Attempt { request, server, fill, .. } => {
-                    self.attempt(process, request, server, fill);
+                    self.start_attempt(process, request, server, fill);
                 }
                 Action::Cancel { request, attempt } => self.cancel(process, request, attempt),
                 Action::SetTimer { at, token } => {
@@ -269,8 +273,9 @@
         }
     }
 
-    /// Records a request at a server, with the mean transfer time of its class or with its own.
-    fn receive(&mut self, process: usize, server: u32, request: &Request) {
+    /// Records a request at a server. Caches count the mean transfer time of its class, parents the time of
+    /// the request itself.
+    fn record_received(&mut self, process: usize, server: u32, request: &Request) {
         let start_known = self.processes[process].known_starts.contains(&server);
         let at = self.now;
         let transfer_time = match self.site.role {
@@ -282,9 +287,9 @@
         }
     }
 
-    fn attempt(&mut self, process: usize, id: RequestId, server: ServerId, fill: Option<Fill>) {
+    fn start_attempt(&mut self, process: usize, id: RequestId, server: ServerId, fill: Option<Fill>) {
         let request = self.processes[process].requests[&id].clone();
-        let (outcome, cache_status) = self.outcome(process, &request, server, fill);
+        let (outcome, cache_status) = self.attempt_outcome(process, &request, server, fill);
         let transfer_time = (request.size_kb * 1000.0) as Micros;
         let elapsed = match outcome {
             Outcome::ConnectError => 1_000,
@@ -313,8 +318,8 @@
         }
     }
 
-    /// How an attempt ends; records it at the servers that receive it.
-    fn outcome(
+    /// Returns how an attempt ends, and records it at the servers that receive it.
+    fn attempt_outcome(
         &mut self,
         process: usize,
         request: &Request,
@@ -324,7 +329,7 @@
         if !self.is_up(server.0) {
             return (Outcome::ConnectError, CacheStatus::Unknown);
         }
-        self.receive(process, server.0, request);
+        self.record_received(process, server.0, request);
         let drawn = self.unit();
         if drawn < REJECTED_SHARE {
             return (Outcome::Rejected, CacheStatus::Unknown);
@@ -345,14 +350,14 @@
                 (Outcome::Miss, CacheStatus::Unknown)
             };
         }
-        // Some collapse into a running fill: the source receives nothing.
+        // A share of the requests joins a running fill: the source receives nothing.
         if fill.collapse && self.unit() < 0.05 {
             return (Outcome::Ok, CacheStatus::Collapsed);
         }
         if !self.is_up(fill.source.0) {
             return (Outcome::Failed, CacheStatus::SourceUnreachable);
         }
-        self.receive(process, fill.source.0, request);
+        self.record_received(process, fill.source.0, request);
         if fill.only_if_cached {
             return (Outcome::Miss, CacheStatus::SourceMiss);
         }
@@ -365,7 +370,7 @@
     fn attempt_ended(&mut self, process: usize, end: AttemptEnd) {
         let attempts = self.processes[process].in_flight.get_mut(&end.request);
         if attempts.and_then(|a| a.get_mut(end.attempt as usize)).and_then(Option::take).is_some() {
-            self.event(process, Event::AttemptEnded(end));
+            self.deliver_event(process, Event::AttemptEnded(end));
         }
     }
 
--- a/tests/slow_start/site.rs
+++ b/tests/slow_start/site.rs
@@ -4,12 +4,12 @@
 use foxhold::*;
 
 pub const SECOND: Micros = 1_000_000;
-/// The caches; when caches are tested one of them joins later.
+/// Ids of the caches; the last one joins later in runs that test caches.
 pub const CACHES: std::ops::RangeInclusive<u32> = 1..=4;
-/// The parents; when parents are tested one of them joins later.
+/// Ids of the parents; the last one joins later in runs that test parents.
 pub const PARENTS: std::ops::RangeInclusive<u32> = 11..=14;
 
-/// Which servers are tested.
+/// The role of the servers under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Cache,
@@ -24,7 +24,7 @@
     pub write: bool,
 }
 
-/// One site.
+/// The parameters of a simulated site: its routers, servers, classes and load.
 #[derive(Clone, Debug)]
 pub struct Site {
     pub role: Role,
@@ -44,7 +44,8 @@
 }
 
 impl Site {
-    /// Mean transfer time, in microseconds, of the requests that a server of the tested role may receive.
+    /// Returns the mean transfer time, in microseconds, of the requests that a server of the tested role may
+    /// receive.
     pub fn mean_transfer_time(&self) -> f64 {
         let is_tested = |c: &&ClassMix| !c.write || (self.role == Role::Cache && !self.direct_requests);
         let classes: Vec<&ClassMix> = self.classes.iter().filter(is_tested).collect();
@@ -52,23 +53,25 @@
         classes.iter().map(|c| c.share * c.transfer_time).sum::<f64>() / share
     }
 
-    /// The site with servers of a size that allows so many mean requests in a window at their start.
-    pub fn sized(self, allowed: f64) -> Site {
-        let part =
+    /// Returns the site with servers of a size that allows `allowed_requests` mean requests in a window at
+    /// their start.
+    pub fn sized(self, allowed_requests: f64) -> Site {
+        let budget_of_unit_size =
             self.rule.initial_capacity_share * self.rule.overload_multiple * self.rule.overload_window as f64;
-        Site { size: allowed * self.mean_transfer_time() / part, ..self }
+        Site { size: allowed_requests * self.mean_transfer_time() / budget_of_unit_size, ..self }
     }
 
-    /// Requests a second to all routers that put the load of the site on the servers of the tested role.
-    pub fn rate(&self) -> f64 {
+    /// Returns the requests per second to all routers that put the site's load on the servers of the tested
+    /// role.
+    pub fn requests_per_second(&self) -> f64 {
         let is_tested = |c: &&ClassMix| !c.write || (self.role == Role::Cache && !self.direct_requests);
-        let part: f64 = self.classes.iter().filter(is_tested).map(|c| c.share).sum();
+        let received_share: f64 = self.classes.iter().filter(is_tested).map(|c| c.share).sum();
         let servers = 3.0;
-        let misses = if self.role == Role::Parent { 1.0 - self.hit_ratio } else { 1.0 };
-        servers * self.load * self.size * 1e6 / (self.mean_transfer_time() * part * misses)
+        let miss_share = if self.role == Role::Parent { 1.0 - self.hit_ratio } else { 1.0 };
+        servers * self.load * self.size * 1e6 / (self.mean_transfer_time() * received_share * miss_share)
     }
 
-    /// The settings of each router.
+    /// Returns the settings that all routers use.
     pub fn settings(&self) -> Settings {
         let class = |mix: &ClassMix| Class {
             write: mix.write,
@@ -92,7 +95,7 @@
         }
     }
 
-    /// The entry of a server that started long ago.
+    /// Returns the member entry of a server that started long ago.
     pub fn member(&self, id: u32) -> Member {
         let tested = match self.role {
             Role::Cache => CACHES.contains(&id),
@@ -102,7 +105,7 @@
         Member { size, ..common::member(id) }
     }
 
-    /// The server that restarts, and the one that joins.
+    /// Returns the ids of the server that restarts and of the server that joins.
     pub fn warming_ids(&self) -> [u32; 2] {
         match self.role {
             Role::Cache => [1, 4],
