--- a/crates/foxhold-testbed/tests/gossip.rs
+++ b/crates/foxhold-testbed/tests/gossip.rs
@@ -1,5 +1,5 @@
-//! Directors that share state: five to eight real processes, faults between them, and what all of them hold afterwards.
-//! The large form of these is `foxhold-testbed talk`.
+//! Tests of the state that directors share by gossip: one to six processes, faults between them, and the
+//! entries that each holds afterwards. `foxhold-testbed talk` runs larger fleets.
 
 use foxhold::cluster::frame::{Body, FrameCodec, Message};
 use foxhold::cluster::members::Member;
@@ -15,51 +15,55 @@
 
 mod common;
 
-fn local(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+fn block_on_local(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime starts");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-async fn fleet(directors: usize, keys: &str, persistent: bool) -> Fleet {
-    let config = FleetConfig { directors, keys: keys.into(), persistent, seed: 7, ..FleetConfig::default() };
-    let fleet = Fleet::start(&common::daemon(), config).await.expect("a fleet");
-    fleet.joined(&all(&fleet), directors - 1, s(20)).await.expect("they meet");
+/// Starts a fleet and waits until each director has all others as peers.
+async fn start_fleet(count: usize, keys: &str, persistent: bool) -> Fleet {
+    let config =
+        FleetConfig { directors: count, keys: keys.into(), persistent, seed: 7, ..FleetConfig::default() };
+    let fleet = Fleet::start(&common::daemon(), config).await.expect("fleet starts");
+    fleet.joined(&directors(&fleet), count - 1, seconds(20)).await.expect("all directors are peers");
     fleet
 }
 
-fn all(fleet: &Fleet) -> Vec<usize> {
+/// Returns the numbers of all directors, from 0.
+fn directors(fleet: &Fleet) -> Vec<usize> {
     (0..fleet.len()).collect()
 }
 
-fn s(seconds: u64) -> Duration {
-    Duration::from_secs(seconds)
+fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
-async fn told(fleet: &Fleet, n: usize, line: &str) {
-    assert_eq!(fleet.admin_call(n, line).await.expect("a door"), "YES\n", "{line}");
+/// Sends a command to a director's admin endpoint and checks that it is accepted.
+async fn admin_command(fleet: &Fleet, n: usize, line: &str) {
+    assert_eq!(fleet.admin_call(n, line).await.expect("admin response"), "YES\n", "{line}");
 }
 
-/// Delivers so many purges to a director.
-async fn fill(fleet: &Fleet, n: usize, entries: u32) {
-    let mut client = TestClient::open(fleet).await.expect("a client");
-    client.fill(fleet, n, entries).await.expect("it takes them");
+/// Delivers `entries` purges to a director.
+async fn deliver_purges(fleet: &Fleet, n: usize, entries: u32) {
+    let mut client = TestClient::open(fleet).await.expect("client opens");
+    client.fill(fleet, n, entries).await.expect("director acknowledges all purges");
 }
 
-fn has(state: &[String], words: &str) -> bool {
-    state.iter().any(|line| line.contains(words))
+fn contains(state: &[String], text: &str) -> bool {
+    state.iter().any(|line| line.contains(text))
 }
 
-/// Waits until each holds the same of all kinds, and gives that of the drains.
-async fn same(fleet: &Fleet, some: &[usize], within: Duration) -> Vec<String> {
+/// Waits until these directors hold equal state of every kind. Returns the lines of the drain overrides.
+async fn wait_for_equal_state(fleet: &Fleet, directors: &[usize], within: Duration) -> Vec<String> {
     let mut drains = Vec::new();
     for kind in ["purges", "drains", "members"] {
         let deadline = std::time::Instant::now() + within;
         loop {
             let mut states = Vec::new();
-            for n in some {
+            for n in directors {
                 states.push(fleet.state(*n, kind).await);
             }
-            if states.iter().all(|one| one.is_some() && *one == states[0]) {
+            if states.iter().all(|state| state.is_some() && *state == states[0]) {
                 if kind == "drains" {
                     drains = states[0].clone().unwrap_or_default();
                 }
@@ -67,8 +71,8 @@
             }
             assert!(
                 std::time::Instant::now() < deadline,
-                "{kind} differ: {states:?}\n{}",
-                fleet.log(some[0])
+                "expected equal {kind} within {within:?}: {states:?}\n{}",
+                fleet.log(directors[0])
             );
             sleep(Duration::from_millis(20)).await;
         }
@@ -76,281 +80,346 @@
     drains
 }
 
-fn unix() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_micros() as u64
+fn unix_micros() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("clock is after 1970").as_micros() as u64
 }
 
-/// What someone says who has another key, or speaks for another fleet.
-fn sealed(fleet: &str, key: &[u8], say: GossipMessage) -> Vec<u8> {
-    let from = Member::new("outsider", "127.0.0.1:9".parse().expect("an address"), 1);
-    let message = Message { from, incarnation: 1, number: 1, body: Body::Gossip(say) };
-    FrameCodec::new(fleet, &[key.to_vec()]).expect("a key").encode(&message).expect("small")
+/// Encodes a message under a fleet name and key, from a sender that is not a member.
+fn foreign_frame(fleet: &str, key: &[u8], message: GossipMessage) -> Vec<u8> {
+    let from = Member::new("outsider", "127.0.0.1:9".parse().expect("address is valid"), 1);
+    let frame = Message { from, incarnation: 1, number: 1, body: Body::Gossip(message) };
+    FrameCodec::new(fleet, &[key.to_vec()])
+        .expect("key is valid")
+        .encode(&frame)
+        .expect("message fits into a datagram")
 }
 
-/// Waits, for 300 ms at most, until each director's own module leaves so many servers out.
-async fn excluded(fleet: &Fleet, servers: usize) {
+/// Waits, for 300 ms at most, until each director's routing excludes this number of caches.
+async fn wait_for_excluded_caches(fleet: &Fleet, caches: usize) {
     let deadline = std::time::Instant::now() + Duration::from_millis(300);
-    for n in all(fleet) {
+    for n in directors(fleet) {
         loop {
-            let vars = fleet.admin_call(n, "vars").await.expect("a door");
-            if vars.contains(&format!("\"caches_excluded\":{servers},")) {
+            let vars = fleet.admin_call(n, "vars").await.expect("admin response");
+            if vars.contains(&format!("\"caches_excluded\":{caches},")) {
                 break;
             }
-            assert!(std::time::Instant::now() < deadline, "director {n}: {vars}");
+            assert!(
+                std::time::Instant::now() < deadline,
+                "director {n}: expected {caches} excluded caches: {vars}"
+            );
             sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-async fn count(fleet: &Fleet, n: usize, path: &[&str]) -> u64 {
-    let shown = fleet.shown(n).await.expect("a door");
-    path.iter().fold(&shown, |value, key| &value[*key]).as_u64().unwrap_or(0)
+/// Returns a number from a director's `peers` report, or 0 if it is not there.
+async fn reported_count(fleet: &Fleet, n: usize, path: &[&str]) -> u64 {
+    let report = fleet.shown(n).await.expect("admin response");
+    path.iter().fold(&report, |value, key| &value[*key]).as_u64().unwrap_or(0)
 }
 
 #[test]
-fn a_drain_told_to_one_director_holds_in_all_within_a_second_and_is_taken_back_in_all() {
-    local(async {
-        let fleet = fleet(6, "", false).await;
-        told(&fleet, 2, "drain cache-1").await;
-        let took = fleet.until(&all(&fleet), "drains", s(1), |s| has(s, "cache-1 drains")).await;
-        println!("the last of six heard after {:?}", took.expect("within a second"));
-        // Not only held: each director's own module leaves the server out.
-        excluded(&fleet, 1).await;
-        told(&fleet, 4, "undrain cache-1").await;
+fn a_drain_override_starts_and_ends_on_all_directors_within_a_second() {
+    block_on_local(async {
+        let fleet = start_fleet(6, "", false).await;
+        admin_command(&fleet, 2, "drain cache-1").await;
+        let took = fleet
+            .until(&directors(&fleet), "drains", seconds(1), |state| contains(state, "cache-1 drains"))
+            .await;
+        println!(
+            "all six directors hold the drain after {:?}",
+            took.expect("all directors hold the drain within 1 s")
+        );
+        // The drain also takes effect: each director excludes the cache from routing.
+        wait_for_excluded_caches(&fleet, 1).await;
+        admin_command(&fleet, 4, "undrain cache-1").await;
         fleet
-            .until(&all(&fleet), "drains", s(1), |s| has(s, "cache-1 does not drain"))
+            .until(&directors(&fleet), "drains", seconds(1), |state| {
+                contains(state, "cache-1 does not drain")
+            })
             .await
-            .expect("all hear");
-        excluded(&fleet, 0).await;
+            .expect("all directors hold the end of the drain within 1 s");
+        wait_for_excluded_caches(&fleet, 0).await;
         assert_eq!(
-            fleet.admin_call(1, "drain cache-1 now").await.expect("a door"),
+            fleet.admin_call(1, "drain cache-1 now").await.expect("admin response"),
             "NO such call; there are 'check' and 'vars'\n"
         );
-        // All started at once: nobody had anything to catch up with.
-        let begun = std::time::Instant::now();
-        while fleet.admin_call(1, "check").await.expect("a door") == "YES catching up\n" {
-            assert!(begun.elapsed() < s(5));
+        // All directors started at the same time, so there is nothing to catch up on.
+        let started = std::time::Instant::now();
+        while fleet.admin_call(1, "check").await.expect("admin response") == "YES catching up\n" {
+            assert!(started.elapsed() < seconds(5), "expected director 1 to be caught up within 5 s");
             sleep(Duration::from_millis(20)).await;
         }
     });
 }
 
 #[test]
-fn a_purge_told_while_the_ways_to_half_of_the_others_are_cut_is_with_all_soon_after_they_are_back() {
-    local(async {
-        let fleet = fleet(6, "", false).await;
+fn a_purge_during_a_partition_reaches_all_directors_within_5_s_of_healing() {
+    block_on_local(async {
+        let fleet = start_fleet(6, "", false).await;
         fleet.net.cut(&[0, 1, 2], &[3, 4, 5]);
-        told(&fleet, 0, "purge object 7f3a9c21e0b4d655").await;
-        fleet.until(&[0, 1, 2], "purges", s(2), |s| has(s, "7f3a9c21e0b4d655")).await.expect("its own half");
-        sleep(s(1)).await;
+        admin_command(&fleet, 0, "purge object 7f3a9c21e0b4d655").await;
+        fleet
+            .until(&[0, 1, 2], "purges", seconds(2), |state| contains(state, "7f3a9c21e0b4d655"))
+            .await
+            .expect("directors on the same side hold the purge");
+        sleep(seconds(1)).await;
         for n in 3..6 {
-            assert_eq!(fleet.state(n, "purges").await, Some(Vec::new()), "the ways are cut");
+            assert_eq!(
+                fleet.state(n, "purges").await,
+                Some(Vec::new()),
+                "the partition keeps the purge from director {n}"
+            );
         }
         fleet.net.set_all(LinkConditions::default());
-        let took = fleet.until(&[3, 4, 5], "purges", s(5), |s| has(s, "7f3a9c21e0b4d655")).await;
-        println!("all had the purge {:?} after the ways were back", took.expect("they hear"));
+        let took =
+            fleet.until(&[3, 4, 5], "purges", seconds(5), |state| contains(state, "7f3a9c21e0b4d655")).await;
+        println!(
+            "all directors hold the purge {:?} after healing",
+            took.expect("all directors hold the purge within 5 s")
+        );
     });
 }
 
 #[test]
-fn a_fleet_cut_in_two_long_enough_to_take_each_other_for_dead_comes_to_one_state() {
-    local(async {
-        let fleet = fleet(6, "", false).await;
-        told(&fleet, 0, "drain cache-2").await;
-        same(&fleet, &all(&fleet), s(5)).await;
+fn a_fleet_partitioned_past_its_failure_timeout_converges_to_one_state() {
+    block_on_local(async {
+        let fleet = start_fleet(6, "", false).await;
+        admin_command(&fleet, 0, "drain cache-2").await;
+        wait_for_equal_state(&fleet, &directors(&fleet), seconds(5)).await;
         let (left, right) = ([0, 1, 2], [3, 4, 5]);
         fleet.net.cut(&left, &right);
-        // Each half takes the other for dead: the protocol's 4 s of suspicion and some probes.
-        for n in all(&fleet) {
-            let begun = std::time::Instant::now();
-            while fleet.shown(n).await.expect("a door")["peers"].as_array().map(Vec::len) != Some(2) {
-                assert!(begun.elapsed() < s(25), "director {n}: {}", fleet.log(n));
+        // Each half declares the other dead after some probes and the protocol's 4 s of suspicion.
+        for n in directors(&fleet) {
+            let started = std::time::Instant::now();
+            while fleet.shown(n).await.expect("admin response")["peers"].as_array().map(Vec::len) != Some(2) {
+                assert!(
+                    started.elapsed() < seconds(25),
+                    "director {n}: expected two peers within 25 s: {}",
+                    fleet.log(n)
+                );
                 sleep(Duration::from_millis(100)).await;
             }
         }
-        // On the left a drain is taken back that all know of; on the right it is told anew.
-        told(&fleet, 1, "undrain cache-2").await;
-        told(&fleet, 3, "drain cache-2").await;
-        // On the right a drain that the left never hears of is told and taken back; on the left one stays.
-        told(&fleet, 4, "drain parent-1").await;
-        told(&fleet, 5, "undrain parent-1").await;
-        told(&fleet, 2, "drain cache-1").await;
-        told(&fleet, 2, "purge group 9").await;
+        // The left half ends a drain that all directors know; the right half starts it again.
+        admin_command(&fleet, 1, "undrain cache-2").await;
+        admin_command(&fleet, 3, "drain cache-2").await;
+        // The right half starts and ends a drain that the left half does not learn of; the left half starts
+        // one that stays.
+        admin_command(&fleet, 4, "drain parent-1").await;
+        admin_command(&fleet, 5, "undrain parent-1").await;
+        admin_command(&fleet, 2, "drain cache-1").await;
+        admin_command(&fleet, 2, "purge group 9").await;
         fleet.net.set_all(LinkConditions::default());
         let healed = std::time::Instant::now();
-        fleet.joined(&all(&fleet), 5, s(20)).await.expect("they meet again");
-        let drains = same(&fleet, &all(&fleet), s(10)).await;
-        println!("one state {:?} after the ways were back: {drains:?}", healed.elapsed());
-        assert!(has(&drains, "cache-2 drains"), "told at once on both sides: in doubt it drains");
-        assert!(has(&drains, "cache-1 drains") && has(&drains, "parent-1 does not drain"), "{drains:?}");
+        fleet.joined(&directors(&fleet), 5, seconds(20)).await.expect("all directors are peers again");
+        let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
+        println!("equal state {:?} after healing: {drains:?}", healed.elapsed());
+        assert!(contains(&drains, "cache-2 drains"), "the drain wins over a concurrent undrain: {drains:?}");
+        assert!(
+            contains(&drains, "cache-1 drains") && contains(&drains, "parent-1 does not drain"),
+            "{drains:?}"
+        );
     });
 }
 
 #[test]
-fn over_ways_that_lose_a_fifth_double_some_and_are_late_all_come_to_one_state() {
-    local(async {
-        let fleet = fleet(5, "", false).await;
+fn directors_converge_over_links_with_loss_duplication_and_delay() {
+    block_on_local(async {
+        let fleet = start_fleet(5, "", false).await;
         fleet.net.set_all(LinkConditions { loss: 0.2, duplication: 0.2, delay_ms: 2_000 });
-        // One way between two is gone altogether.
+        // Director 0 cannot reach director 1 at all.
         fleet.net.set(0, 1, LinkConditions::CUT);
         for n in 0..20 {
             let server = ["cache-1", "cache-2", "parent-1"][n % 3];
-            let word = if n % 4 == 3 { "undrain" } else { "drain" };
-            fleet.admin_call(n % 5, &format!("{word} {server}")).await.expect("a door");
-            fleet.admin_call((n + 2) % 5, &format!("purge group {}", n % 7)).await.expect("a door");
+            let command = if n % 4 == 3 { "undrain" } else { "drain" };
+            fleet.admin_call(n % 5, &format!("{command} {server}")).await.expect("admin response");
+            fleet.admin_call((n + 2) % 5, &format!("purge group {}", n % 7)).await.expect("admin response");
         }
-        let drains = same(&fleet, &all(&fleet), s(30)).await;
+        let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(30)).await;
         assert_eq!(drains.len(), 3, "{drains:?}");
-        assert!(count(&fleet, 3, &["turned_down", "replayed"]).await > 0, "what came twice was seen to");
+        assert!(
+            reported_count(&fleet, 3, &["turned_down", "replayed"]).await > 0,
+            "duplicated messages are rejected as replays"
+        );
     });
 }
 
 #[test]
-fn one_that_stands_still_past_its_death_learns_of_it_and_brings_nothing_old_back() {
-    local(async {
-        let mut fleet = fleet(5, "", false).await;
-        told(&fleet, 4, "drain cache-1").await;
-        same(&fleet, &all(&fleet), s(5)).await;
+fn a_director_suspended_past_its_failure_timeout_rejoins_without_restoring_stale_entries() {
+    block_on_local(async {
+        let mut fleet = start_fleet(5, "", false).await;
+        admin_command(&fleet, 4, "drain cache-1").await;
+        wait_for_equal_state(&fleet, &directors(&fleet), seconds(5)).await;
         fleet.signal(4, Signal::STOP);
-        told(&fleet, 0, "undrain cache-1").await;
-        told(&fleet, 0, "purge group 3").await;
-        let begun = std::time::Instant::now();
-        while fleet.shown(0).await.expect("a door")["gone"].as_array().map(Vec::len) != Some(1) {
-            assert!(begun.elapsed() < s(25), "it is taken for dead");
+        admin_command(&fleet, 0, "undrain cache-1").await;
+        admin_command(&fleet, 0, "purge group 3").await;
+        let started = std::time::Instant::now();
+        while fleet.shown(0).await.expect("admin response")["gone"].as_array().map(Vec::len) != Some(1) {
+            assert!(
+                started.elapsed() < seconds(25),
+                "expected the suspended director to be declared dead within 25 s"
+            );
             sleep(Duration::from_millis(100)).await;
         }
         fleet.signal(4, Signal::CONT);
-        fleet.joined(&all(&fleet), 4, s(20)).await.expect("it is back");
-        let drains = same(&fleet, &all(&fleet), s(10)).await;
-        assert!(has(&drains, "cache-1 does not drain"), "{drains:?}");
+        fleet
+            .joined(&directors(&fleet), 4, seconds(20))
+            .await
+            .expect("the director is a peer of all others again");
+        let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
+        assert!(contains(&drains, "cache-1 does not drain"), "{drains:?}");
         assert!(fleet.log(4).contains("rejoined the cluster after being declared dead"), "{}", fleet.log(4));
     });
 }
 
 #[test]
-fn one_that_is_killed_comes_back_from_nothing_from_its_disk_and_from_a_broken_or_old_one() {
-    local(async {
-        let mut fleet = fleet(5, "horizon_s: 10", true).await;
-        told(&fleet, 0, "drain cache-1").await;
-        told(&fleet, 1, "purge group 3").await;
-        same(&fleet, &all(&fleet), s(5)).await;
-        sleep(Duration::from_millis(600)).await; // the disk's turn
+fn a_killed_director_catches_up_with_an_intact_missing_corrupt_or_expired_state_file() {
+    block_on_local(async {
+        let mut fleet = start_fleet(5, "horizon_s: 10", true).await;
+        admin_command(&fleet, 0, "drain cache-1").await;
+        admin_command(&fleet, 1, "purge group 3").await;
+        wait_for_equal_state(&fleet, &directors(&fleet), seconds(5)).await;
+        sleep(Duration::from_millis(600)).await; // time for the write to disk
         for how in ["from its disk", "from nothing", "from a broken disk", "from an old disk"] {
             fleet.kill(3).await;
             let file = fleet.state_folder(3).join("foxhold-state.redb");
             match how {
-                "from nothing" => std::fs::remove_file(&file).expect("a file"),
-                "from a broken disk" => std::fs::write(&file, vec![7; 50_000]).expect("a file"),
-                "from an old disk" => sleep(s(11)).await,
+                "from nothing" => std::fs::remove_file(&file).expect("state file is removed"),
+                "from a broken disk" => {
+                    std::fs::write(&file, vec![7; 50_000]).expect("state file is overwritten")
+                }
+                "from an old disk" => sleep(seconds(11)).await,
                 _ => {}
             }
             let before = fleet.log(3);
-            fleet.start_some(&[3]).await.expect("it starts");
-            let drains = same(&fleet, &all(&fleet), s(10)).await;
-            assert!(has(&drains, "cache-1 drains"), "{how}: {drains:?}");
-            let begun = std::time::Instant::now();
-            while fleet.admin_call(3, "check").await.expect("a door") != "YES caught up\n" {
-                assert!(begun.elapsed() < s(10), "{how}");
+            fleet.start_some(&[3]).await.expect("director starts");
+            let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
+            assert!(contains(&drains, "cache-1 drains"), "{how}: {drains:?}");
+            let started = std::time::Instant::now();
+            while fleet.admin_call(3, "check").await.expect("admin response") != "YES caught up\n" {
+                assert!(
+                    started.elapsed() < seconds(10),
+                    "{how}: expected the director to catch up within 10 s"
+                );
                 sleep(Duration::from_millis(20)).await;
             }
             sleep(Duration::from_millis(600)).await;
             let log = fleet.log(3);
-            assert_ne!(log, before);
-            let says = match how {
+            assert_ne!(log, before, "{how}: expected log lines of the new process");
+            let logged = match how {
                 "from its disk" => "entries loaded from disk",
                 "from a broken disk" => "stored state is unreadable; file renamed",
                 "from an old disk" => "older than the horizon",
                 _ => "entries loaded from disk merged=0 stored=0",
             };
-            assert!(log.contains(says), "{how}: {log}");
+            assert!(log.contains(logged), "{how}: expected '{logged}' in the log: {log}");
         }
     });
 }
 
 #[test]
-fn all_that_are_killed_at_once_return_one_by_one_with_what_their_disks_held() {
-    local(async {
-        let mut fleet = fleet(5, "", true).await;
-        told(&fleet, 0, "drain cache-1").await;
-        told(&fleet, 4, "purge object x").await;
-        same(&fleet, &all(&fleet), s(5)).await;
+fn a_fleet_that_is_killed_restores_its_state_from_disk() {
+    block_on_local(async {
+        let mut fleet = start_fleet(5, "", true).await;
+        admin_command(&fleet, 0, "drain cache-1").await;
+        admin_command(&fleet, 4, "purge object x").await;
+        wait_for_equal_state(&fleet, &directors(&fleet), seconds(5)).await;
         sleep(Duration::from_millis(600)).await;
-        for n in all(&fleet) {
+        for n in directors(&fleet) {
             fleet.kill(n).await;
         }
-        for n in all(&fleet) {
-            fleet.start_some(&[n]).await.expect("it starts");
+        for n in directors(&fleet) {
+            fleet.start_some(&[n]).await.expect("director starts");
         }
-        fleet.joined(&all(&fleet), 4, s(20)).await.expect("they meet again");
-        let drains = same(&fleet, &all(&fleet), s(10)).await;
-        assert!(has(&drains, "cache-1 drains"));
-        excluded(&fleet, 1).await;
+        fleet.joined(&directors(&fleet), 4, seconds(20)).await.expect("all directors are peers again");
+        let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
+        assert!(contains(&drains, "cache-1 drains"), "{drains:?}");
+        wait_for_excluded_caches(&fleet, 1).await;
     });
 }
 
 #[test]
-fn one_that_is_killed_in_the_midst_of_catching_up_and_one_whose_source_is_killed_end_with_all() {
-    local(async {
-        let mut fleet = fleet(5, "", false).await;
-        fill(&fleet, 0, 20_000).await;
-        let begun = std::time::Instant::now();
+fn catch_up_completes_after_a_restart_during_it_and_the_loss_of_two_sources() {
+    block_on_local(async {
+        let mut fleet = start_fleet(5, "", false).await;
+        deliver_purges(&fleet, 0, 20_000).await;
+        let started = std::time::Instant::now();
         loop {
             let mut held = Vec::new();
-            for n in all(&fleet) {
-                held.push(count(&fleet, n, &["entries", "purges"]).await);
+            for n in directors(&fleet) {
+                held.push(reported_count(&fleet, n, &["entries", "purges"]).await);
             }
             if held[0] == 20_000 && held.iter().all(|n| *n == held[0]) {
                 break;
             }
-            assert!(begun.elapsed() < s(60), "digests bring them: {held:?}");
+            assert!(
+                started.elapsed() < seconds(60),
+                "expected anti-entropy to bring all purges to each director: {held:?}"
+            );
             sleep(Duration::from_millis(100)).await;
         }
-        let held = count(&fleet, 0, &["entries", "purges"]).await;
+        let held = reported_count(&fleet, 0, &["entries", "purges"]).await;
         fleet.kill(4).await;
-        fleet.start_some(&[4]).await.expect("it starts");
+        fleet.start_some(&[4]).await.expect("director starts");
         sleep(Duration::from_millis(30)).await;
-        fleet.kill(4).await; // as likely as not in the midst of it
-        fleet.start_some(&[4]).await.expect("it starts");
-        let begun = std::time::Instant::now();
+        fleet.kill(4).await; // probably during catch-up
+        fleet.start_some(&[4]).await.expect("director starts");
+        let started = std::time::Instant::now();
         fleet.kill(0).await;
         fleet.kill(1).await;
-        while fleet.admin_call(4, "check").await.expect("a door") != "YES caught up\n" {
-            assert!(begun.elapsed() < s(20), "{}\n{}", fleet.shown(4).await.expect("a door"), fleet.log(4));
+        while fleet.admin_call(4, "check").await.expect("admin response") != "YES caught up\n" {
+            assert!(
+                started.elapsed() < seconds(20),
+                "expected director 4 to catch up within 20 s: {}\n{}",
+                fleet.shown(4).await.expect("admin response"),
+                fleet.log(4)
+            );
             sleep(Duration::from_millis(10)).await;
         }
-        println!("{held} entries after {:?}, two sources killed", begun.elapsed());
-        assert!(count(&fleet, 4, &["entries", "purges"]).await >= held);
+        println!("caught up on {held} entries after {:?}, with two sources killed", started.elapsed());
+        assert!(
+            reported_count(&fleet, 4, &["entries", "purges"]).await >= held,
+            "expected at least {held} purges"
+        );
     });
 }
 
 #[test]
-fn a_full_disk_stops_writing_is_counted_and_never_stops_serving_and_leaves_sound_data() {
-    local(async {
+fn a_full_disk_is_counted_does_not_stop_the_director_and_leaves_readable_data() {
+    block_on_local(async {
         let config = FleetConfig {
             directors: 3,
             persistent: true,
             file_limit_kb: Some(1_600),
             ..FleetConfig::default()
         };
-        let mut fleet = Fleet::start(&common::daemon(), config).await.expect("a fleet");
-        fleet.joined(&all(&fleet), 2, s(20)).await.expect("they meet");
-        told(&fleet, 1, "drain cache-1").await;
+        let mut fleet = Fleet::start(&common::daemon(), config).await.expect("fleet starts");
+        fleet.joined(&directors(&fleet), 2, seconds(20)).await.expect("all directors are peers");
+        admin_command(&fleet, 1, "drain cache-1").await;
         sleep(Duration::from_millis(600)).await;
-        assert!(count(&fleet, 0, &["counts", "disk_written"]).await > 0, "it was written at first");
-        fill(&fleet, 0, 40_000).await;
-        let begun = std::time::Instant::now();
-        while count(&fleet, 0, &["counts", "disk_failed"]).await == 0 {
-            assert!(begun.elapsed() < s(20), "{}", fleet.shown(0).await.expect("a door"));
+        assert!(reported_count(&fleet, 0, &["counts", "disk_written"]).await > 0, "written at first");
+        deliver_purges(&fleet, 0, 40_000).await;
+        let started = std::time::Instant::now();
+        while reported_count(&fleet, 0, &["counts", "disk_failed"]).await == 0 {
+            assert!(
+                started.elapsed() < seconds(20),
+                "no failed write: {}",
+                fleet.shown(0).await.expect("admin response")
+            );
             sleep(Duration::from_millis(50)).await;
         }
-        // It goes on: a word told there is with all.
-        told(&fleet, 0, "drain cache-2").await;
-        fleet.until(&all(&fleet), "drains", s(2), |s| has(s, "cache-2 drains")).await.expect("it talks");
+        // The director continues: a drain that starts there reaches all.
+        admin_command(&fleet, 0, "drain cache-2").await;
+        fleet
+            .until(&directors(&fleet), "drains", seconds(2), |state| contains(state, "cache-2 drains"))
+            .await
+            .expect("the drain reaches all directors");
         assert!(fleet.log(0).contains("writing the state to disk failed"), "{}", fleet.log(0));
-        // What is on the disk is sound: the state of some earlier moment.
+        // The file on disk is intact: it holds the state of an earlier time.
         fleet.lift_file_limit();
         fleet.kill(0).await;
-        fleet.start_some(&[0]).await.expect("it starts");
+        fleet.start_some(&[0]).await.expect("director starts");
         let log = fleet.log(0);
         assert!(
             !log.contains("file renamed")
@@ -359,97 +428,115 @@
             "{log}"
         );
         fleet
-            .until(&[0], "drains", s(5), |s| has(s, "cache-1 drains") && has(s, "cache-2 drains"))
+            .until(&[0], "drains", seconds(5), |s| {
+                contains(s, "cache-1 drains") && contains(s, "cache-2 drains")
+            })
             .await
-            .expect("all");
-        assert_eq!(count(&fleet, 0, &["counts", "disk_failed"]).await, 0);
+            .expect("the director holds both drains");
+        assert_eq!(reported_count(&fleet, 0, &["counts", "disk_failed"]).await, 0);
     });
 }
 
 #[test]
-fn a_disk_that_has_room_again_is_written_whole_by_the_director_that_runs() {
-    local(async {
+fn a_running_director_writes_its_whole_state_once_the_disk_has_room() {
+    block_on_local(async {
         let config = FleetConfig {
             directors: 1,
             persistent: true,
             file_limit_kb: Some(1_600),
             ..FleetConfig::default()
         };
-        let mut fleet = Fleet::start(&common::daemon(), config).await.expect("a fleet");
-        fill(&fleet, 0, 40_000).await;
-        let begun = std::time::Instant::now();
-        while count(&fleet, 0, &["counts", "disk_failed"]).await == 0 {
-            assert!(begun.elapsed() < s(20), "{}", fleet.shown(0).await.expect("an answer"));
+        let mut fleet = Fleet::start(&common::daemon(), config).await.expect("fleet starts");
+        deliver_purges(&fleet, 0, 40_000).await;
+        let started = std::time::Instant::now();
+        while reported_count(&fleet, 0, &["counts", "disk_failed"]).await == 0 {
+            assert!(
+                started.elapsed() < seconds(20),
+                "no failed write: {}",
+                fleet.shown(0).await.expect("admin response")
+            );
             sleep(Duration::from_millis(50)).await;
         }
-        told(&fleet, 0, "drain cache-1").await;
-        fleet.lift_file_limit_of(0).expect("it runs");
-        // Five batches at most are from before: four that wait and one that is being written. The next is of all
-        // entries, and one more may hold the drain.
-        let written = count(&fleet, 0, &["counts", "disk_written"]).await;
-        let begun = std::time::Instant::now();
+        admin_command(&fleet, 0, "drain cache-1").await;
+        fleet.lift_file_limit_of(0).expect("the director runs");
+        // At most five batches date from before the limit was lifted: four waiting and one being written. The
+        // next batch holds all entries, and one more may hold the drain.
+        let written = reported_count(&fleet, 0, &["counts", "disk_written"]).await;
+        let started = std::time::Instant::now();
         for group in 50_000.. {
-            if count(&fleet, 0, &["counts", "disk_written"]).await > written + 7 {
+            if reported_count(&fleet, 0, &["counts", "disk_written"]).await > written + 7 {
                 break;
             }
-            assert!(begun.elapsed() < s(20), "{}", fleet.shown(0).await.expect("an answer"));
-            told(&fleet, 0, &format!("purge group {group}")).await;
+            assert!(
+                started.elapsed() < seconds(20),
+                "too few batches written: {}",
+                fleet.shown(0).await.expect("admin response")
+            );
+            admin_command(&fleet, 0, &format!("purge group {group}")).await;
             sleep(Duration::from_millis(100)).await;
         }
-        println!("eight batches written {:?} after there was room", begun.elapsed());
+        println!("eight batches written {:?} after the disk had room", started.elapsed());
         fleet.lift_file_limit();
         fleet.kill(0).await;
-        fleet.start_some(&[0]).await.expect("it starts");
-        assert!(count(&fleet, 0, &["entries", "purges"]).await >= 40_000, "{}", fleet.log(0));
-        let drains = fleet.state(0, "drains").await.expect("an answer");
-        assert!(has(&drains, "cache-1 drains"), "{drains:?}");
+        fleet.start_some(&[0]).await.expect("director starts");
+        assert!(
+            reported_count(&fleet, 0, &["entries", "purges"]).await >= 40_000,
+            "expected all purges from disk: {}",
+            fleet.log(0)
+        );
+        let drains = fleet.state(0, "drains").await.expect("admin response");
+        assert!(contains(&drains, "cache-1 drains"), "{drains:?}");
     });
 }
 
 #[test]
-fn what_is_foreign_changes_nothing_is_counted_and_costs_bounded_memory() {
-    local(async {
-        let fleet = fleet(5, "entries: 1000", false).await;
-        told(&fleet, 1, "drain cache-1").await;
-        let before = same(&fleet, &all(&fleet), s(5)).await;
+fn foreign_messages_change_nothing_are_counted_and_use_bounded_memory() {
+    block_on_local(async {
+        let fleet = start_fleet(5, "entries: 1000", false).await;
+        admin_command(&fleet, 1, "drain cache-1").await;
+        let before = wait_for_equal_state(&fleet, &directors(&fleet), seconds(5)).await;
         let to = fleet.reached_at(0);
-        let words = || GossipMessage::Updates(vec![(Key::Group(1), Value::Purged(unix()))]);
-        let mut client = TestClient::open(&fleet).await.expect("a client");
+        let updates = || GossipMessage::Updates(vec![(Key::Group(1), Value::Purged(unix_micros()))]);
+        let mut client = TestClient::open(&fleet).await.expect("client opens");
         for _ in 0..50 {
-            client.send(to, &sealed("lab", &[9; 32], words())).await.expect("loopback");
+            client.send(to, &foreign_frame("lab", &[9; 32], updates())).await.expect("datagram sent");
             client
-                .send(to, &sealed("elsewhere", &fleet.keys().expect("keys")[0], words()))
+                .send(to, &foreign_frame("elsewhere", &fleet.keys().expect("a key")[0], updates()))
                 .await
-                .expect("loopback");
-            client.send(to, &[3; 200]).await.expect("loopback");
-            client.send(to, &[1; 4]).await.expect("loopback");
+                .expect("datagram sent");
+            client.send(to, &[3; 200]).await.expect("datagram sent");
+            client.send(to, &[1; 4]).await.expect("datagram sent");
         }
-        // A good message that is sent once more.
-        let good = client
-            .sealed(GossipMessage::Updates(vec![(Key::Group(2), Value::Purged(unix()))]))
-            .expect("small");
-        client.send(to, &good).await.expect("loopback");
-        client.send(to, &good).await.expect("loopback");
+        // A valid message, sent twice.
+        let valid = client
+            .sealed(GossipMessage::Updates(vec![(Key::Group(2), Value::Purged(unix_micros()))]))
+            .expect("message fits into a datagram");
+        client.send(to, &valid).await.expect("datagram sent");
+        client.send(to, &valid).await.expect("datagram sent");
         fleet
-            .until(&all(&fleet), "purges", s(5), |s| s.len() == 1 && has(s, "group 2"))
+            .until(&directors(&fleet), "purges", seconds(5), |s| s.len() == 1 && contains(s, "group 2"))
             .await
-            .expect("only that");
+            .expect("all directors hold only the purge of the valid message");
         for cause in ["seal", "fleet", "version", "size", "replayed"] {
-            assert!(count(&fleet, 0, &["turned_down", cause]).await > 0, "{cause}");
+            assert!(
+                reported_count(&fleet, 0, &["turned_down", cause]).await > 0,
+                "none rejected for {cause}"
+            );
         }
         assert_eq!(fleet.state(0, "drains").await, Some(before.clone()));
-        // Entries without end, from one with the key: bounded, counted, and drains stay.
-        while count(&fleet, 0, &["turned_down", "entry_full"]).await < 10_000 {
-            client.flood(to, 10..20_000).await.expect("loopback");
+        // Floods the director with entries under the fleet's key: they are bounded and counted, and the drain
+        // stays.
+        while reported_count(&fleet, 0, &["turned_down", "entry_full"]).await < 10_000 {
+            client.flood(to, 10..20_000).await.expect("datagram sent");
         }
-        sleep(s(1)).await;
-        for n in all(&fleet) {
-            let shown = fleet.shown(n).await.expect("a door");
+        sleep(seconds(1)).await;
+        for n in directors(&fleet) {
+            let report = fleet.shown(n).await.expect("admin response");
             let entries: u64 =
-                ["purges", "drains", "members"].iter().filter_map(|k| shown["entries"][*k].as_u64()).sum();
-            assert!(entries <= 1_000, "director {n}: {shown}");
+                ["purges", "drains", "members"].iter().filter_map(|k| report["entries"][*k].as_u64()).sum();
+            assert!(entries <= 1_000, "director {n}: expected at most 1000 entries: {report}");
             assert_eq!(fleet.state(n, "drains").await, Some(before.clone()));
         }
-        assert!(fleet.memory(0).expect("running") < 64.0);
+        assert!(fleet.memory(0).expect("director 0 runs") < 64.0, "expected less than 64 MB");
     });
 }
--- a/crates/foxhold-testbed/tests/gossip_client.rs
+++ b/crates/foxhold-testbed/tests/gossip_client.rs
@@ -1,4 +1,5 @@
-//! The test client's delivery: what is lost is sent again, and what is never acknowledged ends within its bounds.
+//! Tests of the gossip test client's delivery: lost updates are sent again, and a delivery that is never
+//! acknowledged ends within its bounds.
 
 use foxhold::replication::entry::{Key, Value};
 use foxhold_testbed::faults::peer_network::LinkConditions;
@@ -10,12 +11,12 @@
 mod common;
 
 const ENTRIES: u32 = 5_000;
-/// Eight batches outstanding, twenty attempts for each, two datagrams an attempt.
+/// 8 outstanding batches, 20 attempts for each, 2 datagrams per attempt.
 const MAX_UNACKNOWLEDGED_DATAGRAMS: u64 = 8 * 20 * 2;
 
 fn block_on(paused: bool, test: impl Future<Output = ()>) {
     let mut builder = tokio::runtime::Builder::new_current_thread();
-    let runtime = builder.enable_all().start_paused(paused).build().expect("a runtime");
+    let runtime = builder.enable_all().start_paused(paused).build().expect("runtime starts");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
@@ -24,31 +25,34 @@
 }
 
 fn purges() -> Vec<(Key, Value)> {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_micros() as u64;
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("clock is after 1970").as_micros() as u64;
     (0..ENTRIES).map(|group| (Key::Group(group), Value::Purged(now))).collect()
 }
 
 #[test]
-fn over_a_path_that_loses_a_third_and_doubles_some_every_update_is_delivered() {
+fn every_update_is_delivered_despite_loss_duplication_and_delay() {
     block_on(false, async {
-        let fleet = Fleet::start(&common::daemon(), config()).await.expect("a fleet");
+        let fleet = Fleet::start(&common::daemon(), config()).await.expect("fleet starts");
         fleet.net.set_all(LinkConditions { loss: 0.3, duplication: 0.1, delay_ms: 20 });
-        let mut client = TestClient::open(&fleet).await.expect("a client");
-        let delivered = client.fill(&fleet, 0, ENTRIES).await.expect("all are acknowledged");
-        assert!(delivered.retries > 0, "{delivered:?}");
-        assert_eq!(fleet.purge_count(0).await.expect("an answer"), u64::from(ENTRIES));
+        let mut client = TestClient::open(&fleet).await.expect("client opens");
+        let delivered = client.fill(&fleet, 0, ENTRIES).await.expect("all updates are acknowledged");
+        assert!(delivered.retries > 0, "expected retries: {delivered:?}");
+        assert_eq!(fleet.purge_count(0).await.expect("admin endpoint responds"), u64::from(ENTRIES));
     });
 }
 
 #[test]
-fn updates_that_nobody_acknowledges_end_after_bounded_attempts_and_datagrams() {
+fn unacknowledged_updates_end_after_bounded_attempts_and_datagrams() {
     block_on(true, async {
-        let fleet = Fleet::prepare(&common::daemon(), config()).await.expect("a fleet");
-        let mut client = TestClient::open(&fleet).await.expect("a client");
-        let begun = tokio::time::Instant::now();
-        let error = client.deliver(fleet.reached_at(0), purges()).await.expect_err("no director runs");
+        let fleet = Fleet::prepare(&common::daemon(), config()).await.expect("relays open");
+        let mut client = TestClient::open(&fleet).await.expect("client opens");
+        let started = tokio::time::Instant::now();
+        let error = client
+            .deliver(fleet.reached_at(0), purges())
+            .await
+            .expect_err("no director runs to acknowledge updates");
         assert!(matches!(error, DeliveryError::AttemptsExhausted { missing: 1.. }), "{error}");
-        assert!(begun.elapsed() < Duration::from_secs(40), "{:?}", begun.elapsed());
+        assert!(started.elapsed() < Duration::from_secs(40), "{:?}", started.elapsed());
         let (datagrams, _) = fleet.net.arrived(0);
         assert!((1..=MAX_UNACKNOWLEDGED_DATAGRAMS).contains(&datagrams), "{datagrams}");
     });
--- a/crates/foxhold-testbed/tests/interruption.rs
+++ b/crates/foxhold-testbed/tests/interruption.rs
@@ -1,4 +1,4 @@
-//! However a play ends, none of its processes outlives it, and one that can't be played says why.
+//! A testbed run ends all its processes however it ends, and reports why a scenario cannot run.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
@@ -7,82 +7,93 @@
 
 mod common;
 
-fn lab() -> Command {
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_foxhold-testbed"));
-    lab.arg("fleet").arg("--daemon").arg(common::daemon()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    lab
+fn testbed_command() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_foxhold-testbed"));
+    command.arg("fleet").arg("--daemon").arg(common::daemon()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    command
 }
 
-/// Processes whose parent this is.
-fn children(parent: u32) -> BTreeSet<u32> {
+/// Returns the ids of the child processes of `parent`.
+fn child_processes(parent: u32) -> BTreeSet<u32> {
     let mut found = BTreeSet::new();
-    for entry in std::fs::read_dir("/proc").expect("processes").flatten() {
+    for entry in std::fs::read_dir("/proc").expect("/proc is readable").flatten() {
         let Some(id) = entry.file_name().to_str().and_then(|n| n.parse().ok()) else { continue };
         let stat = std::fs::read_to_string(entry.path().join("stat")).unwrap_or_default();
-        let of =
+        let parent_of_entry =
             stat.rsplit(") ").next().and_then(|rest| rest.split(' ').nth(1)).and_then(|p| p.parse().ok());
-        if of == Some(parent) {
+        if parent_of_entry == Some(parent) {
             found.insert(id);
         }
     }
     found
 }
 
-fn alive(id: u32) -> bool {
+fn is_running(id: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     stat.rsplit(") ").next().is_some_and(|rest| !rest.is_empty() && !rest.starts_with('Z'))
 }
 
-fn ended(signal: Signal) -> Output {
-    let lab = lab().args(["--directors", "3", "--seconds", "60"]).spawn().expect("the program");
-    let begun = Instant::now();
+fn output_after_signal(signal: Signal) -> Output {
+    let testbed =
+        testbed_command().args(["--directors", "3", "--seconds", "60"]).spawn().expect("testbed starts");
+    let started = Instant::now();
     // 24 caches, 3 parents, the origin and 3 directors.
-    let mut all = BTreeSet::new();
-    while all.len() < 31 {
-        assert!(begun.elapsed() < Duration::from_secs(30), "{} started", all.len());
+    let mut processes = BTreeSet::new();
+    while processes.len() < 31 {
+        assert!(
+            started.elapsed() < Duration::from_secs(30),
+            "{} of 31 processes started within 30 s",
+            processes.len()
+        );
         std::thread::sleep(Duration::from_millis(20));
-        all = children(lab.id());
+        processes = child_processes(testbed.id());
     }
-    // One of them stands still: it has to end all the same.
-    let still = *all.first().expect("one");
-    kill_process(Pid::from_raw(still as i32).expect("an id"), Signal::STOP).expect("one of our own");
-    kill_process(Pid::from_raw(lab.id() as i32).expect("an id"), signal).expect("our own");
-    let output = lab.wait_with_output().expect("an end");
+    // A suspended process must end too.
+    let suspended = *processes.first().expect("a process was found");
+    kill_process(Pid::from_raw(suspended as i32).expect("process id is above 0"), Signal::STOP)
+        .expect("process can be stopped");
+    kill_process(Pid::from_raw(testbed.id() as i32).expect("process id is above 0"), signal)
+        .expect("testbed can be signalled");
+    let output = testbed.wait_with_output().expect("testbed ends");
     let deadline = Instant::now() + Duration::from_secs(5);
-    while all.iter().any(|id| alive(*id)) {
-        assert!(Instant::now() < deadline, "some outlived it");
+    while processes.iter().any(|id| is_running(*id)) {
+        assert!(Instant::now() < deadline, "processes still run 5 s after the testbed ended");
         std::thread::sleep(Duration::from_millis(20));
     }
     output
 }
 
 #[test]
-fn a_play_that_is_interrupted_or_told_to_end_takes_its_processes_with_it() {
-    for (signal, word) in [(Signal::INT, "interrupted"), (Signal::TERM, "told to end")] {
-        let output = ended(signal);
+fn a_run_ended_by_a_signal_ends_all_its_processes() {
+    for (signal, reason) in [(Signal::INT, "interrupted"), (Signal::TERM, "told to end")] {
+        let output = output_after_signal(signal);
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{text}");
-        assert!(text.contains(word), "{text}");
+        assert!(text.contains(reason), "expected '{reason}': {text}");
     }
 }
 
 #[test]
-fn where_descriptors_do_not_suffice_it_says_how_many_it_needs() {
-    let lab = lab();
+fn a_descriptor_limit_that_is_too_low_is_reported_with_the_number_needed() {
+    let testbed = testbed_command();
     let mut shell = Command::new("sh");
-    shell.args(["-c", "ulimit -n 64 && exec \"$0\" \"$@\""]).arg(lab.get_program()).args(lab.get_args());
-    let output = shell.args(["--directors", "200"]).output().expect("the program");
+    shell
+        .args(["-c", "ulimit -n 64 && exec \"$0\" \"$@\""])
+        .arg(testbed.get_program())
+        .args(testbed.get_args());
+    let output = shell.args(["--directors", "200"]).output().expect("testbed runs");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains("descriptors: this run needs") && text.contains("the limit is 64"), "{text}");
 }
 
 #[test]
-fn a_plan_that_can_t_be_played_is_named_with_its_place() {
+fn an_invalid_scenario_is_reported_with_the_fault_and_its_cause() {
     let file = std::env::temp_dir().join(format!("foxhold-plan-{}.yaml", std::process::id()));
-    std::fs::write(&file, "faults:\n  - {at: 1, do: kill, who: cache-99}\n").expect("a file");
-    let output = lab().arg(&file).output().expect("the program");
-    std::fs::remove_file(&file).expect("the file");
+    std::fs::write(&file, "faults:\n  - {at: 1, do: kill, who: cache-99}\n")
+        .expect("scenario file is written");
+    let output = testbed_command().arg(&file).output().expect("testbed runs");
+    std::fs::remove_file(&file).expect("scenario file is removed");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(text.contains("faults, number 1: who: nobody here is called 'cache-99'"), "{text}");
--- a/crates/foxhold-testbed/tests/trace_file.rs
+++ b/crates/foxhold-testbed/tests/trace_file.rs
@@ -3,25 +3,25 @@
 use foxhold_testbed::load::trace::*;
 
 #[test]
-fn what_is_drawn_is_read_back_and_a_seed_draws_it_again() {
+fn a_drawn_trace_parses_back_and_is_reproducible() {
     let lines = draw(500, 7);
-    let text: String = lines.iter().map(|l| format!("{l}\n")).collect();
+    let text: String = lines.iter().map(|line| format!("{line}\n")).collect();
     assert_eq!(parse(&text), Ok(lines.clone()));
     assert_eq!(draw(500, 7), lines);
     assert_ne!(draw(500, 8), lines);
-    assert_eq!(lines.iter().filter(|l| matches!(l.step, Step::Trouble(_))).count(), 7);
+    assert_eq!(lines.iter().filter(|line| matches!(line.step, Step::Trouble(_))).count(), 7);
 }
 
 #[test]
-fn bad_lines_are_named() {
-    let good = "0 page-bits 00000000000000aa 0 1 5 3000\n";
-    for (bad, line) in [
+fn parse_errors_give_the_line_number() {
+    let valid = "0 page-bits 00000000000000aa 0 1 5 3000\n";
+    for (invalid, line) in [
         ("nonsense", 2),
         ("1 page-bits 00000000000000aa 0 1 5", 2),
         ("x ! crash a", 2),
         ("1 ! burn a", 2),
         ("# a remark\n-1 ! crash a", 3),
     ] {
-        assert_eq!(parse(&format!("{good}{bad}\n")).expect_err(bad).line, line);
+        assert_eq!(parse(&format!("{valid}{invalid}\n")).expect_err(invalid).line, line);
     }
 }
