--- a/crates/foxhold-testbed/src/checks/slow_start_budget.rs
+++ b/crates/foxhold-testbed/src/checks/slow_start_budget.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 use std::fmt;
 
-/// The allowance for chance: this many times the square root of the allowed requests, and this many requests
-/// more.
+/// Tolerance for random variation: the work may exceed the allowed requests by this many times their square
+/// root plus this many requests.
 const CHANCE: f64 = 2.0;
 
 /// The window that ends with the arrival of some work.
@@ -19,9 +19,9 @@
     pub count: f64,
     /// Mean requests that the settings allow at the end of the window.
     pub allowed: f64,
-    /// Mean requests that the server could process since the work before.
+    /// Mean requests that the server could process since the previous arrival.
     pub capacity: f64,
-    /// Mean requests that arrived since the work before.
+    /// Mean requests that arrived since the previous arrival.
     pub came: f64,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Counts the work that arrives at a server in slow start.
+/// A counter of the work that arrives at a server in slow start.
 #[derive(Debug)]
 pub struct Budget {
     mean: f64,
--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -52,19 +52,19 @@
 /// Size of the receive buffer. Directors send no larger datagrams.
 const RECEIVE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why updates were not delivered.
+/// The reason why updates were not delivered.
 #[derive(Debug, thiserror::Error)]
 pub enum DeliveryError {
     /// A batch was sent `MAX_ATTEMPTS` times without progress.
     #[error("{missing} updates of a batch were not acknowledged after {MAX_ATTEMPTS} attempts")]
     AttemptsExhausted {
-        /// Updates of that batch that the director has not acknowledged.
+        /// Number of the batch's updates that the director has not acknowledged.
         missing: usize,
     },
     /// The delivery took longer than `DELIVERY_TIMEOUT`.
     #[error("{missing} updates were not acknowledged after {} s", DELIVERY_TIMEOUT.as_secs())]
     TimedOut {
-        /// Updates that the director has not acknowledged.
+        /// Number of updates that the director has not acknowledged.
         missing: usize,
     },
     /// A message does not fit into a datagram.
@@ -78,9 +78,9 @@
 /// The batches sent for a delivery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Delivered {
-    /// Batches, each of which was acknowledged in full.
+    /// Number of batches. Each was acknowledged in full.
     pub batches: u64,
-    /// Retries of batches that were not acknowledged in full.
+    /// Number of retries, each of a batch that was not yet acknowledged in full.
     pub retries: u64,
 }
 
--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -97,8 +97,8 @@
         /// The number of words on the line.
         count: usize,
     },
-    /// The time is not finite, or it is earlier than that of the line before.
-    #[error("time is not finite or earlier than that of the line before")]
+    /// The time is not finite, or it is earlier than the time of the previous line.
+    #[error("expected a finite time, not earlier than the time of the previous line")]
     OutOfOrder,
 }
 
--- a/crates/foxhold-testbed/src/scenarios/runner/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/mod.rs
@@ -49,10 +49,11 @@
 /// See `OVERLOAD_MULTIPLE`.
 const OVERLOAD_WINDOW_S: f64 = 3.0;
 
-/// An emulated server or a director: its process, and what a restart needs.
+/// The process of an emulated server or a director, and its state that is kept across restarts.
 #[derive(Default)]
 struct Participant {
     process: RefCell<Option<Process>>,
+    /// The address that it listens on, used again after a restart; empty before the first start.
     address: RefCell<String>,
     /// Unix time of the last start by a fault, in milliseconds; 0 if there was none.
     since: Cell<u64>,
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
@@ -114,7 +114,7 @@
         &self.gossip.state
     }
 
-    /// Returns the number of peers that it considers alive.
+    /// Returns the number of peers that this director considers alive.
     pub fn others(&self) -> usize {
         self.gossip.peers().len()
     }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
@@ -76,11 +76,11 @@
 /// Reason why no regression can be calculated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegressionError {
-    /// Fewer than [`SIZES`] sizes.
-    #[error("a fit needs {SIZES} sizes at least")]
+    /// There are fewer than [`SIZES`] points.
+    #[error("no regression: expected figures for at least {SIZES} sizes")]
     Sizes,
-    /// The sizes span less than a factor of [`SPAN`], or one is zero.
-    #[error("a fit needs a largest size of {SPAN} times the smallest, which is above zero")]
+    /// The largest size is less than [`SPAN`] times the smallest, or a size is not above zero.
+    #[error("no regression: expected sizes above zero, the largest at least {SPAN} times the smallest")]
     Span,
     /// The slope or the mean of the figures is not finite.
     #[error("no regression: the slope or the mean of the figures is not finite")]
@@ -96,14 +96,14 @@
     pub intercept: f64,
     /// Increase of the value when the size grows by one (`Linear`) or by a factor of e (`Logarithmic`).
     pub slope: f64,
-    /// Distance of each figure above the line, as a share of the figure.
+    /// Difference between each figure and the line, as a share of the figure; negative below the line.
     pub residuals: Vec<f64>,
     /// Smallest and largest size of the data.
     pub range: (f64, f64),
 }
 
 impl Regression {
-    /// Calculates the regression of figures over sizes, in the form with the smaller largest residual.
+    /// Calculates the regression of figures over sizes, in the form whose largest residual is smaller.
     pub fn through(points: &[(f64, f64)]) -> Result<Regression, RegressionError> {
         if points.len() < SIZES {
             return Err(RegressionError::Sizes);
--- a/crates/foxhold-testbed/src/servers/emulated/mod.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/mod.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// Returns the slow start budget of a server, counted in requests of the mean work over all its classes.
+/// Returns the slow start budget of a server. Its unit is the mean work of a request over all classes.
 fn budget(config: &ServerConfig) -> Budget {
     let shares: f64 = config.kinds.iter().map(|k| k.share).sum();
     let work: f64 = config.kinds.iter().map(|k| k.share * config.spec.work(k.mean_kb)).sum();
--- a/crates/foxhold-testbed/src/servers/model.rs
+++ b/crates/foxhold-testbed/src/servers/model.rs
@@ -38,9 +38,9 @@
     pub link: f64,
     /// Speed of one transfer at full speed, in KB per second; 0: transfers take no time.
     pub flow: f64,
-    /// Maximum of requests in flight; further requests are refused.
+    /// Maximum number of requests in flight; further requests are refused.
     pub slots: usize,
-    /// Maximum of fills in flight; further fills are refused with the note `fills_full`.
+    /// Maximum number of fills in flight; further fills are refused with the note `fills_full`.
     pub fills: usize,
     /// Capacity of its cache, in KB.
     pub memory: f64,
@@ -51,7 +51,7 @@
     /// Seconds from a cold start until the link has its full capacity.
     pub warm: f64,
     /// A server that receives more than this multiple of its capacity within `window` seconds fails by
-    /// overload: a cache or parent crashes, the origin stops for `stop` seconds.
+    /// overload: a cache or parent crashes, and the origin fails requests for `stop` seconds.
     pub multiple: f64,
     /// Length in seconds of the window over which work is summed.
     pub window: f64,
--- a/src/cluster/startup.rs
+++ b/src/cluster/startup.rs
@@ -1,7 +1,7 @@
 //! Startup of the actor: reads the keys and opens the socket and the stored state.
 
 use super::actor::{Actor, ActorParts};
-use super::frame::FrameCodec;
+use super::frame::{FrameCodec, MIN_KEY_BYTES};
 use super::handle::{ClusterHandle, COMMAND_QUEUE_CAPACITY};
 use super::key_file::{parse_keys, KeyFileError};
 use super::members::{Member, Members};
@@ -44,7 +44,7 @@
         source: KeyFileError,
     },
     /// There is no key, or one is too short.
-    #[error("peers.key: no usable key")]
+    #[error("peers.key: expected at least one key, each of at least {MIN_KEY_BYTES} bytes")]
     NoUsableKey,
     /// The socket cannot be opened.
     #[error("peers.listen: {address}: {source}")]
--- a/src/config/operator/error.rs
+++ b/src/config/operator/error.rs
@@ -61,7 +61,7 @@
     #[error("signed.keys: missing, expected a path because signed.listen is set")]
     MissingKeysFile,
     /// A number is outside its allowed range.
-    #[error("{key}: {value} is not within {min} and {max}")]
+    #[error("{key}: {value} is not between {min} and {max}")]
     OutOfRange {
         /// The key with its section, such as `library.open`.
         key: String,
@@ -82,7 +82,7 @@
     },
     /// The advertised address has port 0 or is the unspecified address (`0.0.0.0` or `::`).
     #[error(
-        "peers.advertise: {address} can't be reached by others, expected a specific IP address and port"
+        "peers.advertise: other directors can't reach {address}, expected a specific IP address and port"
     )]
     UnreachableAddress {
         /// The advertised address.
--- a/src/discovery/codec.rs
+++ b/src/discovery/codec.rs
@@ -57,7 +57,9 @@
     #[error("heartbeat: revision does not fit in 64 bits")]
     RevisionOutOfRange(#[source] std::num::ParseIntError),
     /// The line is not valid JSON, or a field of the event is missing or has the wrong type.
-    #[error("expected a heartbeat, or a JSON object with 'rev' and, if present, a valid 'pool' or 'flush'")]
+    #[error(
+        "expected a heartbeat or a JSON object with a valid 'rev' and optionally a valid 'pool' or 'flush'"
+    )]
     NotAnEvent,
     /// The event has a value that is not allowed.
     #[error(transparent)]
--- a/src/discovery/xds/decode.rs
+++ b/src/discovery/xds/decode.rs
@@ -159,7 +159,7 @@
     let (host, port) = (socket.string("address")?, socket.integer("port_value")?);
     let port = port
         .filter(|port| (1..=65_535).contains(port))
-        .ok_or(XdsError::Incomplete("socket_address: 'port_value' is missing or not within 1 and 65535"))?;
+        .ok_or(XdsError::Incomplete("socket_address: 'port_value' is missing or not between 1 and 65535"))?;
     if host.is_empty() {
         return Err(XdsError::Incomplete("socket_address: 'address' is missing or empty"));
     }
--- a/src/discovery/xds/error.rs
+++ b/src/discovery/xds/error.rs
@@ -81,7 +81,7 @@
     NotAList,
     #[error("expected a string")]
     NotAText,
-    #[error("expected a whole number within 0 and 4294967295")]
+    #[error("expected an integer from 0 to 4294967295")]
     NotAnInteger,
     #[error("expected a number")]
     NotANumber,
--- a/src/dispatch/actor/attempts.rs
+++ b/src/dispatch/actor/attempts.rs
@@ -17,9 +17,9 @@
 /// microseconds. It lets the policy act on the deadline first.
 const TIMEOUT_AFTER_DEADLINE: Micros = 2_000;
 
-/// Longest time, in microseconds, that an attempt may wait before it is sent; after that it is not sent at
-/// all. The limit is lower if half of the time within which drains and purges must be complete is shorter: an
-/// attempt decided just before a drain or purge may still be sent just after it.
+/// Longest time, in microseconds, that an attempt may wait to be sent; after that it is not sent at all. Half
+/// of the drain grace or purge grace in the settings applies instead if it is shorter, because an attempt
+/// decided just before a drain or purge may be sent after it.
 const MAX_SEND_DELAY: Micros = 500_000;
 
 /// An attempt about to be sent. Times are by the monotonic clock.
--- a/src/dispatch/endpoint_registry.rs
+++ b/src/dispatch/endpoint_registry.rs
@@ -78,8 +78,8 @@
         self.endpoints.values().filter(|endpoint| !endpoint.is_gone()).count()
     }
 
-    /// Returns the number of servers in the endpoint list and of those gone that still have attempts in
-    /// flight.
+    /// Returns the number of registered servers: those in the endpoint list, and those that are gone but
+    /// still have attempts in flight.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len().max(self.numbers.len())
     }
@@ -178,7 +178,7 @@
     }
 
     /// Registers a listing, and connects to the server if it is new or its process has been replaced.
-    /// Connections to the old process are useless, and on a machine that vanished they would stay open
+    /// Connections to the old process are of no use, and if its machine has failed, they would stay open
     /// without any traffic.
     fn register(&mut self, server: ServerId, listing: Endpoint, started_at: Micros) -> Registration {
         let is_gone = listing.state == MemberState::Gone;
--- a/src/frontend/serve/mod.rs
+++ b/src/frontend/serve/mod.rs
@@ -39,7 +39,8 @@
         MAX_WRITE_BYTES
     }
 
-    /// Converts a response of the dispatcher. All statuses for its outcomes are set here.
+    /// Converts a response of the dispatcher to an HTTP response. This is the only place where the frontend
+    /// assigns HTTP statuses to the dispatcher's outcomes.
     fn to_response(&self, answer: ClientResponse) -> Response;
 }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -24,8 +24,8 @@
 /// objective.
 const MAX_PREDICTED_SHARE: f64 = 0.85;
 
-/// Whether the resources that all fills share were congested, as observed at the end of one fill. `None`
-/// where the fill gives no evidence.
+/// Congestion of the resources that all fills share, as observed at the end of one fill. `None` if the fill
+/// gives no evidence.
 struct FillObservation {
     zone_link: Option<bool>,
     origin: Option<bool>,
@@ -111,9 +111,10 @@
     }
 }
 
-/// Returns whether a cache that is `congestion` times as slow as when idle would respond too late to be of
-/// much use. At a cache that is not congested a rejection would not help other requests, so only a request
-/// whose transfer can't complete in time is shed there.
+/// Returns whether a cache that is `congestion` times as slow as when idle would probably miss the request's
+/// latency objective: its predicted response time exceeds [`MAX_PREDICTED_SHARE`] of the time left. At a
+/// cache that is not congested, a rejection would not help other requests, so only a request whose transfer
+/// can't complete in time is shed there.
 pub(super) fn would_miss_objective(
     pending: &PendingRequest,
     class: &ServiceTime,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -4,15 +4,16 @@
 use crate::policy::service_times::ServiceTimes;
 use crate::policy::types::{Micros, Settings, SlowStartRule};
 
-/// Largest share of the work that overloads a server which all routers together may send to it. The share is
-/// lower if that work is only a few transfers; see [`BUDGET_DEVIATIONS`].
+/// Upper limit of the work that all routers together may send to a server, as a share of the work that
+/// overloads it. The limit is lower if only a few transfers overload the server; see [`BUDGET_DEVIATIONS`].
 const MAX_BUDGET_SHARE: f64 = 0.65;
-/// Distance between the mean number of transfers sent and the number that overloads a server, in standard
-/// deviations of a number of random arrivals (Poisson).
+/// Margin between the mean number of transfers sent and the number that overloads a server, in standard
+/// deviations of the number sent. The number is assumed to have a Poisson distribution.
 const BUDGET_DEVIATIONS: f64 = 2.0;
-/// Share of the work left over by [`MAX_BUDGET_SHARE`] that may be sent in a burst.
+/// Capacity of the token bucket, as a share of the difference between the work that overloads a server and
+/// [`MAX_BUDGET_SHARE`] of that work.
 const BURST_SHARE: f64 = 0.4;
-/// Largest share of the work that overloads a server which a single transfer may take.
+/// Largest transfer that may be sent to a server, as a share of the work that overloads it.
 const MAX_TRANSFER_SHARE: f64 = 0.25;
 
 /// A token bucket for the work that this router may send to a server. One token is one microsecond of
--- a/src/replication/state/mod.rs
+++ b/src/replication/state/mod.rs
@@ -252,7 +252,8 @@
         })
     }
 
-    /// Iterates over the digest hashes of the entries within a range of key hashes, in ascending order.
+    /// Iterates over the entries whose key hashes are within a range, in ascending order of key hash, and
+    /// returns the key hash and the digest hash of each.
     pub fn entry_sums(&self, key_hashes: RangeInclusive<u64>) -> impl Iterator<Item = EntrySum> + '_ {
         self.stored_range(key_hashes)
             .map(|(stored_key, entry)| EntrySum { key_hash: stored_key.hash, sum: entry.sum })
--- a/src/upstream/connection/attempts.rs
+++ b/src/upstream/connection/attempts.rs
@@ -25,8 +25,8 @@
 pub(super) struct InFlightAttempts {
     attempts: HashMap<AttemptId, InFlightAttempt>,
     by_request: HashMap<Arc<str>, AttemptId>,
-    /// Ids of requests that were cancelled after writing had begun, oldest first; the oldest is dropped
-    /// first.
+    /// Ids of requests that were cancelled after writing had begun, oldest first. Holds at most
+    /// [`MAX_CANCELLED`]; the oldest is then dropped.
     cancelled: VecDeque<Arc<str>>,
 }
 
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Connects to the admin endpoint many times without sending a complete command. The program is stopped
-/// meanwhile, so that all connections are in the backlog before it accepts the first.
+/// Connects to the admin endpoint many times without sending a complete command. The program is suspended
+/// (SIGSTOP) meanwhile, so that all connections are in the backlog before it accepts the first.
 async fn connect_without_commands(program: &Program, admin: &str) -> Vec<TcpStream> {
     program.signal(Signal::STOP);
     let mut connections = Vec::new();
--- a/tests/library/fixture.rs
+++ b/tests/library/fixture.rs
@@ -62,7 +62,7 @@
     Box::pin(async { served_as(representation, CacheStatus::Hit) })
 }
 
-/// Returns a result that never arrives.
+/// Returns a future that never completes, as if the server never responded.
 pub fn never_answered() -> BoxFuture<AttemptResult> {
     Box::pin(std::future::pending())
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -67,7 +67,8 @@
                     run_requests(&mut fleet, ServerId(id), kb, (kb * 40.0) as Micros, 10 * SECOND);
                 let case = format!("server {id}, {kb} KB, {routers} routers, multiple {multiple}");
                 let early: f64 = transfers.iter().filter(|t| t.0 < since + 5 * SECOND).map(|t| t.1).sum();
-                // The first half of the warm-up, at a mean of 0.4 of its capacity: 20 transfers at full rate.
+                // The work that the server can process in the first half of the warm-up. On average it then
+                // has 0.4 of its capacity of 20 transfers at full rate.
                 let possible = 5.0 * 0.4 * 20.0 * SECOND as f64;
                 assert!(
                     early > 0.1 * possible,
