--- a/crates/foxhold-testbed/src/commands/fleet.rs
+++ b/crates/foxhold-testbed/src/commands/fleet.rs
@@ -46,7 +46,7 @@
 /// Runs the scenario and prints its summary. Returns whether no rule was broken.
 pub fn run(options: Options) -> Result<bool, TestbedError> {
     let scenario = scenario(&options)?;
-    let report = run_with_progress(&scenario, &Programs::of(options.daemon)?)?;
+    let report = run_with_progress(&scenario, &Programs::find(options.daemon)?)?;
     print!("{}", report.summary());
     if let Some(file) = options.json {
         std::fs::write(file, serde_json::to_string(&report)?)?;
--- a/crates/foxhold-testbed/src/faults/peer_network.rs
+++ b/crates/foxhold-testbed/src/faults/peer_network.rs
@@ -49,7 +49,7 @@
 
 impl LinkConditions {
     /// Loses every datagram.
-    pub const CUT: LinkConditions = LinkConditions { loss: 1.0, duplication: 0.0, delay_ms: 0 };
+    pub const PARTITIONED: LinkConditions = LinkConditions { loss: 1.0, duplication: 0.0, delay_ms: 0 };
 }
 
 /// The conditions of the paths between all directors of a fleet.
@@ -76,8 +76,8 @@
     /// Partitions two groups of directors from each other, in both directions.
     pub fn cut(&self, some: &[usize], others: &[usize]) {
         for (a, b) in some.iter().flat_map(|a| others.iter().map(move |b| (*a, *b))) {
-            self.set(a, b, LinkConditions::CUT);
-            self.set(b, a, LinkConditions::CUT);
+            self.set(a, b, LinkConditions::PARTITIONED);
+            self.set(b, a, LinkConditions::PARTITIONED);
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Returns the address at which other directors reach director `n`: that of its relay.
-    pub fn reached_at(&self, n: usize) -> SocketAddr {
+    pub fn relay_address(&self, n: usize) -> SocketAddr {
         (ip(self.number, n), RELAY_PORT).into()
     }
 
@@ -139,12 +139,12 @@
     /// `peers`.
     pub fn operator(&self, n: usize, keys: &str) -> String {
         let seeds: Vec<String> =
-            (0..self.directors.min(SEEDS)).map(|s| format!("\"{}\"", self.reached_at(s))).collect();
+            (0..self.directors.min(SEEDS)).map(|s| format!("\"{}\"", self.relay_address(s))).collect();
         format!(
             "peers: {{listen: \"{}:{PEER_PORT}\", advertise: \"{}\", name: director-{n}, fleet: lab, \
              key: peers.key, about: {}, seeds: [{}]{}{keys}}}\n",
             ip(self.number, n),
-            self.reached_at(n),
+            self.relay_address(n),
             self.directors,
             seeds.join(", "),
             if keys.is_empty() { "" } else { ", " },
--- a/crates/foxhold-testbed/src/load/clients.rs
+++ b/crates/foxhold-testbed/src/load/clients.rs
@@ -31,7 +31,7 @@
     /// The object's number, from 1.
     pub object: u64,
     /// When and how its client disconnects; `None` if it waits for the response.
-    pub leave: Option<Disconnect>,
+    pub disconnect: Option<Disconnect>,
 }
 
 /// Returns the fault of this kind that is in force at a time. Of several, the latest applies.
@@ -79,7 +79,7 @@
             director: director.min(scenario.directors - 1),
             class: class.unwrap_or(0),
             object: hot.map_or(rank, |f| f.object),
-            leave: disconnects.draw(),
+            disconnect: disconnects.draw(),
         });
     }
 }
@@ -185,16 +185,16 @@
 pub struct Clients {
     scenario: Scenario,
     /// The directors, by number.
-    pub doors: Vec<Rc<DirectorTarget>>,
+    pub targets: Vec<Rc<DirectorTarget>>,
     /// The requests so far and their outcomes.
-    pub book: Rc<RefCell<RequestLog>>,
+    pub log: Rc<RefCell<RequestLog>>,
 }
 
 impl Clients {
     /// Creates the clients for a scenario's directors, whose addresses are not set yet.
     pub fn new(scenario: &Scenario) -> Clients {
-        let doors = (0..scenario.directors).map(|_| Rc::default()).collect();
-        Clients { scenario: scenario.clone(), doors, book: Rc::default() }
+        let targets = (0..scenario.directors).map(|_| Rc::default()).collect();
+        Clients { scenario: scenario.clone(), targets, log: Rc::default() }
     }
 
     /// Sends all requests at their times. `zero` is the start of the measured load, `settle` the seconds of
@@ -211,13 +211,13 @@
             let (clients, at) = (Rc::clone(&self), arrival.at);
             let bin = ((at + settle) * 10.0).max(0.0) as usize;
             {
-                let mut book = self.book.borrow_mut();
-                book.open += 1;
-                if book.in_flight.len() <= bin {
-                    book.in_flight.resize(bin + 1, 0);
+                let mut log = self.log.borrow_mut();
+                log.open += 1;
+                if log.in_flight.len() <= bin {
+                    log.in_flight.resize(bin + 1, 0);
                 }
-                let open = book.open;
-                book.in_flight[bin] = book.in_flight[bin].max(open);
+                let open = log.open;
+                log.in_flight[bin] = log.in_flight[bin].max(open);
             }
             tasks.spawn_local(async move { clients.send_arrival(n as u64 + 1, &arrival, due).await });
             while tasks.try_join_next().is_some() {}
@@ -227,22 +227,22 @@
 
     async fn send_arrival(&self, number: u64, arrival: &Arrival, due: Instant) {
         let class = &self.scenario.classes[arrival.class];
-        let target = &self.doors[arrival.director];
+        let target = &self.targets[arrival.director];
         let object = object(arrival.object);
         let kb = size_kb(&object, class.work_ms / 1e3 * TRANSFER_KB_PER_S);
         let head = request_head(number, class, &object, kb);
         let who = format!("director-{}", arrival.director + 1);
         let planted = self.scenario.is_planted(RuleBreach::AskedAfterLeave, &who, arrival.at);
-        if planted && arrival.leave.is_some() {
+        if planted && arrival.disconnect.is_some() {
             self.record_disconnect(number);
             tokio::time::sleep(PLANTED_SEND_DELAY).await;
         }
         let (begun, sent_ms) = (Instant::now(), unix_ms());
-        let leave = arrival.leave.filter(|_| !planted);
+        let disconnect = arrival.disconnect.filter(|_| !planted);
         let timeout = Duration::from_secs_f64(class.deadline_ms / 1e3 + 0.25);
         let answer = tokio::select! {
-            answer = tokio::time::timeout(timeout, self.send(target, &head, leave)) => answer,
-            () = disconnected(leave) => Ok(Exchange::Left),
+            answer = tokio::time::timeout(timeout, self.send(target, &head, disconnect)) => answer,
+            () = disconnected(disconnect) => Ok(Exchange::Left),
         };
         if matches!(answer, Ok(Exchange::Left)) {
             // The connection was dropped with the future that sent the request.
@@ -268,17 +268,17 @@
         let objective = class.objective_ms + class.stretch * kb / TRANSFER_KB_PER_S * 1e3;
         let in_time = end == End::Served && took <= objective;
         let (at, class, director) = (arrival.at, arrival.class, arrival.director);
-        let mut book = self.book.borrow_mut();
-        book.open -= 1;
+        let mut log = self.log.borrow_mut();
+        log.open -= 1;
         if let Some(breach) = breach {
-            book.breaches.push(format!("request {number:016x} at {at:.3} s, {who}: {breach}"));
+            log.breaches.push(format!("request {number:016x} at {at:.3} s, {who}: {breach}"));
         }
-        book.ended.push(RequestRecord { at, took, end, class, director, in_time });
+        log.ended.push(RequestRecord { at, took, end, class, director, in_time });
     }
 
     /// Records that the client of a request disconnects now.
     fn record_disconnect(&self, number: u64) {
-        self.book.borrow_mut().left.insert(format!("{number:016x}"), unix_ms());
+        self.log.borrow_mut().left.insert(format!("{number:016x}"), unix_ms());
     }
 
     /// Returns the rule that the body of a response breaks, if any.
@@ -311,9 +311,9 @@
         sent_ms: u64,
     ) -> Option<String> {
         let grace = if target.hears_late.get() { 8_050 } else { 1_050 };
-        let book = self.book.borrow();
+        let log = self.log.borrow();
         let ignored = |p: &&PurgeRecord| p.names(object) && minted < p.ms && sent_ms > p.ms + grace;
-        let purge = book.purges.iter().find(ignored)?;
+        let purge = log.purges.iter().find(ignored)?;
         Some(format!(
             "a copy {} ms older than a purge, sent {} ms after it was told",
             purge.ms - minted,
@@ -323,8 +323,8 @@
 
     /// Sends a request on an idle connection, or on a new one. Dropping the future closes the connection, or
     /// resets it if the client is to disconnect by a reset.
-    async fn send(&self, target: &DirectorTarget, head: &str, leave: Option<Disconnect>) -> Exchange {
-        let resets = leave.is_some_and(|leave| leave.how == DisconnectKind::Reset);
+    async fn send(&self, target: &DirectorTarget, head: &str, disconnect: Option<Disconnect>) -> Exchange {
+        let resets = disconnect.is_some_and(|disconnect| disconnect.kind == DisconnectKind::Reset);
         let idle = if resets { None } else { target.idle.borrow_mut().pop() };
         if let Some(mut stream) = idle {
             let begun = Instant::now();
@@ -371,9 +371,9 @@
 const PLANTED_SEND_DELAY: Duration = Duration::from_millis(200);
 
 /// Completes when a client disconnects; never, if it waits for the response.
-async fn disconnected(leave: Option<Disconnect>) {
-    match leave {
-        Some(leave) => tokio::time::sleep(Duration::from_secs_f64(leave.after)).await,
+async fn disconnected(disconnect: Option<Disconnect>) {
+    match disconnect {
+        Some(disconnect) => tokio::time::sleep(Duration::from_secs_f64(disconnect.after)).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/foxhold-testbed/src/load/disconnects.rs
+++ b/crates/foxhold-testbed/src/load/disconnects.rs
@@ -31,7 +31,7 @@
     /// Seconds from the request to the disconnect.
     pub after: f64,
     /// Whether the connection is closed or reset.
-    pub how: DisconnectKind,
+    pub kind: DisconnectKind,
 }
 
 /// Draws which clients disconnect. Uses a separate random generator, so that disconnects do not change the
@@ -56,8 +56,8 @@
             return None;
         }
         let after = self.random.random::<f64>() * self.within;
-        let how = if self.random.random() { DisconnectKind::Close } else { DisconnectKind::Reset };
-        Some(Disconnect { after, how })
+        let kind = if self.random.random() { DisconnectKind::Close } else { DisconnectKind::Reset };
+        Some(Disconnect { after, kind })
     }
 }
 
@@ -78,16 +78,16 @@
     /// Compares the requests that servers received with the disconnects in `left`, which are in Unix
     /// milliseconds by request id. Returns the figures and the broken rules. Requests at servers that were
     /// stalled or behind a faulty link are left out, because bytes may wait there before they are read.
-    pub fn reckon(
+    pub fn compute(
         scenario: &Scenario,
         zero_ms: u64,
         left: &HashMap<String, u64>,
-        notes: &[(String, ServerEvent)],
+        events: &[(String, ServerEvent)],
     ) -> (SentAfterDisconnect, Vec<String>) {
         let mut after = SentAfterDisconnect { clients: left.len() as u64, ..SentAfterDisconnect::default() };
         let mut breaches = Vec::new();
-        for (server, note) in notes {
-            let ServerEvent::Asked { ms, request: ask, .. } = note else { continue };
+        for (server, event) in events {
+            let ServerEvent::Asked { ms, request: ask, .. } = event else { continue };
             let by_director = ask.by.is_empty();
             let Some(left_ms) = left.get(&ask.id).filter(|left_ms| by_director && ms > left_ms) else {
                 continue;
--- a/crates/foxhold-testbed/src/load/gossip_client.rs
+++ b/crates/foxhold-testbed/src/load/gossip_client.rs
@@ -303,7 +303,7 @@
 
     /// Delivers `entries` purges of groups to a director of the fleet, and checks that it holds them all.
     pub async fn fill(&mut self, fleet: &Fleet, n: usize, entries: u32) -> Result<Delivered, TestbedError> {
-        let delivered = self.deliver(fleet.reached_at(n), purges(0..entries)).await?;
+        let delivered = self.deliver(fleet.relay_address(n), purges(0..entries)).await?;
         let held = fleet.purge_count(n).await?;
         if held < u64::from(entries) {
             return Err(format!("director {n} holds {held} of {entries} delivered purges").into());
--- a/crates/foxhold-testbed/src/load/trace.rs
+++ b/crates/foxhold-testbed/src/load/trace.rs
@@ -37,7 +37,7 @@
     /// This server crashes.
     Crash(String),
     /// This server restarts with an empty cache.
-    Back(String),
+    Restart(String),
     /// This server responds with this delay in milliseconds; 0 ends it.
     Slow(String, u64),
     /// This object is purged on all servers.
@@ -50,7 +50,7 @@
     /// A request to send.
     Request(TraceRequest),
     /// A fault to inject.
-    Trouble(TraceFault),
+    Fault(TraceFault),
 }
 
 /// A line of a trace.
@@ -109,11 +109,11 @@
             Step::Request(TraceRequest { class, object, part, group, size_kb, allow_ms }) => {
                 write!(f, "{class} {object} {part} {group} {size_kb} {allow_ms}")
             }
-            Step::Trouble(TraceFault::Drain(name)) => write!(f, "! drain {name}"),
-            Step::Trouble(TraceFault::Crash(name)) => write!(f, "! crash {name}"),
-            Step::Trouble(TraceFault::Back(name)) => write!(f, "! back {name}"),
-            Step::Trouble(TraceFault::Slow(name, ms)) => write!(f, "! slow {name} {ms}"),
-            Step::Trouble(TraceFault::Purge(object)) => write!(f, "! purge {object}"),
+            Step::Fault(TraceFault::Drain(name)) => write!(f, "! drain {name}"),
+            Step::Fault(TraceFault::Crash(name)) => write!(f, "! crash {name}"),
+            Step::Fault(TraceFault::Restart(name)) => write!(f, "! back {name}"),
+            Step::Fault(TraceFault::Slow(name, ms)) => write!(f, "! slow {name} {ms}"),
+            Step::Fault(TraceFault::Purge(object)) => write!(f, "! purge {object}"),
         }
     }
 }
@@ -128,11 +128,11 @@
         let words: Vec<&str> = text.split_whitespace().collect();
         let (at, rest) = words.split_first().ok_or(LineError::Empty)?;
         let step = match *rest {
-            ["!", "drain", name] => Step::Trouble(TraceFault::Drain(name.into())),
-            ["!", "crash", name] => Step::Trouble(TraceFault::Crash(name.into())),
-            ["!", "back", name] => Step::Trouble(TraceFault::Back(name.into())),
-            ["!", "slow", name, ms] => Step::Trouble(TraceFault::Slow(name.into(), number(ms)?)),
-            ["!", "purge", object] => Step::Trouble(TraceFault::Purge(object.into())),
+            ["!", "drain", name] => Step::Fault(TraceFault::Drain(name.into())),
+            ["!", "crash", name] => Step::Fault(TraceFault::Crash(name.into())),
+            ["!", "back", name] => Step::Fault(TraceFault::Restart(name.into())),
+            ["!", "slow", name, ms] => Step::Fault(TraceFault::Slow(name.into(), number(ms)?)),
+            ["!", "purge", object] => Step::Fault(TraceFault::Purge(object.into())),
             ["!", ref fault @ ..] => return Err(LineError::UnknownFault { text: fault.join(" ") }),
             [class, object, part, group, size, allow] => Step::Request(TraceRequest {
                 class: class.into(),
@@ -184,7 +184,7 @@
     let faults = [
         (1, TraceFault::Drain("cache-1".into())),
         (2, TraceFault::Crash("cache-2".into())),
-        (4, TraceFault::Back("cache-2".into())),
+        (4, TraceFault::Restart("cache-2".into())),
         (5, TraceFault::Slow("parent-1".into(), 24)),
         (6, TraceFault::Slow("parent-1".into(), 0)),
         (7, TraceFault::Purge(object(1))),
@@ -201,7 +201,7 @@
                 _ => {}
             }
             at += FAULT_MARGIN_MS;
-            lines.push(Line { at_ms: at, step: Step::Trouble(fault.clone()) });
+            lines.push(Line { at_ms: at, step: Step::Fault(fault.clone()) });
             at += FAULT_MARGIN_MS;
         }
         let class = match random.random_range(0..30) {
--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -21,13 +21,13 @@
 #[derive(Default)]
 pub struct Observations {
     /// Events that servers reported, with the server's name, in order of arrival.
-    pub notes: Vec<(String, ServerEvent)>,
+    pub events: Vec<(String, ServerEvent)>,
     /// Log lines in which a director suspected a server: Unix milliseconds, and the director's name.
     pub suspicions: Vec<(u64, String)>,
     /// Unexpected exits of processes, and panics.
     pub panics: Vec<String>,
     /// The address of the discovery service for each director, by the director's name.
-    pub boards: HashMap<String, String>,
+    pub discovery_addresses: HashMap<String, String>,
 }
 
 /// The requests that a server received.
@@ -117,16 +117,16 @@
         specs: &BTreeMap<String, ServerSpec>,
         zero_ms: u64,
         seen: Observations,
-        book: RequestLog,
+        log: RequestLog,
     ) -> RunReport {
-        let mut breaches = book.breaches;
+        let mut breaches = log.breaches;
         breaches.extend(seen.panics);
         let (after_leave, begun_late) =
-            SentAfterDisconnect::reckon(scenario, zero_ms, &book.left, &seen.notes);
+            SentAfterDisconnect::compute(scenario, zero_ms, &log.left, &seen.events);
         breaches.extend(begun_late);
-        let servers = ServerActivity::new(scenario, specs, zero_ms, &seen.notes);
+        let servers = ServerActivity::new(scenario, specs, zero_ms, &seen.events);
         breaches.extend(servers.breaches);
-        let requests = RequestSummary::new(scenario, &book.ended);
+        let requests = RequestSummary::new(scenario, &log.ended);
         let load = servers.load;
         let role = |name: &str| specs.get(name).map(|s| s.role);
         let caches = caches(&load, specs);
@@ -157,7 +157,7 @@
             suspicions: seen.suspicions.iter().filter(|s| s.0 >= zero_ms).count(),
             ends: requests.ends,
             service: requests.service,
-            in_flight: after_warm_up(scenario, &book.in_flight),
+            in_flight: after_warm_up(scenario, &log.in_flight),
             load,
             slow_starts: servers.slow_starts,
             breaches,
--- a/crates/foxhold-testbed/src/scenarios/cluster.rs
+++ b/crates/foxhold-testbed/src/scenarios/cluster.rs
@@ -73,7 +73,7 @@
     pub async fn start(director: &Path, config: FleetConfig) -> Result<Fleet, TestbedError> {
         let mut fleet = Fleet::prepare(director, config).await?;
         for chosen in (0..fleet.len()).collect::<Vec<_>>().chunks(50) {
-            fleet.start_some(chosen).await?;
+            fleet.start_directors(chosen).await?;
         }
         Ok(fleet)
     }
@@ -94,8 +94,8 @@
     }
 
     /// Returns the address of a director's relay, at which its peers reach it.
-    pub fn reached_at(&self, n: usize) -> SocketAddr {
-        self.relays.reached_at(n)
+    pub fn relay_address(&self, n: usize) -> SocketAddr {
+        self.relays.relay_address(n)
     }
 
     /// Returns the address of a director's admin endpoint.
@@ -104,7 +104,7 @@
     }
 
     /// Starts directors concurrently, and waits until each serves clients.
-    pub async fn start_some(&mut self, chosen: &[usize]) -> Result<(), TestbedError> {
+    pub async fn start_directors(&mut self, chosen: &[usize]) -> Result<(), TestbedError> {
         let mut started = Vec::new();
         for n in chosen {
             started.push((*n, self.spawn(*n)?));
@@ -258,19 +258,19 @@
     }
 
     /// Returns a director's answer to the admin command `peers`, as JSON.
-    pub async fn shown(&self, n: usize) -> Result<serde_json::Value, TestbedError> {
+    pub async fn peers_json(&self, n: usize) -> Result<serde_json::Value, TestbedError> {
         let answer = self.admin_call(n, "peers").await?;
         Ok(serde_json::from_str(answer.lines().next().unwrap_or_default())?)
     }
 
     /// Returns the number of purges that a director holds.
     pub async fn purge_count(&self, n: usize) -> Result<u64, TestbedError> {
-        Ok(self.shown(n).await?["entries"]["purges"].as_u64().unwrap_or(0))
+        Ok(self.peers_json(n).await?["entries"]["purges"].as_u64().unwrap_or(0))
     }
 
     /// Waits until the entries of a kind satisfy `satisfied` at all of these directors. Returns the time that
     /// took.
-    pub async fn until(
+    pub async fn wait_until(
         &self,
         chosen: &[usize],
         kind: &str,
@@ -307,7 +307,7 @@
     }
 
     /// Waits until each of these directors has at least `others` peers. Returns the time that took.
-    pub async fn joined(
+    pub async fn wait_until_joined(
         &self,
         chosen: &[usize],
         others: usize,
@@ -316,7 +316,7 @@
         let started_at = Instant::now();
         for n in chosen {
             loop {
-                let seen = self.shown(*n).await.ok().and_then(|s| s["peers"].as_array().map(Vec::len));
+                let seen = self.peers_json(*n).await.ok().and_then(|s| s["peers"].as_array().map(Vec::len));
                 if seen.is_some_and(|seen| seen >= others) {
                     break;
                 }
--- a/crates/foxhold-testbed/src/scenarios/gossip.rs
+++ b/crates/foxhold-testbed/src/scenarios/gossip.rs
@@ -125,8 +125,8 @@
     let keys = format!("entries: {}", entries.max(MIN_ENTRY_BOUND) * 2);
     let mut fleet =
         Fleet::prepare(director, FleetConfig { directors: 2, keys, ..FleetConfig::default() }).await?;
-    fleet.start_some(&[0]).await?;
-    fleet.start_some(&[1]).await?;
+    fleet.start_directors(&[0]).await?;
+    fleet.start_directors(&[1]).await?;
     let quiet = probe_alive(fleet.clients(1)?, QUIET_PROBES).await?;
     fleet.kill(1).await;
     TestClient::open(&fleet).await?.fill(&fleet, 0, entries).await?;
@@ -135,7 +135,7 @@
         sleep(CATCH_UP_POLL * 10).await;
     }
     let started_at = Instant::now();
-    fleet.start_some(&[1]).await?;
+    fleet.start_directors(&[1]).await?;
     let meanwhile = tokio::task::spawn_local(probe_alive(fleet.clients(1)?, CATCH_UP_PROBES));
     let source = tokio::task::spawn_local(probe_alive(fleet.clients(0)?, CATCH_UP_PROBES));
     wait_until_caught_up(&fleet, 1, started_at).await?;
@@ -155,7 +155,7 @@
         if started_at.elapsed() > DEADLINE {
             return Err(format!(
                 "director {n} did not catch up within {DEADLINE:?}: {}; its log:\n{}",
-                fleet.shown(n).await?,
+                fleet.peers_json(n).await?,
                 fleet.log(n)
             )
             .into());
@@ -225,7 +225,7 @@
     let started_at = Instant::now();
     let fleet = Fleet::start(director, config).await?;
     let everyone: Vec<usize> = (0..fleet.len()).collect();
-    fleet.joined(&everyone, fleet.len() - 1, JOIN_TIMEOUT).await?;
+    fleet.wait_until_joined(&everyone, fleet.len() - 1, JOIN_TIMEOUT).await?;
     let joined_s = started_at.elapsed().as_secs_f64();
     // Until then, membership updates about the joins are still spreading.
     sleep(SETTLING_TIME).await;
--- a/crates/foxhold-testbed/src/scenarios/replay.rs
+++ b/crates/foxhold-testbed/src/scenarios/replay.rs
@@ -111,7 +111,7 @@
     })
     .await?;
     if let Ok(result) = &mut result {
-        for seen in fleet.seen() {
+        for seen in fleet.received_requests() {
             let entry = result.requests.entry(seen.id.clone()).or_default();
             entry.0.push(seen);
         }
@@ -317,7 +317,7 @@
             }
         }
         match &line.step {
-            Step::Trouble(fault) => apply(fleet, fault),
+            Step::Fault(fault) => apply(fleet, fault),
             Step::Request(trace_request) => {
                 number += 1;
                 let id = format!("{number:016x}");
@@ -333,7 +333,7 @@
     match fault {
         TraceFault::Drain(name) => fleet.drain(name),
         TraceFault::Crash(name) => fleet.crash(name),
-        TraceFault::Back(name) => fleet.back(name),
+        TraceFault::Restart(name) => fleet.restart(name),
         TraceFault::Slow(name, ms) => fleet.slow(name, Duration::from_millis(*ms)),
         TraceFault::Purge(object) => fleet.purge(object),
     }
--- a/crates/foxhold-testbed/src/scenarios/runner/directors.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/directors.rs
@@ -32,7 +32,7 @@
                 board = link.address.clone();
                 self.links.borrow_mut().insert(pair, link);
             }
-            self.seen.borrow_mut().boards.insert(name.clone(), board);
+            self.seen.borrow_mut().discovery_addresses.insert(name.clone(), board);
         }
         let names = (1..=self.scenario.directors).map(|n| format!("director-{n}"));
         let initial: Vec<String> = names.filter(|name| !self.joins(name)).collect();
@@ -67,7 +67,7 @@
         *participant.process.borrow_mut() = Some(Process::new(child));
         let address = listening_address(name, &mut lines).await?;
         *participant.address.borrow_mut() = address.clone();
-        *self.clients.doors[number as usize - 1].address.borrow_mut() = address;
+        *self.clients.targets[number as usize - 1].address.borrow_mut() = address;
         tokio::task::spawn_local(Rc::clone(self).follow_log(name.to_owned(), lines));
         Ok(())
     }
@@ -127,7 +127,7 @@
         let scenario = &self.scenario;
         let (notices, rev) = self.events(name, 0);
         let notices = notices.join(",");
-        let board = self.seen.borrow().boards[name].clone();
+        let board = self.seen.borrow().discovery_addresses[name].clone();
         let ops = self.admin_address_of(name).map(|door| format!(r#","ops":"{door}""#)).unwrap_or_default();
         let list = |f: &dyn Fn(&RequestClass) -> String| {
             scenario.classes.iter().map(f).collect::<Vec<_>>().join(",")
--- a/crates/foxhold-testbed/src/scenarios/runner/injection.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/injection.rs
@@ -194,7 +194,7 @@
     }
 
     fn with_target(&self, name: &str, change: impl FnOnce(&DirectorTarget)) {
-        if let Some(target) = number_of(name).and_then(|n| self.clients.doors.get(n)) {
+        if let Some(target) = number_of(name).and_then(|n| self.clients.targets.get(n)) {
             change(target);
         }
     }
@@ -246,7 +246,7 @@
             let groups = 0..(fault.share * GROUPS).round() as u32;
             groups.map(|g| PurgeRecord { object: None, groups: vec![g], ms }).collect()
         };
-        self.clients.book.borrow_mut().purges.extend(purged.iter().cloned());
+        self.clients.log.borrow_mut().purges.extend(purged.iter().cloned());
         for purge in &purged {
             let command = match (&purge.object, purge.groups.first()) {
                 (Some(object), _) => format!("purge object {object}"),
--- a/crates/foxhold-testbed/src/scenarios/runner/mod.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/mod.rs
@@ -174,8 +174,8 @@
             }
         }
         let seen = std::mem::take(&mut *self.seen.borrow_mut());
-        let book = std::mem::take(&mut *self.clients.book.borrow_mut());
-        Ok(RunReport::new(&self.scenario, &self.specs, self.zero_ms.get(), seen, book))
+        let log = std::mem::take(&mut *self.clients.log.borrow_mut());
+        Ok(RunReport::new(&self.scenario, &self.specs, self.zero_ms.get(), seen, log))
     }
 }
 
--- a/crates/foxhold-testbed/src/scenarios/runner/process.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/process.rs
@@ -22,7 +22,7 @@
 impl Programs {
     /// Returns the programs with this executable as the testbed, and a new name in the system's temporary
     /// folder.
-    pub fn of(director: PathBuf) -> std::io::Result<Programs> {
+    pub fn find(director: PathBuf) -> std::io::Result<Programs> {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("foxhold-fleet-{}-{number}", std::process::id()));
--- a/crates/foxhold-testbed/src/scenarios/runner/servers.rs
+++ b/crates/foxhold-testbed/src/scenarios/runner/servers.rs
@@ -61,7 +61,7 @@
         tokio::task::spawn_local(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 if let Ok(event) = serde_json::from_str(&line) {
-                    seen.borrow_mut().notes.push((name.clone(), event));
+                    seen.borrow_mut().events.push((name.clone(), event));
                 }
             }
         });
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/director.rs
@@ -95,7 +95,7 @@
     }
 
     /// Adds other directors as known members, as in a fleet that has long been running.
-    pub fn know(&mut self, others: impl Iterator<Item = Member>) -> Output {
+    pub fn add_members(&mut self, others: impl Iterator<Item = Member>) -> Output {
         let mut output = Output::default();
         let membership_output = self.members.know(others);
         self.apply_membership(membership_output, &mut output);
@@ -104,7 +104,7 @@
     }
 
     /// Adds a purge with an earlier time to the replicated state, without sending it to peers.
-    pub fn hold(&mut self, key: Key, at: Micros, now: ClockReading) {
+    pub fn add_purge(&mut self, key: Key, at: Micros, now: ClockReading) {
         // Fails only if the bound on entries is reached; the report shows that by the number of entries held.
         let _ = self.gossip.state.purge(key, at, now);
     }
@@ -181,7 +181,7 @@
     }
 
     /// Handles an expired timer.
-    pub fn rang(&mut self, timer: Timer) -> Output {
+    pub fn handle_timer(&mut self, timer: Timer) -> Output {
         let mut output = Output::default();
         let membership_output = self.members.handle_timer(timer);
         self.apply_membership(membership_output, &mut output);
@@ -189,7 +189,7 @@
     }
 
     /// Handles a received datagram.
-    pub fn datagram(&mut self, bytes: &[u8], now: ClockReading) -> Output {
+    pub fn handle_datagram(&mut self, bytes: &[u8], now: ClockReading) -> Output {
         let mut output = Output::default();
         let Ok(message) = self.codec.decode(bytes) else { return output };
         let from = message.from.address;
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/network.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/network.rs
@@ -53,7 +53,7 @@
 
 /// Outcome of sending a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Delivery {
     /// The datagram arrives after this time, in microseconds.
     Arrives(Micros),
     /// The datagram is lost, or its path is cut by a partition.
@@ -116,10 +116,10 @@
     }
 
     /// Draws the outcome of a datagram from one director to another.
-    pub fn send(&mut self, from: usize, to: usize) -> Fate {
+    pub fn send(&mut self, from: usize, to: usize) -> Delivery {
         let (from, to) = (self.places[from], self.places[to]);
         if self.cut.contains(&(from.region, to.region)) || self.random.random_bool(self.lost) {
-            return Fate::Lost;
+            return Delivery::Lost;
         }
         let usual = if from.site == to.site {
             WITHIN_SITE
@@ -129,6 +129,6 @@
             self.delays[from.region][to.region]
         };
         let jitter = 1.0 + JITTER * self.random.random::<f64>();
-        Fate::Arrives((usual as f64 * jitter) as Micros)
+        Delivery::Arrives((usual as f64 * jitter) as Micros)
     }
 }
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
@@ -4,11 +4,11 @@
 use serde::Serialize;
 
 /// Smallest number of sizes for a regression.
-pub const SIZES: usize = 3;
+pub const MIN_SIZES: usize = 3;
 /// Smallest ratio of the largest size to the smallest.
-pub const SPAN: f64 = 10.0;
+pub const MIN_SPAN: f64 = 10.0;
 /// A regression holds if no residual is larger than this share of the figure.
-pub const HOLDS: f64 = 0.1;
+pub const MAX_RESIDUAL: f64 = 0.1;
 
 /// Sizes from this value on are not reported, because the regression says nothing about them.
 const MAX_REPORTED_SIZE: f64 = 1e9;
@@ -76,11 +76,11 @@
 /// Reason why no regression can be calculated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegressionError {
-    /// Fewer than [`SIZES`] sizes.
-    #[error("a fit needs {SIZES} sizes at least")]
+    /// Fewer than [`MIN_SIZES`] sizes.
+    #[error("a fit needs {MIN_SIZES} sizes at least")]
     Sizes,
-    /// The sizes span less than a factor of [`SPAN`], or one is zero.
-    #[error("a fit needs a largest size of {SPAN} times the smallest, which is above zero")]
+    /// The sizes span less than a factor of [`MIN_SPAN`], or one is zero.
+    #[error("a fit needs a largest size of {MIN_SPAN} times the smallest, which is above zero")]
     Span,
     /// The slope or the mean of the figures is not finite.
     #[error("no regression: the slope or the mean of the figures is not finite")]
@@ -104,13 +104,13 @@
 
 impl Regression {
     /// Calculates the regression of figures over sizes, in the form with the smaller largest residual.
-    pub fn through(points: &[(f64, f64)]) -> Result<Regression, RegressionError> {
-        if points.len() < SIZES {
+    pub fn calculate(points: &[(f64, f64)]) -> Result<Regression, RegressionError> {
+        if points.len() < MIN_SIZES {
             return Err(RegressionError::Sizes);
         }
         let smallest = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
         let largest = points.iter().map(|p| p.0).fold(0.0, f64::max);
-        if smallest <= 0.0 || largest < SPAN * smallest {
+        if smallest <= 0.0 || largest < MIN_SPAN * smallest {
             return Err(RegressionError::Span);
         }
         let linear = Regression::in_form(Form::Linear, points, (smallest, largest))?;
@@ -141,9 +141,9 @@
         self.residuals.iter().map(|share| share.abs()).fold(0.0, f64::max)
     }
 
-    /// Returns whether the line holds over its range: no residual exceeds [`HOLDS`].
+    /// Returns whether the line holds over its range: no residual exceeds [`MAX_RESIDUAL`].
     pub fn holds(&self) -> bool {
-        self.worst() <= HOLDS
+        self.worst() <= MAX_RESIDUAL
     }
 
     /// Returns the size at which the line reaches a value, or `None` if the line does not rise or the size is
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/report.rs
@@ -69,7 +69,7 @@
     fn through(figure: &Figure, axis: Axis, measured: &[Measurement]) -> Line {
         let complete = measured.iter().filter(|run| run.ended == Ended::Complete);
         let points: Vec<(f64, f64)> = complete.map(|run| (axis.size(run), (figure.of)(run))).collect();
-        let regression = Regression::through(&points);
+        let regression = Regression::calculate(&points);
         let regression_error = regression.as_ref().err().map(ToString::to_string);
         let regression = regression.ok();
         let planned = regression.as_ref().map(|regression| regression.at(axis.planned()));
--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/simulation.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/simulation.rs
@@ -3,7 +3,7 @@
 use super::clock::{Clock, UNIX_START};
 use super::director::{member, Director, Output};
 use super::measurement::{times_histogram, Ended, KeyForm, Means, Measurement, Purge, ResourceUse, Times};
-use super::network::{Fate, Network, HEADERS};
+use super::network::{Delivery, Network, HEADERS};
 use super::scenario::Fault;
 use super::{Host, Options, Size};
 use foxhold::cluster::frame::FrameCodec;
@@ -143,7 +143,7 @@
                 return;
             }
             let others = (0..directors).filter(|other| *other != n).map(|other| member(other, UNIX_START));
-            let output = self.slots[n].director.as_mut().map(|director| director.know(others));
+            let output = self.slots[n].director.as_mut().map(|director| director.add_members(others));
             self.apply_output(n, output.unwrap_or_default());
             self.add_initial_entries(n);
         }
@@ -169,7 +169,7 @@
         let retention = director.state().bounds().purge_retention;
         for held in 0..self.size.initial_entries {
             let age = retention * Micros::from(held) / Micros::from(self.size.initial_entries);
-            director.hold(Key::Object(format!("held-{held:011}")), now.unix - age, now);
+            director.add_purge(Key::Object(format!("held-{held:011}")), now.unix - age, now);
         }
     }
 
@@ -200,7 +200,7 @@
             if self.network.between_regions(n, to) {
                 self.statistics.bytes_between_regions += (bytes.len() + HEADERS) as u64;
             }
-            if let Fate::Arrives(after) = self.network.send(n, to) {
+            if let Delivery::Arrives(after) = self.network.send(n, to) {
                 self.schedule(after, Event::Datagram { to, bytes });
             }
         }
@@ -246,7 +246,7 @@
                 if self.slots[to].director.is_some() {
                     self.statistics.resource_use[to].arrived(bytes.len());
                 }
-                self.handle(to, |director| director.datagram(&bytes, now));
+                self.handle(to, |director| director.handle_datagram(&bytes, now));
             }
             Event::Tick { director, start } => {
                 if self.slots[director].start == start && self.slots[director].director.is_some() {
@@ -256,7 +256,7 @@
             }
             Event::Timer { director, start, timer } => {
                 if self.slots[director].start == start {
-                    self.handle(director, |director| director.rang(timer));
+                    self.handle(director, |director| director.handle_timer(timer));
                 }
             }
             Event::Purge => self.purge(),
--- a/crates/foxhold-testbed/src/servers/emulated/connection.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/connection.rs
@@ -81,7 +81,7 @@
         let task = self.tasks.spawn_local(async move {
             let reply = server.handle_request(&request, &overloaded).await;
             let mut bytes = encode_reply(&request, &reply);
-            if server.planted.get() == Some(RuleBreach::OtherBytes) {
+            if server.injected_breach.get() == Some(RuleBreach::OtherBytes) {
                 // Replaces the last byte of the body, which the two bytes of the line end follow.
                 if let Some(byte) = bytes.iter_mut().rev().nth(2) {
                     *byte = b'x';
--- a/crates/foxhold-testbed/src/servers/emulated/mod.rs
+++ b/crates/foxhold-testbed/src/servers/emulated/mod.rs
@@ -63,7 +63,7 @@
     stopped_until: Cell<Option<Instant>>,
     draining_since: Cell<Option<Instant>>,
     slowdown: Cell<f64>,
-    planted: Cell<Option<RuleBreach>>,
+    injected_breach: Cell<Option<RuleBreach>>,
     /// Seconds added to each request.
     delay: Cell<f64>,
     requests_in_flight: Cell<usize>,
@@ -173,7 +173,7 @@
             stopped_until: Cell::new(None),
             draining_since: Cell::new(None),
             slowdown: Cell::new(1.0),
-            planted: Cell::new(None),
+            injected_breach: Cell::new(None),
             delay: Cell::new(0.0),
             requests_in_flight: Cell::new(0),
             fills_in_flight: Cell::new(0),
@@ -215,8 +215,8 @@
             ServerCommand::Slow(times) => self.slowdown.set(times.max(1e-3)),
             ServerCommand::Delay(seconds) => self.delay.set(seconds),
             ServerCommand::Plant(RuleBreach::SecretRestart) => self.restart_empty(),
-            ServerCommand::Plant(breach) => self.planted.set(Some(breach)),
-            ServerCommand::Purge { .. } if self.planted.get() == Some(RuleBreach::OldCopy) => {}
+            ServerCommand::Plant(breach) => self.injected_breach.set(Some(breach)),
+            ServerCommand::Purge { .. } if self.injected_breach.get() == Some(RuleBreach::OldCopy) => {}
             ServerCommand::Purge { object, groups, ms } => {
                 let groups: HashSet<u32> = groups.into_iter().collect();
                 let named = |o: &str| match &object {
@@ -300,7 +300,7 @@
 
     async fn serve_from_origin(&self, request: &ServerRequest, write: bool, kb: f64) -> ServerReply {
         if write {
-            let times = if self.planted.get() == Some(RuleBreach::DuplicateWrite) { 2 } else { 1 };
+            let times = if self.injected_breach.get() == Some(RuleBreach::DuplicateWrite) { 2 } else { 1 };
             (0..times).for_each(|_| drop(self.events.send(ServerEvent::Ran(request.id.clone()))));
         }
         let minted = unix_ms();
@@ -311,7 +311,7 @@
     /// Returns the cached copy if it is within the request's age limit.
     fn cached(&self, request: &ServerRequest) -> Option<CachedCopy> {
         let copy = self.memory.borrow_mut().get(&request.key(), request.tier)?;
-        let any = request.max_age_ms == 0 || self.planted.get() == Some(RuleBreach::OldCopy);
+        let any = request.max_age_ms == 0 || self.injected_breach.get() == Some(RuleBreach::OldCopy);
         (any || unix_ms().saturating_sub(copy.minted) <= request.max_age_ms).then_some(copy)
     }
 
--- a/crates/foxhold-testbed/src/servers/in_process.rs
+++ b/crates/foxhold-testbed/src/servers/in_process.rs
@@ -48,7 +48,7 @@
 #[derive(Default)]
 struct State {
     servers: BTreeMap<String, Server>,
-    seen: Vec<ReceivedRequest>,
+    received_requests: Vec<ReceivedRequest>,
     events: Vec<String>,
 }
 
@@ -141,7 +141,7 @@
     }
 
     /// Restarts a crashed server with an empty cache.
-    pub fn back(&self, name: &str) {
+    pub fn restart(&self, name: &str) {
         if let Some(server) = lock(&self.state).servers.get(name) {
             server.down.send_replace(false);
         }
@@ -162,8 +162,8 @@
     }
 
     /// Returns all requests that servers received, in order of arrival.
-    pub fn seen(&self) -> Vec<ReceivedRequest> {
-        lock(&self.state).seen.clone()
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
+        lock(&self.state).received_requests.clone()
     }
 }
 
@@ -328,7 +328,7 @@
 
     fn record(&mut self, name: &str, id: &str, fields: &BTreeMap<&str, &str>) {
         let field = |name: &str| fields.get(name).copied();
-        self.seen.push(ReceivedRequest {
+        self.received_requests.push(ReceivedRequest {
             id: id.into(),
             server: name.into(),
             via: field("via").map(Into::into),
--- a/crates/foxhold-testbed/tests/disconnects.rs
+++ b/crates/foxhold-testbed/tests/disconnects.rs
@@ -24,7 +24,7 @@
     let disconnects: Vec<Disconnect> = drawn.into_iter().flatten().collect();
     assert!((2_300..2_700).contains(&disconnects.len()), "{} of 10000 clients disconnect", disconnects.len());
     assert!(disconnects.iter().all(|disconnect| (0.0..0.4).contains(&disconnect.after)));
-    let resets = disconnects.iter().filter(|disconnect| disconnect.how == DisconnectKind::Reset).count();
+    let resets = disconnects.iter().filter(|disconnect| disconnect.kind == DisconnectKind::Reset).count();
     assert!((1_100..1_400).contains(&resets), "{resets} disconnects are resets");
 }
 
@@ -37,7 +37,7 @@
         received_request("cache-1", "b", 1_101),
         received_request("cache-1", "c", 9_000),
     ];
-    let (sent, breaches) = SentAfterDisconnect::reckon(&Scenario::default(), 0, &disconnected, &events);
+    let (sent, breaches) = SentAfterDisconnect::compute(&Scenario::default(), 0, &disconnected, &events);
     assert_eq!(sent, SentAfterDisconnect { clients: 2, attempts: 2, latest_ms: 101, too_late: 1 });
     assert_eq!(breaches, ["cache-1 saw b begin 101 ms after its client had left"]);
 }
@@ -49,7 +49,9 @@
     let scenario = Scenario::read(text).expect("scenario is valid");
     let disconnected = HashMap::from([("a".to_owned(), 1_000)]);
     let late_attempts = |server: &str, ms| {
-        SentAfterDisconnect::reckon(&scenario, 0, &disconnected, &[received_request(server, "a", ms)]).1.len()
+        SentAfterDisconnect::compute(&scenario, 0, &disconnected, &[received_request(server, "a", ms)])
+            .1
+            .len()
     };
     assert_eq!(
         [late_attempts("cache-1", 3_900), late_attempts("cache-2", 3_900), late_attempts("cache-3", 3_900)],
--- a/crates/foxhold-testbed/tests/fleet.rs
+++ b/crates/foxhold-testbed/tests/fleet.rs
@@ -16,7 +16,7 @@
          cache_link: 6, {keys}}}"
     );
     let scenario = Scenario::read(&text).expect("scenario is valid");
-    let mut programs = Programs::of(common::daemon()).expect("programs are found");
+    let mut programs = Programs::find(common::daemon()).expect("programs are found");
     programs.testbed = PathBuf::from(env!("CARGO_BIN_EXE_foxhold-testbed"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime starts");
     let report = tokio::task::LocalSet::new().block_on(&runtime, run(&scenario, &programs, |_| {}));
--- a/crates/foxhold-testbed/tests/gossip.rs
+++ b/crates/foxhold-testbed/tests/gossip.rs
@@ -25,7 +25,10 @@
     let config =
         FleetConfig { directors: count, keys: keys.into(), persistent, seed: 7, ..FleetConfig::default() };
     let fleet = Fleet::start(&common::daemon(), config).await.expect("fleet starts");
-    fleet.joined(&directors(&fleet), count - 1, seconds(20)).await.expect("all directors are peers");
+    fleet
+        .wait_until_joined(&directors(&fleet), count - 1, seconds(20))
+        .await
+        .expect("all directors are peers");
     fleet
 }
 
@@ -114,7 +117,7 @@
 
 /// Returns a number from a director's `peers` report, or 0 if it is not there.
 async fn reported_count(fleet: &Fleet, n: usize, path: &[&str]) -> u64 {
-    let report = fleet.shown(n).await.expect("admin response");
+    let report = fleet.peers_json(n).await.expect("admin response");
     path.iter().fold(&report, |value, key| &value[*key]).as_u64().unwrap_or(0)
 }
 
@@ -124,7 +127,7 @@
         let fleet = start_fleet(6, "", false).await;
         admin_command(&fleet, 2, "drain cache-1").await;
         let took = fleet
-            .until(&directors(&fleet), "drains", seconds(1), |state| contains(state, "cache-1 drains"))
+            .wait_until(&directors(&fleet), "drains", seconds(1), |state| contains(state, "cache-1 drains"))
             .await;
         println!(
             "all six directors hold the drain after {:?}",
@@ -134,7 +137,7 @@
         wait_for_excluded_caches(&fleet, 1).await;
         admin_command(&fleet, 4, "undrain cache-1").await;
         fleet
-            .until(&directors(&fleet), "drains", seconds(1), |state| {
+            .wait_until(&directors(&fleet), "drains", seconds(1), |state| {
                 contains(state, "cache-1 does not drain")
             })
             .await
@@ -160,7 +163,7 @@
         fleet.net.cut(&[0, 1, 2], &[3, 4, 5]);
         admin_command(&fleet, 0, "purge object 7f3a9c21e0b4d655").await;
         fleet
-            .until(&[0, 1, 2], "purges", seconds(2), |state| contains(state, "7f3a9c21e0b4d655"))
+            .wait_until(&[0, 1, 2], "purges", seconds(2), |state| contains(state, "7f3a9c21e0b4d655"))
             .await
             .expect("directors on the same side hold the purge");
         sleep(seconds(1)).await;
@@ -172,8 +175,9 @@
             );
         }
         fleet.net.set_all(LinkConditions::default());
-        let took =
-            fleet.until(&[3, 4, 5], "purges", seconds(5), |state| contains(state, "7f3a9c21e0b4d655")).await;
+        let took = fleet
+            .wait_until(&[3, 4, 5], "purges", seconds(5), |state| contains(state, "7f3a9c21e0b4d655"))
+            .await;
         println!(
             "all directors hold the purge {:?} after healing",
             took.expect("all directors hold the purge within 5 s")
@@ -192,7 +196,9 @@
         // Each half declares the other dead after some probes and the protocol's 4 s of suspicion.
         for n in directors(&fleet) {
             let started = std::time::Instant::now();
-            while fleet.shown(n).await.expect("admin response")["peers"].as_array().map(Vec::len) != Some(2) {
+            while fleet.peers_json(n).await.expect("admin response")["peers"].as_array().map(Vec::len)
+                != Some(2)
+            {
                 assert!(
                     started.elapsed() < seconds(25),
                     "director {n}: expected two peers within 25 s: {}",
@@ -212,7 +218,10 @@
         admin_command(&fleet, 2, "purge group 9").await;
         fleet.net.set_all(LinkConditions::default());
         let healed = std::time::Instant::now();
-        fleet.joined(&directors(&fleet), 5, seconds(20)).await.expect("all directors are peers again");
+        fleet
+            .wait_until_joined(&directors(&fleet), 5, seconds(20))
+            .await
+            .expect("all directors are peers again");
         let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
         println!("equal state {:?} after healing: {drains:?}", healed.elapsed());
         assert!(contains(&drains, "cache-2 drains"), "the drain wins over a concurrent undrain: {drains:?}");
@@ -229,7 +238,7 @@
         let fleet = start_fleet(5, "", false).await;
         fleet.net.set_all(LinkConditions { loss: 0.2, duplication: 0.2, delay_ms: 2_000 });
         // Director 0 cannot reach director 1 at all.
-        fleet.net.set(0, 1, LinkConditions::CUT);
+        fleet.net.set(0, 1, LinkConditions::PARTITIONED);
         for n in 0..20 {
             let server = ["cache-1", "cache-2", "parent-1"][n % 3];
             let command = if n % 4 == 3 { "undrain" } else { "drain" };
@@ -255,7 +264,7 @@
         admin_command(&fleet, 0, "undrain cache-1").await;
         admin_command(&fleet, 0, "purge group 3").await;
         let started = std::time::Instant::now();
-        while fleet.shown(0).await.expect("admin response")["gone"].as_array().map(Vec::len) != Some(1) {
+        while fleet.peers_json(0).await.expect("admin response")["gone"].as_array().map(Vec::len) != Some(1) {
             assert!(
                 started.elapsed() < seconds(25),
                 "expected the suspended director to be declared dead within 25 s"
@@ -264,7 +273,7 @@
         }
         fleet.signal(4, Signal::CONT);
         fleet
-            .joined(&directors(&fleet), 4, seconds(20))
+            .wait_until_joined(&directors(&fleet), 4, seconds(20))
             .await
             .expect("the director is a peer of all others again");
         let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
@@ -293,7 +302,7 @@
                 _ => {}
             }
             let before = fleet.log(3);
-            fleet.start_some(&[3]).await.expect("director starts");
+            fleet.start_directors(&[3]).await.expect("director starts");
             let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
             assert!(contains(&drains, "cache-1 drains"), "{how}: {drains:?}");
             let started = std::time::Instant::now();
@@ -330,9 +339,12 @@
             fleet.kill(n).await;
         }
         for n in directors(&fleet) {
-            fleet.start_some(&[n]).await.expect("director starts");
+            fleet.start_directors(&[n]).await.expect("director starts");
         }
-        fleet.joined(&directors(&fleet), 4, seconds(20)).await.expect("all directors are peers again");
+        fleet
+            .wait_until_joined(&directors(&fleet), 4, seconds(20))
+            .await
+            .expect("all directors are peers again");
         let drains = wait_for_equal_state(&fleet, &directors(&fleet), seconds(10)).await;
         assert!(contains(&drains, "cache-1 drains"), "{drains:?}");
         wait_for_excluded_caches(&fleet, 1).await;
@@ -361,10 +373,10 @@
         }
         let held = reported_count(&fleet, 0, &["entries", "purges"]).await;
         fleet.kill(4).await;
-        fleet.start_some(&[4]).await.expect("director starts");
+        fleet.start_directors(&[4]).await.expect("director starts");
         sleep(Duration::from_millis(30)).await;
         fleet.kill(4).await; // probably during catch-up
-        fleet.start_some(&[4]).await.expect("director starts");
+        fleet.start_directors(&[4]).await.expect("director starts");
         let started = std::time::Instant::now();
         fleet.kill(0).await;
         fleet.kill(1).await;
@@ -372,7 +384,7 @@
             assert!(
                 started.elapsed() < seconds(20),
                 "expected director 4 to catch up within 20 s: {}\n{}",
-                fleet.shown(4).await.expect("admin response"),
+                fleet.peers_json(4).await.expect("admin response"),
                 fleet.log(4)
             );
             sleep(Duration::from_millis(10)).await;
@@ -395,7 +407,7 @@
             ..FleetConfig::default()
         };
         let mut fleet = Fleet::start(&common::daemon(), config).await.expect("fleet starts");
-        fleet.joined(&directors(&fleet), 2, seconds(20)).await.expect("all directors are peers");
+        fleet.wait_until_joined(&directors(&fleet), 2, seconds(20)).await.expect("all directors are peers");
         admin_command(&fleet, 1, "drain cache-1").await;
         sleep(Duration::from_millis(600)).await;
         assert!(reported_count(&fleet, 0, &["counts", "disk_written"]).await > 0, "written at first");
@@ -405,21 +417,21 @@
             assert!(
                 started.elapsed() < seconds(20),
                 "no failed write: {}",
-                fleet.shown(0).await.expect("admin response")
+                fleet.peers_json(0).await.expect("admin response")
             );
             sleep(Duration::from_millis(50)).await;
         }
         // The director continues: a drain that starts there reaches all.
         admin_command(&fleet, 0, "drain cache-2").await;
         fleet
-            .until(&directors(&fleet), "drains", seconds(2), |state| contains(state, "cache-2 drains"))
+            .wait_until(&directors(&fleet), "drains", seconds(2), |state| contains(state, "cache-2 drains"))
             .await
             .expect("the drain reaches all directors");
         assert!(fleet.log(0).contains("writing the state to disk failed"), "{}", fleet.log(0));
         // The file on disk is intact: it holds the state of an earlier time.
         fleet.lift_file_limit();
         fleet.kill(0).await;
-        fleet.start_some(&[0]).await.expect("director starts");
+        fleet.start_directors(&[0]).await.expect("director starts");
         let log = fleet.log(0);
         assert!(
             !log.contains("file renamed")
@@ -428,7 +440,7 @@
             "{log}"
         );
         fleet
-            .until(&[0], "drains", seconds(5), |s| {
+            .wait_until(&[0], "drains", seconds(5), |s| {
                 contains(s, "cache-1 drains") && contains(s, "cache-2 drains")
             })
             .await
@@ -453,7 +465,7 @@
             assert!(
                 started.elapsed() < seconds(20),
                 "no failed write: {}",
-                fleet.shown(0).await.expect("admin response")
+                fleet.peers_json(0).await.expect("admin response")
             );
             sleep(Duration::from_millis(50)).await;
         }
@@ -470,7 +482,7 @@
             assert!(
                 started.elapsed() < seconds(20),
                 "too few batches written: {}",
-                fleet.shown(0).await.expect("admin response")
+                fleet.peers_json(0).await.expect("admin response")
             );
             admin_command(&fleet, 0, &format!("purge group {group}")).await;
             sleep(Duration::from_millis(100)).await;
@@ -478,7 +490,7 @@
         println!("eight batches written {:?} after the disk had room", started.elapsed());
         fleet.lift_file_limit();
         fleet.kill(0).await;
-        fleet.start_some(&[0]).await.expect("director starts");
+        fleet.start_directors(&[0]).await.expect("director starts");
         assert!(
             reported_count(&fleet, 0, &["entries", "purges"]).await >= 40_000,
             "expected all purges from disk: {}",
@@ -495,7 +507,7 @@
         let fleet = start_fleet(5, "entries: 1000", false).await;
         admin_command(&fleet, 1, "drain cache-1").await;
         let before = wait_for_equal_state(&fleet, &directors(&fleet), seconds(5)).await;
-        let to = fleet.reached_at(0);
+        let to = fleet.relay_address(0);
         let updates = || GossipMessage::Updates(vec![(Key::Group(1), Value::Purged(unix_micros()))]);
         let mut client = TestClient::open(&fleet).await.expect("client opens");
         for _ in 0..50 {
@@ -514,7 +526,7 @@
         client.send(to, &valid).await.expect("datagram sent");
         client.send(to, &valid).await.expect("datagram sent");
         fleet
-            .until(&directors(&fleet), "purges", seconds(5), |s| s.len() == 1 && contains(s, "group 2"))
+            .wait_until(&directors(&fleet), "purges", seconds(5), |s| s.len() == 1 && contains(s, "group 2"))
             .await
             .expect("all directors hold only the purge of the valid message");
         for cause in ["seal", "fleet", "version", "size", "replayed"] {
@@ -531,7 +543,7 @@
         }
         sleep(seconds(1)).await;
         for n in directors(&fleet) {
-            let report = fleet.shown(n).await.expect("admin response");
+            let report = fleet.peers_json(n).await.expect("admin response");
             let entries: u64 =
                 ["purges", "drains", "members"].iter().filter_map(|k| report["entries"][*k].as_u64()).sum();
             assert!(entries <= 1_000, "director {n}: expected at most 1000 entries: {report}");
--- a/crates/foxhold-testbed/tests/gossip_client.rs
+++ b/crates/foxhold-testbed/tests/gossip_client.rs
@@ -48,7 +48,7 @@
         let mut client = TestClient::open(&fleet).await.expect("client opens");
         let started = tokio::time::Instant::now();
         let error = client
-            .deliver(fleet.reached_at(0), purges())
+            .deliver(fleet.relay_address(0), purges())
             .await
             .expect_err("no director runs to acknowledge updates");
         assert!(matches!(error, DeliveryError::AttemptsExhausted { missing: 1.. }), "{error}");
--- a/crates/foxhold-testbed/tests/simulated_fleet.rs
+++ b/crates/foxhold-testbed/tests/simulated_fleet.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use foxhold_testbed::scenarios::simulated_fleet::measurement::Ended;
 use foxhold_testbed::scenarios::simulated_fleet::measurement::Measurement;
-use foxhold_testbed::scenarios::simulated_fleet::network::{Fate, Network, Topology};
+use foxhold_testbed::scenarios::simulated_fleet::network::{Delivery, Network, Topology};
 use foxhold_testbed::scenarios::simulated_fleet::regression::{Form, Regression, RegressionError};
 use foxhold_testbed::scenarios::simulated_fleet::{run, Host, Options};
 use rustix::process::{kill_process, Pid, Signal};
@@ -127,13 +127,13 @@
     let mut network = Network::new(&topology, 8, 0.0, 1);
     assert!(network.between_regions(0, 7) && !network.between_regions(0, 3));
     network.cut_one_way(0, 1);
-    assert_eq!(network.send(0, 7), Fate::Lost);
-    assert!(matches!(network.send(7, 0), Fate::Arrives(_)));
+    assert_eq!(network.send(0, 7), Delivery::Lost);
+    assert!(matches!(network.send(7, 0), Delivery::Arrives(_)));
     network.isolate(1);
-    assert_eq!(network.send(7, 0), Fate::Lost);
-    assert!(matches!(network.send(7, 6), Fate::Arrives(_)), "datagrams within the region arrive");
+    assert_eq!(network.send(7, 0), Delivery::Lost);
+    assert!(matches!(network.send(7, 6), Delivery::Arrives(_)), "datagrams within the region arrive");
     network.heal();
-    assert!(matches!(network.send(0, 7), Fate::Arrives(_)));
+    assert!(matches!(network.send(0, 7), Delivery::Arrives(_)));
 }
 
 #[test]
@@ -176,7 +176,7 @@
 fn a_regression_recovers_known_lines_and_refuses_unsuitable_points() {
     let sizes = [10.0, 30.0, 100.0, 300.0];
     let linear: Vec<(f64, f64)> = sizes.iter().map(|n| (*n, 5.0 + 0.25 * n)).collect();
-    let regression = Regression::through(&linear).expect("points have a regression");
+    let regression = Regression::calculate(&linear).expect("points have a regression");
     assert_eq!((regression.form, regression.range), (Form::Linear, (10.0, 300.0)));
     assert!(
         (regression.intercept - 5.0).abs() < 1e-6
@@ -185,16 +185,22 @@
     );
     assert!((regression.reaches(30.0).expect("the line rises") - 100.0).abs() < 1e-6);
     let logarithmic: Vec<(f64, f64)> = sizes.iter().map(|n| (*n, 2.0 + 3.0 * f64::ln(*n))).collect();
-    let regression = Regression::through(&logarithmic).expect("points have a regression");
+    let regression = Regression::calculate(&logarithmic).expect("points have a regression");
     assert_eq!(regression.form, Form::Logarithmic);
     assert!((regression.slope - 3.0).abs() < 1e-9 && (regression.at(1_000.0) - 22.723_265).abs() < 1e-4);
     let mut nonlinear = linear.clone();
     nonlinear[2].1 *= 2.0;
-    assert!(!Regression::through(&nonlinear).expect("points have a regression").holds());
-    assert_eq!(Regression::through(&linear[..2]).err(), Some(RegressionError::Sizes));
-    assert_eq!(Regression::through(&linear[1..]).map(|regression| regression.range), Ok((30.0, 300.0)));
-    assert_eq!(Regression::through(&[(1.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(), Some(RegressionError::Span));
-    assert_eq!(Regression::through(&[(0.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(), Some(RegressionError::Span));
+    assert!(!Regression::calculate(&nonlinear).expect("points have a regression").holds());
+    assert_eq!(Regression::calculate(&linear[..2]).err(), Some(RegressionError::Sizes));
+    assert_eq!(Regression::calculate(&linear[1..]).map(|regression| regression.range), Ok((30.0, 300.0)));
+    assert_eq!(
+        Regression::calculate(&[(1.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(),
+        Some(RegressionError::Span)
+    );
+    assert_eq!(
+        Regression::calculate(&[(0.0, 1.0), (2.0, 1.0), (9.0, 1.0)]).err(),
+        Some(RegressionError::Span)
+    );
 }
 
 #[test]
--- a/crates/foxhold-testbed/tests/trace_file.rs
+++ b/crates/foxhold-testbed/tests/trace_file.rs
@@ -9,7 +9,7 @@
     assert_eq!(parse(&text), Ok(lines.clone()));
     assert_eq!(draw(500, 7), lines);
     assert_ne!(draw(500, 8), lines);
-    assert_eq!(lines.iter().filter(|line| matches!(line.step, Step::Trouble(_))).count(), 7);
+    assert_eq!(lines.iter().filter(|line| matches!(line.step, Step::Fault(_))).count(), 7);
 }
 
 #[test]
