--- a/tests/admin_endpoint.rs
+++ b/tests/admin_endpoint.rs
@@ -83,11 +83,11 @@
         let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         let admin = TestEndpoint::start(&dispatcher).await;
         for id in 0..3 {
-            assert_eq!(send(&clients, &get("videos", id)).await.status, 200);
+            assert_eq!(send_request_text(&clients, &get("videos", id)).await.status, 200);
         }
         *cache.behavior.borrow_mut() = ServerBehavior::Silent;
         dispatcher.sender().send(DispatcherMessage::Members { full: true, members: Vec::new() }).await;
-        assert_eq!(send(&clients, &get("videos", 3)).await.status, 503);
+        assert_eq!(send_request_text(&clients, &get("videos", 3)).await.status, 503);
         admin.requests_in_flight.set(2);
         admin.reloads.failed.set(1);
         let _idle = open_idle_connections(&admin.address, IDLE_CONNECTIONS).await;
@@ -212,13 +212,13 @@
         let (servers, members) = start_cache_parent_origin(COPY).await;
         let dispatcher = start(settings(), Clock::system(), members);
         let clients = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
-        assert_eq!(send(&clients, &get("films", 1)).await.status, 404);
+        assert_eq!(send_request_text(&clients, &get("films", 1)).await.status, 404);
         let mut new_settings = settings();
         new_settings.classes[0].name = "films".into();
         dispatcher.sender().send(DispatcherMessage::Settings(Box::new(new_settings))).await;
         dispatcher.metrics().await.expect("a dispatcher");
-        assert_eq!(send(&clients, &get("films", 2)).await.status, 200);
-        assert_eq!(send(&clients, &get("videos", 3)).await.status, 404);
+        assert_eq!(send_request_text(&clients, &get("films", 2)).await.status, 200);
+        assert_eq!(send_request_text(&clients, &get("videos", 3)).await.status, 404);
         assert!(servers[0].requests()[0].contains("kind=films,"), "{:?}", servers[0].requests());
     });
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -29,7 +29,7 @@
 fn count_only_if_cached(router: &mut RouterHarness, first_object: u64) -> usize {
     let mut count = 0;
     for object in first_object..first_object + SAMPLES {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         count += usize::from(attempt.fill.is_some_and(|fill| fill.only_if_cached));
         router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
     }
@@ -46,7 +46,7 @@
         "expected at most 5 unfetched objects before any observation"
     );
     for object in 1_000..1_120 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         router.now += 20_000;
         // Objects cached at parents still arrive in time, so the parents' fill windows stay open.
         if object % 3 == 0 {
@@ -62,7 +62,7 @@
     );
     assert!(not_fetched < 100, "expected some fetches, which show when the origin recovers");
     for object in 3_000..3_600 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         router.now += 20_000;
         end_origin_fill(&mut router, &attempt, 60_000, 10_000);
     }
@@ -87,7 +87,7 @@
                 attempts_in(&actions).first().cloned().unwrap_or_else(|| panic!("nothing sent: {actions:?}"));
             end_origin_fill(&mut router, &attempt, LATE_RESPONSE, EARLY_FIRST_BYTE);
         } else {
-            let attempt = router.attempt_for(object);
+            let attempt = router.send_and_take_attempt(object);
             router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
         }
     }
--- a/tests/client_gone.rs
+++ b/tests/client_gone.rs
@@ -56,9 +56,9 @@
         let dispatcher = start_dispatcher(members);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         let mut client = TcpStream::connect(&frontend).await.expect("a frontend");
-        client.write_all(get(0xf).as_bytes()).await.expect("a connected peer");
+        client.write_all(get_request_text(0xf).as_bytes()).await.expect("a connected peer");
         let mut cache = stepped.connection().await;
-        assert!(line(&mut cache).await.contains("000f "));
+        assert!(read_line(&mut cache).await.contains("000f "));
         cache.write_all(b"000000000000000f EIO - 0\r\n\r\n").await.expect("a connected peer");
         let mut site = Site {
             dispatcher,
@@ -82,8 +82,8 @@
     /// connection, on which the test may send more bytes.
     async fn send_from_client(&mut self, id: u64) -> std::net::TcpStream {
         let mut client = std::net::TcpStream::connect(&self.frontend).expect("a frontend");
-        client.write_all(get(id).as_bytes()).expect("a connected peer");
-        assert!(line(&mut self.cache).await.starts_with(&format!("want {id:016x} ")));
+        client.write_all(get_request_text(id).as_bytes()).expect("a connected peer");
+        assert!(read_line(&mut self.cache).await.starts_with(&format!("want {id:016x} ")));
         client
     }
 
@@ -117,7 +117,7 @@
 }
 
 async fn wait_until_idle(dispatcher: &Dispatcher) {
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + EVENT_TIMEOUT;
     loop {
         let tables = dispatcher.metrics().await.expect("a dispatcher").tables;
         if tables.pending_requests == 0 {
@@ -199,8 +199,10 @@
     run_local(async {
         let mut site = Site::start().await;
         let mut client = std::net::TcpStream::connect(&site.frontend).expect("a frontend");
-        client.write_all((get(0xa) + &get(0xb)).as_bytes()).expect("a connected peer");
-        assert!(line(&mut site.cache).await.contains("000a "));
+        client
+            .write_all((get_request_text(0xa) + &get_request_text(0xb)).as_bytes())
+            .expect("a connected peer");
+        assert!(read_line(&mut site.cache).await.contains("000a "));
         site.end_attempt(hit_result());
         drop(client);
         stall_event_loop();
@@ -262,7 +264,7 @@
         let attempts = || servers.iter().map(|s| s.requests().len()).sum::<usize>();
         let connect = |id| {
             let mut client = std::net::TcpStream::connect(&frontend).expect("a frontend");
-            client.write_all(get(id).as_bytes()).expect("a connected peer");
+            client.write_all(get_request_text(id).as_bytes()).expect("a connected peer");
             client
         };
         let wait_for_attempts = |count| {
@@ -270,7 +272,10 @@
             async move {
                 let started = Instant::now();
                 while attempts() < count {
-                    assert!(started.elapsed() < SOON, "{count} attempts expected within {SOON:?}");
+                    assert!(
+                        started.elapsed() < EVENT_TIMEOUT,
+                        "{count} attempts expected within {EVENT_TIMEOUT:?}"
+                    );
                     sleep(Duration::from_millis(1)).await;
                 }
                 started.elapsed()
@@ -306,10 +311,10 @@
     run_local(async {
         let (listener, address) = listener_with_short_queue();
         let waiting = fill_accept_queue(&address).await;
-        let dispatcher = start_dispatcher(vec![listing("s-cache", &address, "edge", "cache")]);
+        let dispatcher = start_dispatcher(vec![endpoint_listing("s-cache", &address, "edge", "cache")]);
         let frontend = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
         let mut client = std::net::TcpStream::connect(&frontend).expect("a frontend");
-        client.write_all(get(0xa).as_bytes()).expect("a connected peer");
+        client.write_all(get_request_text(0xa).as_bytes()).expect("a connected peer");
         while dispatcher.metrics().await.expect("a dispatcher").tables.attempts_in_flight == 0 {
             tokio::task::yield_now().await;
         }
@@ -380,10 +385,10 @@
         let reports = DispatcherSender::new(reports);
         let attempt_id = AttemptId { request: 1, attempt: 0 };
         assert!(reports.try_send(DispatcherMessage::ClientCancelled(RequestId(9))));
-        let listing = listing("s-1", "", "edge", "cache");
+        let listing = endpoint_listing("s-1", "", "edge", "cache");
         let commands =
             HostTransport::new(CountingTransport(started.clone())).connect(ServerId(1), &listing, reports);
-        let request = want(attempt_id, "a", "videos", Vec::new(), Instant::now() + SOON);
+        let request = upstream_request(attempt_id, "a", "videos", Vec::new(), Instant::now() + EVENT_TIMEOUT);
         let cancellation = request.cancellation.clone();
         commands.try_send(EndpointCommand::Send(request)).expect("capacity");
         for _ in 0..20 {
@@ -392,7 +397,7 @@
         cancellation.cancel();
         let mut ended = None;
         while ended.is_none() {
-            match timeout(SOON, messages.recv()).await.expect("a message in time") {
+            match timeout(EVENT_TIMEOUT, messages.recv()).await.expect("a message in time") {
                 Some(DispatcherMessage::AttemptEnded(id, result)) => ended = Some((id, result)),
                 Some(DispatcherMessage::ClientCancelled(_) | DispatcherMessage::AttemptWritten(_)) => {}
                 other => panic!("unexpected message {other:?}"),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -68,7 +68,7 @@
 
 /// Returns the running server with this id: 1 to 4 are caches of the router's zone, 5 to 10 caches of another
 /// zone, 11 to 19 parents, and all others origins.
-pub fn member(id: u32) -> Member {
+pub fn running_member(id: u32) -> Member {
     let (zone, kind) = match id {
         1..=4 => (2, 0),
         5..=10 => (3, 0),
@@ -158,12 +158,12 @@
     /// Creates a router with these servers.
     pub fn with_servers(settings: Settings, ids: &[u32]) -> Self {
         let mut harness = RouterHarness::new(settings);
-        harness.update_members(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
+        harness.update_members(MemberUpdate::Full, ids.iter().map(|id| running_member(*id)).collect());
         harness
     }
 
     /// Creates a router with the servers of the test deployment.
-    pub fn with_default_site() -> Self {
+    pub fn with_test_deployment() -> Self {
         RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 13, 20])
     }
 
@@ -207,14 +207,14 @@
     }
 
     /// Passes a new request to the router and returns the first attempt, which it expects to be sent at once.
-    pub fn attempt_for(&mut self, object: u64) -> SentAttempt {
+    pub fn send_and_take_attempt(&mut self, object: u64) -> SentAttempt {
         let actions = self.send_request(0, object);
         attempts_in(&actions).first().cloned().unwrap_or_else(|| panic!("nothing sent: {actions:?}"))
     }
 
     /// Passes a new request to the router and returns its first attempt. The object has 200 KB, the mean size
     /// assumed for a class without observations.
-    pub fn attempt_for_large(&mut self, object: u64) -> SentAttempt {
+    pub fn send_large_and_take_attempt(&mut self, object: u64) -> SentAttempt {
         let request = Request { size_kb: 200.0, ..self.new_request(0, object) };
         attempts_in(&self.handle(Event::Request(request)))[0].clone()
     }
@@ -245,19 +245,19 @@
 
     /// Passes a new request to the router and ends its attempt with a fill after 80 ms.
     pub fn complete_fill(&mut self, object: u64) -> SentAttempt {
-        let attempt = self.attempt_for(object);
+        let attempt = self.send_and_take_attempt(object);
         self.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Filled);
         attempt
     }
 
     /// Returns an object whose first parent is `first`.
     pub fn object_with_first_parent(&mut self, first: u32) -> u64 {
-        (1000..).find(|o| self.peek_source(*o) == ServerId(first)).expect("some object")
+        (1000..).find(|o| self.next_fill_source(*o) == ServerId(first)).expect("some object")
     }
 
     /// Returns the fill source that a new request names, and ends its attempt with a hit.
-    pub fn peek_source(&mut self, object: u64) -> ServerId {
-        let attempt = self.attempt_for(object);
+    pub fn next_fill_source(&mut self, object: u64) -> ServerId {
+        let attempt = self.send_and_take_attempt(object);
         self.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
         attempt.source()
     }
--- a/tests/director.rs
+++ b/tests/director.rs
@@ -47,7 +47,7 @@
 fn a_hit_forwards_id_class_object_part_and_bytes_unchanged() {
     run_local(async {
         let site = start_site(SERVED).await;
-        let response = send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
+        let response = send_request_text(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
         assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
         assert_eq!(response.header("etag"), Some("\"4be0c1927d55a6f3\""));
         let wants = site.cache.requests();
@@ -64,7 +64,8 @@
     run_local(async {
         let site = start_site(ServerBehavior::Responds("ID NOMOD tag=aa,res=cached 0\r\n\r\n")).await;
         let response =
-            send(&site.address, &get_request("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
+            send_request_text(&site.address, &get_request("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n"))
+                .await;
         assert_eq!((response.status, response.body.len()), (304, 0));
         assert_eq!(response.header("etag"), Some("\"aa\""));
         assert!(site.cache.requests()[0].contains(",known=aa "), "{:?}", site.cache.requests());
@@ -79,14 +80,14 @@
         let site = start_site(SERVED).await;
         let put_with =
             |header: &str| put_request("x").replace("Content-Length", &format!("{header}Content-Length"));
-        assert_eq!(send(&site.address, &put_with("X-Unique: k-17f\r\n")).await.status, 200);
-        assert_eq!(send(&site.address, &put_with("")).await.status, 200);
+        assert_eq!(send_request_text(&site.address, &put_with("X-Unique: k-17f\r\n")).await.status, 200);
+        assert_eq!(send_request_text(&site.address, &put_with("")).await.status, 200);
         let wants = site.origin.requests();
         assert!(wants[0].contains(",token=k-17f "), "{wants:?}");
         assert!(!wants[1].contains("token"), "{wants:?}");
         // A key that no server can parse would cost the connection, and two keys would be ambiguous.
         for bad in ["X-Unique: a,b=c\r\n", "X-Unique: a\r\nX-Unique: b\r\n", "X-Unique:\r\n"] {
-            assert_eq!(send(&site.address, &put_with(bad)).await.status, 400, "{bad}");
+            assert_eq!(send_request_text(&site.address, &put_with(bad)).await.status, 400, "{bad}");
         }
         assert_eq!(site.origin.requests().len(), 2);
     });
@@ -97,7 +98,7 @@
     run_local(async {
         let site = start_site(ServerBehavior::Responds("ID AGAIN - 0\r\n\r\n")).await;
         let started = Instant::now();
-        let response = send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
+        let response = send_request_text(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
         assert_eq!(response.status, 503);
         let wait: u64 = response.header("x-wait-ms").expect("a retry delay").parse().expect("a number");
         assert!((400..=1000).contains(&wait), "a delay of {wait} ms");
@@ -115,7 +116,7 @@
     ] {
         run_local(async {
             let site = start_site(behavior.clone()).await;
-            let response = send(&site.address, &put_request("a filing")).await;
+            let response = send_request_text(&site.address, &put_request("a filing")).await;
             let sent =
                 site.cache.requests().len() + site.parent.requests().len() + site.origin.requests().len();
             assert_eq!(sent, 1, "attempts with {behavior:?}");
@@ -130,10 +131,10 @@
         let unused = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = unused.local_addr().expect("a bound address").to_string();
         drop(unused); // no socket listens on the address any more
-        let members = vec![listing("s-origin", &address, "hub", "origin")];
+        let members = vec![endpoint_listing("s-origin", &address, "hub", "origin")];
         let dispatcher = start(settings(), Clock::system(), members);
         let address = serve(&dispatcher, PlatformFrontend(dispatcher.clone())).await;
-        assert_eq!(send(&address, &put_request("a filing")).await.status, 503);
+        assert_eq!(send_request_text(&address, &put_request("a filing")).await.status, 503);
     });
 }
 
@@ -143,7 +144,7 @@
         run_local(async {
             let site = start_site(SERVED).await;
             *site.cache.behavior.borrow_mut() = behavior;
-            let response = send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
+            let response = send_request_text(&site.address, &get_request("7f3a9c21e0b4d655", "")).await;
             assert_eq!((response.status, &response.body[..]), (200, &b"bytes"[..]));
         });
     }
@@ -184,7 +185,7 @@
             ("GET /alive HTTP/1.1\r\nConnection: close\r\n\r\n", 200),
         ];
         for (request, status) in cases {
-            assert_eq!(send(&site.address, request).await.status, status, "{:.60}", request);
+            assert_eq!(send_request_text(&site.address, request).await.status, status, "{:.60}", request);
         }
         assert!(site.cache.requests().is_empty());
     });
@@ -213,12 +214,12 @@
         let site = start_site(SERVED).await;
         *site.cache.behavior.borrow_mut() = ServerBehavior::Responds("ID WHAT - 0\r\n\r\n");
         assert_eq!(
-            send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await.status,
+            send_request_text(&site.address, &get_request("7f3a9c21e0b4d655", "")).await.status,
             200,
             "the retry at another server is served"
         );
         *site.cache.behavior.borrow_mut() = SERVED;
-        assert_ne!(send(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
+        assert_ne!(send_request_text(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
     });
 }
 
@@ -226,7 +227,8 @@
 fn a_partially_received_request_is_still_answered_during_shutdown() {
     run_local(async {
         let cache = EmulatedServer::start(SERVED).await;
-        let dispatcher = start(settings(), Clock::system(), vec![cache.listing("s-cache", "edge", "cache")]);
+        let dispatcher =
+            start(settings(), Clock::system(), vec![cache.endpoint_listing("s-cache", "edge", "cache")]);
         let (shutdown_sender, shutdown) = tokio::sync::watch::channel(ShutdownPhase::Running);
         let address = serve_until(&dispatcher, PlatformFrontend(dispatcher.clone()), shutdown).await;
         let request = get_request("7f3a9c21e0b4d655", "").replace("Connection: close\r\n", "");
@@ -257,7 +259,10 @@
             idle.push(TcpStream::connect(&site.address).await.expect("a listener"));
             if n % 50 == 49 {
                 let sent_at = Instant::now();
-                assert_eq!(send(&site.address, &get_request("7f3a9c21e0b4d655", "")).await.status, 200);
+                assert_eq!(
+                    send_request_text(&site.address, &get_request("7f3a9c21e0b4d655", "")).await.status,
+                    200
+                );
                 assert!(
                     sent_at.elapsed() < Duration::from_millis(500),
                     "the response took {:?}",
@@ -292,10 +297,13 @@
         let large = get_request("7f3a9c21e0b4d655", "Content-Length: 60000000\r\n");
         let endless = "GET / HTTP/1.1\r\nX: ".to_owned() + &"x".repeat(20_000);
         for (request, status) in [(hidden, 400), (two, 400), (large, 413), (endless, 431)] {
-            assert_eq!(send(&site.address, &request).await.status, status, "{request}");
+            assert_eq!(send_request_text(&site.address, &request).await.status, status, "{request}");
         }
         let started = Instant::now();
-        assert_eq!(send(&site.address, "GET /ops/videos/aa HTTP/1.1\r\nX-Job").await.status, 408);
+        assert_eq!(
+            send_request_text(&site.address, "GET /ops/videos/aa HTTP/1.1\r\nX-Job").await.status,
+            408
+        );
         assert!(started.elapsed() < Duration::from_millis(2500), "{:?}", started.elapsed());
         assert!(site.cache.requests().is_empty());
     });
@@ -324,10 +332,10 @@
         ] {
             let request = good.replacen(from, to, 1);
             assert_ne!(request, good, "{from}");
-            assert_eq!(send(&site.address, &request).await.status, 400, "{to}");
+            assert_eq!(send_request_text(&site.address, &request).await.status, 400, "{to}");
         }
         assert!(site.cache.requests().is_empty());
-        assert_eq!(send(&site.address, &good).await.status, 200);
+        assert_eq!(send_request_text(&site.address, &good).await.status, 200);
     });
 }
 
@@ -338,17 +346,16 @@
     run_local(async {
         let site = start_site(ServerBehavior::Responds("")).await;
         let address = site.address.clone();
-        let first =
-            tokio::task::spawn_local(
-                async move { send(&address, &get_request("7f3a9c21e0b4d655", "")).await },
-            );
+        let first = tokio::task::spawn_local(async move {
+            send_request_text(&address, &get_request("7f3a9c21e0b4d655", "")).await
+        });
         while site.cache.requests().is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_eq!(send(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
+        assert_eq!(send_request_text(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
         assert_eq!(first.await.expect("an answer").status, 503);
         *site.cache.behavior.borrow_mut() = SERVED;
-        assert_ne!(send(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
+        assert_ne!(send_request_text(&site.address, &get_request("00000000000000aa", "")).await.status, 409);
     });
 }
 
@@ -358,8 +365,11 @@
     for response in ["ID NOMOD tag=bb,res=cached 0\r\n\r\n", "ID NOMOD res=cached 0\r\n\r\n"] {
         run_local(async {
             let site = start_site(ServerBehavior::Responds(response)).await;
-            let response =
-                send(&site.address, &get_request("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n")).await;
+            let response = send_request_text(
+                &site.address,
+                &get_request("7f3a9c21e0b4d655", "If-None-Match: \"aa\"\r\n"),
+            )
+            .await;
             assert!(![200, 304].contains(&response.status), "{response:?}");
         });
     }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -13,7 +13,7 @@
 #[path = "dispatch/purges.rs"]
 mod purges;
 
-use emulated::{listing, run_with_paused_clock};
+use emulated::{endpoint_listing, run_with_paused_clock};
 use fixture::*;
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
@@ -64,7 +64,7 @@
         let members = [("cache-1", "a"), ("cache-2", "b"), ("parent-1", "c"), ("origin-1", "d")];
         let gone = |(name, address)| Endpoint {
             state: MemberState::Gone,
-            ..listing(name, address, "edge", "cache")
+            ..endpoint_listing(name, address, "edge", "cache")
         };
         let members = members.into_iter().map(gone).collect();
         site.dispatcher.sender().send(DispatcherMessage::Members { full: true, members }).await;
--- a/tests/dispatch/endpoints.rs
+++ b/tests/dispatch/endpoints.rs
@@ -1,6 +1,6 @@
 //! Changes of the endpoint list, and restarts of connection actors that ended.
 
-use crate::emulated::{listing, run_with_paused_clock};
+use crate::emulated::{endpoint_listing, run_with_paused_clock};
 use crate::fixture::*;
 use foxhold::dispatch::*;
 use foxhold::policy::types::*;
@@ -13,7 +13,8 @@
         let site = site();
         for (name, kind, zone) in [("cache-1", "cache", "edge"), ("parent-1", "parent", "hub")] {
             let address = if kind == "cache" { "a" } else { "c" };
-            let member = Endpoint { state: MemberState::Draining, ..listing(name, address, zone, kind) };
+            let member =
+                Endpoint { state: MemberState::Draining, ..endpoint_listing(name, address, zone, kind) };
             site.dispatcher
                 .sender()
                 .send(DispatcherMessage::Members { full: false, members: vec![member] })
@@ -49,7 +50,8 @@
         let pending = site.dispatcher.submit(request(1));
         run_until_idle().await;
         sleep(Duration::from_millis(100)).await;
-        let member = Endpoint { started_at: site.clock.unix(), ..listing("origin-1", "d", "hub", "origin") };
+        let member =
+            Endpoint { started_at: site.clock.unix(), ..endpoint_listing("origin-1", "d", "hub", "origin") };
         site.dispatcher
             .sender()
             .send(DispatcherMessage::Members { full: false, members: vec![member] })
--- a/tests/dispatch/fixture.rs
+++ b/tests/dispatch/fixture.rs
@@ -1,6 +1,6 @@
 //! A dispatcher with a paused clock and a connector that records the commands to each server.
 
-use crate::emulated::{listing, settings};
+use crate::emulated::{endpoint_listing, settings};
 use foxhold::dispatch::{self, *};
 use foxhold::policy::types::*;
 use std::cell::RefCell;
@@ -83,10 +83,10 @@
 
 fn start_site(connector: RecordingConnector, settings: Settings) -> Site {
     let members = vec![
-        listing("cache-1", "a", "edge", "cache"),
-        listing("cache-2", "b", "edge", "cache"),
-        listing("parent-1", "c", "hub", "parent"),
-        listing("origin-1", "d", "hub", "origin"),
+        endpoint_listing("cache-1", "a", "edge", "cache"),
+        endpoint_listing("cache-2", "b", "edge", "cache"),
+        endpoint_listing("parent-1", "c", "hub", "parent"),
+        endpoint_listing("origin-1", "d", "hub", "origin"),
     ];
     let clock = Clock::starting_at(START);
     let initial = vec![DispatcherMessage::Members { full: true, members }];
--- a/tests/emulated/mod.rs
+++ b/tests/emulated/mod.rs
@@ -114,8 +114,8 @@
         self.lines.borrow().iter().filter(|l| l.starts_with("want ")).cloned().collect()
     }
 
-    pub fn listing(&self, name: &str, zone: &str, kind: &str) -> Endpoint {
-        listing(name, &self.address, zone, kind)
+    pub fn endpoint_listing(&self, name: &str, zone: &str, kind: &str) -> Endpoint {
+        endpoint_listing(name, &self.address, zone, kind)
     }
 }
 
@@ -125,14 +125,14 @@
     let parent = EmulatedServer::start(behavior.clone()).await;
     let origin = EmulatedServer::start(behavior).await;
     let members = vec![
-        cache.listing("s-cache", "edge", "cache"),
-        parent.listing("s-parent", "hub", "parent"),
-        origin.listing("s-origin", "hub", "origin"),
+        cache.endpoint_listing("s-cache", "edge", "cache"),
+        parent.endpoint_listing("s-parent", "hub", "parent"),
+        origin.endpoint_listing("s-origin", "hub", "origin"),
     ];
     ([cache, parent, origin], members)
 }
 
-pub fn listing(name: &str, address: &str, zone: &str, kind: &str) -> Endpoint {
+pub fn endpoint_listing(name: &str, address: &str, zone: &str, kind: &str) -> Endpoint {
     Endpoint {
         name: name.into(),
         address: address.into(),
@@ -183,12 +183,12 @@
     }
 }
 
-pub fn transport() -> ConnectionSettings {
+pub fn connection_settings() -> ConnectionSettings {
     ConnectionSettings::default()
 }
 
 /// Returns a request for an object with no option set, whose send deadline and deadline are both `deadline`.
-pub fn want(
+pub fn upstream_request(
     attempt_id: AttemptId,
     id: &str,
     class: &str,
@@ -219,7 +219,7 @@
 /// Starts a dispatcher that connects to its servers over real sockets.
 pub fn start(settings: Settings, clock: Clock, members: Vec<Endpoint>) -> Dispatcher {
     let known = vec![DispatcherMessage::Members { full: true, members }];
-    let servers = UpstreamConnector::new(transport(), 100);
+    let servers = UpstreamConnector::new(connection_settings(), 100);
     dispatch::start(settings, 7, clock, servers, known).expect("valid settings").dispatcher
 }
 
@@ -265,7 +265,7 @@
 }
 
 /// Sends a request on a new connection and reads the response until the connection closes.
-pub async fn send(address: &str, request: &str) -> Response {
+pub async fn send_request_text(address: &str, request: &str) -> Response {
     let mut stream = TcpStream::connect(address).await.expect("a listener");
     stream.write_all(request.as_bytes()).await.expect("a connected peer");
     let mut bytes = Vec::new();
@@ -291,7 +291,7 @@
 }
 
 /// The time limit for an event that a test waits for.
-pub const SOON: Duration = Duration::from_secs(5);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A server that the test controls step by step: the test accepts its connections and reads its lines.
 pub struct SteppedServer(pub TcpListener);
@@ -304,7 +304,7 @@
     }
 
     pub async fn connection(&self) -> BufReader<TcpStream> {
-        let accepted = timeout(SOON, self.0.accept()).await.expect("a connection in time");
+        let accepted = timeout(EVENT_TIMEOUT, self.0.accept()).await.expect("a connection in time");
         BufReader::new(accepted.expect("a connection").0)
     }
 
@@ -315,9 +315,9 @@
 }
 
 /// Reads and returns the next line. After a `want` line it also reads the empty line that ends the request.
-pub async fn line(stream: &mut BufReader<TcpStream>) -> String {
+pub async fn read_line(stream: &mut BufReader<TcpStream>) -> String {
     let mut text = String::new();
-    timeout(SOON, stream.read_line(&mut text)).await.expect("a line in time").expect("a line");
+    timeout(EVENT_TIMEOUT, stream.read_line(&mut text)).await.expect("a line in time").expect("a line");
     if text.starts_with("want ") {
         stream.read_line(&mut String::new()).await.expect("the end of the request");
     }
@@ -325,7 +325,7 @@
 }
 
 /// Returns a platform request for a video.
-pub fn get(id: u64) -> String {
+pub fn get_request_text(id: u64) -> String {
     format!("GET /ops/videos/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Job-Id: {id:016x}\r\nX-Allow-Ms: 2500\r\n\r\n")
 }
 
--- a/tests/fill_source_choice.rs
+++ b/tests/fill_source_choice.rs
@@ -18,8 +18,8 @@
     let mut object = 50_000 + u64::from(parent.0) * 1000;
     while in_flight.len() < n {
         object += 1;
-        if router.peek_source(object) == parent {
-            in_flight.push(router.attempt_for(object));
+        if router.next_fill_source(object) == parent {
+            in_flight.push(router.send_and_take_attempt(object));
         }
     }
     in_flight
@@ -27,17 +27,17 @@
 
 /// Makes the second parent an estimated holder of the object, by draining the first during a fill.
 fn fill_from_second(router: &mut RouterHarness, object: u64, first: ServerId, second: ServerId) {
-    let draining = Member { state: MemberState::Draining, ..member(first.0) };
+    let draining = Member { state: MemberState::Draining, ..running_member(first.0) };
     router.update_members(MemberUpdate::Incremental, vec![draining]);
     assert_eq!(router.complete_fill(object).source(), second);
-    router.update_members(MemberUpdate::Incremental, vec![member(first.0)]);
+    router.update_members(MemberUpdate::Incremental, vec![running_member(first.0)]);
 }
 
 #[test]
 fn an_unpopular_object_is_filled_from_its_first_parent_even_if_that_is_busy() {
     let (mut router, object, first, _) = router_with_two_parents();
     start_fills(&mut router, first, 10);
-    assert_eq!(router.attempt_for(object).source(), first);
+    assert_eq!(router.send_and_take_attempt(object).source(), first);
 }
 
 #[test]
@@ -46,9 +46,9 @@
     fill_from_second(&mut router, object, first, second);
     start_fills(&mut router, second, 2);
     start_fills(&mut router, first, 3);
-    assert_eq!(router.peek_source(object), first, "expected the first parent at exactly half more load");
+    assert_eq!(router.next_fill_source(object), first, "expected the first parent at exactly half more load");
     start_fills(&mut router, first, 1);
-    assert_eq!(router.peek_source(object), second, "expected the second parent at over half more load");
+    assert_eq!(router.next_fill_source(object), second, "expected the second parent at over half more load");
 }
 
 #[test]
@@ -56,20 +56,20 @@
     let (mut router, object, first, second) = router_with_two_parents();
     fill_from_second(&mut router, object, first, second);
     start_fills(&mut router, first, 4);
-    assert_eq!(router.peek_source(object), second);
+    assert_eq!(router.next_fill_source(object), second);
     router.now += 31_000_000;
-    assert_eq!(router.peek_source(object), first);
+    assert_eq!(router.next_fill_source(object), first);
 
     let (mut router, object, first, second) = router_with_two_parents();
     fill_from_second(&mut router, object, first, second);
     router.now += 20_000_000;
     router.update_members(
         MemberUpdate::Incremental,
-        vec![Member { started_at: router.now - 10_500_000, ..member(second.0) }],
+        vec![Member { started_at: router.now - 10_500_000, ..running_member(second.0) }],
     );
     start_fills(&mut router, first, 4);
     assert_eq!(
-        router.peek_source(object),
+        router.next_fill_source(object),
         first,
         "expected a restarted parent not to be an estimated holder"
     );
@@ -79,11 +79,11 @@
 fn a_popular_object_is_filled_from_the_second_parent_if_the_first_is_busy() {
     let (mut router, object, first, second) = router_with_two_parents();
     start_fills(&mut router, first, 4);
-    assert_eq!(router.peek_source(object), first);
+    assert_eq!(router.next_fill_source(object), first);
     for _ in 0..60 {
-        router.peek_source(object);
+        router.next_fill_source(object);
     }
-    assert_eq!(router.peek_source(object), second);
+    assert_eq!(router.next_fill_source(object), second);
 }
 
 #[test]
@@ -96,10 +96,10 @@
     assert_eq!(again[0].source(), second, "expected the retry to be filled from the other parent");
     router.end_attempt(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
     let (mut other_object, mut filled) = (90_000, false);
-    assert_eq!(router.peek_source(object), second, "expected the parent without a failed fill");
+    assert_eq!(router.next_fill_source(object), second, "expected the parent without a failed fill");
     while !filled {
         other_object += 1;
-        let sent = router.attempt_for(other_object);
+        let sent = router.send_and_take_attempt(other_object);
         filled = sent.source() == first;
         router.end_attempt(
             &sent,
@@ -108,21 +108,21 @@
             if filled { CacheStatus::Filled } else { CacheStatus::Hit },
         );
     }
-    assert_eq!(router.peek_source(object), first, "expected a later success to clear the failure");
+    assert_eq!(router.next_fill_source(object), first, "expected a later success to clear the failure");
 }
 
 #[test]
 fn unusable_parents_are_replaced_by_the_remaining_ones_and_finally_by_the_origin() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let object = router.object_with_first_parent(11);
-    let mut sources = vec![router.peek_source(object)];
+    let mut sources = vec![router.next_fill_source(object)];
     for _ in 0..3 {
         let last = *sources.last().expect("a source");
         router.update_members(
             MemberUpdate::Incremental,
-            vec![Member { state: MemberState::Gone, ..member(last.0) }],
+            vec![Member { state: MemberState::Gone, ..running_member(last.0) }],
         );
-        sources.push(router.peek_source(object));
+        sources.push(router.next_fill_source(object));
     }
     assert_eq!(sources.last(), Some(&ORIGIN));
     sources.sort();
@@ -132,11 +132,11 @@
 #[test]
 fn all_routers_choose_the_same_parent() {
     let (mut a, mut b) = (
-        RouterHarness::with_default_site(),
+        RouterHarness::with_test_deployment(),
         RouterHarness::with_servers(Settings { zone: 3, ..settings() }, &[5, 6, 11, 12, 13, 20]),
     );
     for object in 1..200 {
-        assert_eq!(a.peek_source(object), b.peek_source(object));
+        assert_eq!(a.next_fill_source(object), b.next_fill_source(object));
     }
 }
 
@@ -148,7 +148,7 @@
     let (mut a, mut b) =
         (RouterHarness::with_servers(settings(), &ids), RouterHarness::with_servers(settings(), &ids));
     for object in 500..600 {
-        b.peek_source(object);
+        b.next_fill_source(object);
     }
     let cache_and_source = |router: &mut RouterHarness, object, part| {
         let request = Request { part, ..router.new_request(0, object) };
@@ -174,14 +174,17 @@
 
 #[test]
 fn the_loss_of_a_cache_moves_only_the_objects_that_it_held() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let serving_cache = |router: &mut RouterHarness, o| {
-        let s = router.attempt_for(o);
+        let s = router.send_and_take_attempt(o);
         router.end_attempt(&s, 0, Outcome::Ok, CacheStatus::Hit);
         s.server
     };
     let caches_before: Vec<_> = (1..100).map(|o| serving_cache(&mut router, o)).collect();
-    router.update_members(MemberUpdate::Incremental, vec![Member { state: MemberState::Gone, ..member(2) }]);
+    router.update_members(
+        MemberUpdate::Incremental,
+        vec![Member { state: MemberState::Gone, ..running_member(2) }],
+    );
     for (object, before) in (1..100).zip(caches_before) {
         let after = serving_cache(&mut router, object);
         assert!(if before == ServerId(2) { after != before } else { after == before });
@@ -190,11 +193,11 @@
 
 #[test]
 fn a_popular_object_uses_two_or_three_caches_and_an_unpopular_one_a_single_cache() {
-    let mut router = RouterHarness::with_default_site();
-    let mut servers: Vec<_> = (0..5).map(|_| router.attempt_for(7).server).collect();
+    let mut router = RouterHarness::with_test_deployment();
+    let mut servers: Vec<_> = (0..5).map(|_| router.send_and_take_attempt(7).server).collect();
     servers.dedup();
     assert_eq!(servers.len(), 1);
-    let mut servers: Vec<_> = (0..30).map(|_| router.attempt_for(7).server).collect();
+    let mut servers: Vec<_> = (0..30).map(|_| router.send_and_take_attempt(7).server).collect();
     servers.sort();
     servers.dedup();
     assert!(servers.len() >= 2, "{servers:?}");
@@ -202,17 +205,17 @@
 
 #[test]
 fn objects_requested_once_are_cached_at_the_lowest_rank() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     for object in 0..50 {
         router.complete_fill(object);
     }
     assert_eq!(
-        router.attempt_for(3).fill.expect("a fill").cache_rank,
+        router.send_and_take_attempt(3).fill.expect("a fill").cache_rank,
         2,
         "expected rank 2 for an object requested again"
     );
     assert_eq!(
-        router.attempt_for(888).fill.expect("a fill").cache_rank,
+        router.send_and_take_attempt(888).fill.expect("a fill").cache_rank,
         1,
         "expected rank 1 for an object requested once"
     );
--- a/tests/library/cancellation.rs
+++ b/tests/library/cancellation.rs
@@ -1,6 +1,6 @@
 //! Requests that the host cancels by dropping their futures.
 
-use crate::emulated::{self, run_local, settings, want, EmulatedServer, ServerBehavior};
+use crate::emulated::{self, run_local, settings, upstream_request, EmulatedServer, ServerBehavior};
 use crate::fixture::*;
 use foxhold::director::{CacheRequest, Director};
 use foxhold::discovery::StaticEndpoints;
@@ -58,7 +58,7 @@
     for behavior in [ServerBehavior::Silent, ServerBehavior::StallsResponse] {
         run_local(async {
             let origin = EmulatedServer::start(behavior).await;
-            let source = StaticEndpoints(vec![origin.listing("s-origin", "hub", "origin")]);
+            let source = StaticEndpoints(vec![origin.endpoint_listing("s-origin", "hub", "origin")]);
             let director = Director::builder(settings()).endpoint_source(source).start().expect("a director");
             let pending = director.send(filing_request("one"));
             wait_until("the attempt is sent", async || origin.requests().len() == 1).await;
@@ -84,15 +84,16 @@
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
         let (reports, mut inbox) = tokio::sync::mpsc::channel(16);
-        let mut connector = foxhold::upstream::UpstreamConnector::new(emulated::transport(), 4);
+        let mut connector = foxhold::upstream::UpstreamConnector::new(emulated::connection_settings(), 4);
         let commands = connector.connect(
             ServerId(1),
-            &server.listing("s", "edge", "cache"),
+            &server.endpoint_listing("s", "edge", "cache"),
             DispatcherSender::new(reports),
         );
         let attempt_id = AttemptId { request: 1, attempt: 0 };
         let deadline = tokio::time::Instant::now() + Duration::from_secs(1);
-        let request = want(attempt_id, "00000000000000aa", "filing", b"a filing".to_vec(), deadline);
+        let request =
+            upstream_request(attempt_id, "00000000000000aa", "filing", b"a filing".to_vec(), deadline);
         commands.try_send(EndpointCommand::Send(request)).expect("capacity");
         commands.try_send(EndpointCommand::Cancel(attempt_id)).expect("capacity");
         let report =
@@ -123,7 +124,7 @@
 fn ten_thousand_cancelled_requests_leave_no_state_and_no_descriptors() {
     run_local(async {
         let cache = EmulatedServer::start(ServerBehavior::Silent).await;
-        let source = StaticEndpoints(vec![cache.listing("s-cache", "edge", "cache")]);
+        let source = StaticEndpoints(vec![cache.endpoint_listing("s-cache", "edge", "cache")]);
         let director = Director::builder(settings()).endpoint_source(source).start().expect("a director");
         let mut before = 0;
         for round in 0..100 {
--- a/tests/library/fixture.rs
+++ b/tests/library/fixture.rs
@@ -1,6 +1,6 @@
 //! A director with a host transport that records the attempts it is given.
 
-use crate::emulated::{listing, settings};
+use crate::emulated::{endpoint_listing, settings};
 use foxhold::director::{CacheRequest, Director};
 use foxhold::discovery::StaticEndpoints;
 use foxhold::dispatch::*;
@@ -70,9 +70,9 @@
 /// Returns a member list of three caches, two parents and an origin.
 pub fn members() -> Vec<Endpoint> {
     let mut members: Vec<Endpoint> =
-        (1..=3).map(|n| listing(&format!("cache-{n}"), "a", "edge", "cache")).collect();
-    members.extend((1..=2).map(|n| listing(&format!("parent-{n}"), "b", "hub", "parent")));
-    members.push(listing("origin-1", "c", "hub", "origin"));
+        (1..=3).map(|n| endpoint_listing(&format!("cache-{n}"), "a", "edge", "cache")).collect();
+    members.extend((1..=2).map(|n| endpoint_listing(&format!("parent-{n}"), "b", "hub", "parent")));
+    members.push(endpoint_listing("origin-1", "c", "hub", "origin"));
     members
 }
 
--- a/tests/middleware.rs
+++ b/tests/middleware.rs
@@ -72,7 +72,7 @@
         let cache =
             EmulatedServer::start(ServerBehavior::Responds("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
         let (clock, counts) = (Clock::starting_at(NOW * 1_000_000), Arc::new(OutcomeCounters::default()));
-        let dispatcher = start(settings(), clock, vec![cache.listing("s-cache", "edge", "cache")]);
+        let dispatcher = start(settings(), clock, vec![cache.endpoint_listing("s-cache", "edge", "cache")]);
         let director = DirectorService::new(dispatcher, counts.clone());
         let app = Router::new().fallback_service(director).layer(signed_layer(clock, &counts));
         let response =
@@ -102,8 +102,10 @@
     run_local(async {
         let cache =
             EmulatedServer::start(ServerBehavior::Responds("ID ACK tag=aa,res=cached 5\r\nbytes\r\n")).await;
-        let members =
-            vec![cache.listing("s-cache", "edge", "cache"), cache.listing("s-origin", "hub", "origin")];
+        let members = vec![
+            cache.endpoint_listing("s-cache", "edge", "cache"),
+            cache.endpoint_listing("s-origin", "hub", "origin"),
+        ];
         let director = Director::builder(settings())
             .endpoint_source(StaticEndpoints(members))
             .start()
@@ -138,7 +140,7 @@
 fn readiness_reserves_a_slot_and_bodies_share_one_budget() {
     run_local(async {
         let origin = EmulatedServer::start(ServerBehavior::Silent).await;
-        let members = vec![origin.listing("s-origin", "hub", "origin")];
+        let members = vec![origin.endpoint_listing("s-origin", "hub", "origin")];
         let director = Director::builder(settings())
             .endpoint_source(StaticEndpoints(members))
             .start()
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -50,7 +50,7 @@
         };
         let server = |gen: &mut Gen, kind, zone, size| {
             let id = ServerId(u32::arbitrary(gen).max(100));
-            Member { server: id, zone, kind, size, ..member(1) }
+            Member { server: id, zone, kind, size, ..running_member(1) }
         };
         let mut members = Vec::new();
         for _ in 0..count {
--- a/tests/outlier_detection.rs
+++ b/tests/outlier_detection.rs
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_cache_that_does_not_respond_is_ejected_and_hedged_requests_go_elsewhere() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let (mut first, mut hedged) = (None, 0);
     for object in 0..40 {
         let actions = router.send_request(0, object);
@@ -39,7 +39,7 @@
     assert!(hedged >= 3, "expected at least 3 hedged requests to other caches, got {hedged}");
     let mut probations = 0;
     for object in 100..160 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         probations += usize::from(Some(attempt.server) == first);
         if Some(attempt.server) != first {
             router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
@@ -52,35 +52,35 @@
 fn a_source_with_failing_fills_is_replaced_by_the_origin_and_gets_probation_requests() {
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 20]);
     for object in 0..3 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         assert_eq!(attempt.source(), ServerId(11));
         router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable);
         router.now += 1_000;
     }
-    assert_eq!(router.peek_source(500), ORIGIN);
+    assert_eq!(router.next_fill_source(500), ORIGIN);
     router.now += 1_000_000;
-    let probation = router.attempt_for(501);
+    let probation = router.send_and_take_attempt(501);
     assert_eq!(probation.source(), ServerId(11));
     router.end_attempt(&probation, 0, Outcome::Ok, CacheStatus::Filled);
-    assert_eq!(router.peek_source(502), ServerId(11));
+    assert_eq!(router.next_fill_source(502), ServerId(11));
 }
 
 /// Guards against a regression: connections broke at caches that still responded, and requests that moved to
 /// other caches filled the same bytes again.
 #[test]
 fn a_broken_connection_to_a_responding_cache_is_retried_there_and_is_not_a_failure() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     for object in 0..10 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         router.now += 1_000;
-        let other = router.attempt_for(object);
+        let other = router.send_and_take_attempt(object);
         router.end_attempt(&other, 0, Outcome::Ok, CacheStatus::Hit);
         let again = attempts_in(&router.end_attempt(&attempt, 0, Outcome::Reset, CacheStatus::Unknown));
         assert_eq!(again.first().map(|s| s.server), Some(attempt.server));
         router.end_attempt(&again[0], 1, Outcome::Ok, CacheStatus::Hit);
         router.now += 200_000;
         for _ in 0..8 {
-            router.peek_source(object);
+            router.next_fill_source(object);
         }
     }
 }
@@ -89,18 +89,18 @@
 /// sources, and each request was retried at one server after another.
 #[test]
 fn a_request_failed_at_once_by_two_servers_is_rejected_and_not_counted_against_sources() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     for n in 0..8 {
-        let first = router.attempt_for(7_000 + n);
+        let first = router.send_and_take_attempt(7_000 + n);
         let again = end_at_once(&mut router, &first, 0, Outcome::Failed);
         let second = attempts_in(&again).first().cloned().expect("a second attempt");
         assert_ne!(second.server, first.server);
         assert!(is_rejected(&end_at_once(&mut router, &second, 1, Outcome::Failed)));
         // Valid requests, which are the majority, continue in between.
-        let (source, other) = (first.source(), router.attempt_for(9_000 + n));
+        let (source, other) = (first.source(), router.send_and_take_attempt(9_000 + n));
         router.end_attempt(&other, 0, Outcome::Ok, CacheStatus::Filled);
         let object = router.object_with_first_parent(source.0);
-        let sent = router.attempt_for(object);
+        let sent = router.send_and_take_attempt(object);
         assert_eq!((sent.source(), sent.fill.map(|f| f.only_if_cached)), (source, Some(false)));
         router.end_attempt(&sent, 0, Outcome::Ok, CacheStatus::Hit);
     }
@@ -110,12 +110,12 @@
 #[test]
 fn connections_that_break_together_count_as_one_failure() {
     let mut router = RouterHarness::with_servers(settings(), &[1, 11, 12, 20]);
-    let attempts: Vec<SentAttempt> = (0..8).map(|n| router.attempt_for(800 + n)).collect();
+    let attempts: Vec<SentAttempt> = (0..8).map(|n| router.send_and_take_attempt(800 + n)).collect();
     for attempt in &attempts {
         let actions = end_at_once(&mut router, attempt, 0, Outcome::Reset);
         assert!(!actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("suspected"))));
     }
-    assert_eq!(router.attempt_for(900).server, ServerId(1));
+    assert_eq!(router.send_and_take_attempt(900).server, ServerId(1));
 }
 
 /// Guards against a regression: parents at capacity were ejected, and other parents fetched their objects
@@ -126,7 +126,7 @@
         RouterHarness::with_servers(Settings { health_checks: true, ..settings() }, &[1, 2, 3, 11, 12, 20]);
     let object = router.object_with_first_parent(11);
     for _ in 0..10 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         let actions = end_at_once(&mut router, &attempt, 0, Outcome::Rejected);
         assert!(!actions.iter().any(|a| matches!(a, Action::Log(_) | Action::HealthCheck(_))), "{actions:?}");
         router.now += 100_000;
@@ -138,7 +138,7 @@
 /// times show when the cache has recovered.
 #[test]
 fn a_cache_with_slow_hits_is_avoided_until_it_recovers() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let serve_hit = |router: &mut RouterHarness, object: u64, size_kb: f64, slow_cache: Option<u32>| {
         let request = Request { size_kb, ..router.new_request(0, object) };
         let attempt = attempts_in(&router.handle(Event::Request(request)))[0].clone();
@@ -184,22 +184,22 @@
         }))
     };
     for object in 0..20 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         router.now += 450_000;
         end_fill(&mut router, &attempt, 450_000);
     }
-    let sources: Vec<ServerId> = (100..110).map(|o| router.attempt_for(o).source()).collect();
+    let sources: Vec<ServerId> = (100..110).map(|o| router.send_and_take_attempt(o).source()).collect();
     assert!(
         sources.contains(&ORIGIN),
         "expected the origin to take fills beyond the smaller concurrency window: {sources:?}"
     );
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 20]);
     for object in 0..20 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         end_fill(&mut router, &attempt, 60_000);
     }
     assert!(
-        (100..110).all(|o| router.attempt_for(o).source() == ServerId(11)),
+        (100..110).all(|o| router.send_and_take_attempt(o).source() == ServerId(11)),
         "expected fills in time to leave the concurrency window open"
     );
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -28,9 +28,9 @@
 /// requests were rejected instead of 18%.
 #[test]
 fn a_parent_at_capacity_is_asked_for_cached_copies_only() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     for n in 0..120 {
-        let attempt = router.attempt_for(20_000 + n);
+        let attempt = router.send_and_take_attempt(20_000 + n);
         router.now += 900_000;
         router.handle(Event::AttemptEnded(AttemptEnd {
             source_wait: 850_000, // the delay is the origin's, not the zone link's
@@ -38,7 +38,7 @@
         }));
     }
     let (_, fill) = (30_000..30_200)
-        .map(|object| router.attempt_for(object))
+        .map(|object| router.send_and_take_attempt(object))
         .find_map(|attempt| attempt.fill.filter(|fill| fill.only_if_cached).map(|fill| (attempt, fill)))
         .expect("a fill from a copy that a parent has cached");
     assert!((11..=13).contains(&fill.source.0));
@@ -50,7 +50,7 @@
 #[test]
 fn a_congested_zone_link_limits_fills_of_all_sizes_equally() {
     let fill_once = |router: &mut RouterHarness, object, elapsed| {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         let filled = attempt.has_source();
         router.end_attempt_after(
             &attempt,
@@ -60,7 +60,7 @@
             elapsed,
         );
     };
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let count_fills = |router: &mut RouterHarness, size_kb: f64| {
         let filled = (0..400).filter(|n| {
             let request = Request { size_kb, ..router.new_request(0, 50_000 + n) };
@@ -99,7 +99,7 @@
 /// fills of the class with the largest objects are.
 #[test]
 fn a_congested_zone_link_limits_classes_of_small_objects_least() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let is_filled = |router: &mut RouterHarness, class: usize, object: u64, size_kb: f64| {
         let request = Request { size_kb, ..router.new_request(class, object) };
         let attempt = attempts_in(&router.handle(Event::Request(request)))[0].clone();
@@ -140,7 +140,7 @@
             });
         }
         let filled = (0..400).filter(|n| {
-            let attempt = router.attempt_for_large(50_000 + n);
+            let attempt = router.send_large_and_take_attempt(50_000 + n);
             router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
             attempt.has_source()
         });
@@ -191,7 +191,7 @@
     // 12 requests, as the retry budget initially holds that many attempts.
     for n in 0..12 {
         report_full_link(&mut router);
-        let mut attempt = router.attempt_for_large(50_000 + n);
+        let mut attempt = router.send_large_and_take_attempt(50_000 + n);
         let (mut tried, mut fills) = (vec![attempt.server], 0);
         let actions = loop {
             fills += usize::from(attempt.has_source());
@@ -221,9 +221,9 @@
 /// have capacity.
 #[test]
 fn a_request_goes_to_the_next_cache_if_the_first_would_be_late() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let first_choice = |router: &mut RouterHarness, object| {
-        let sent = router.attempt_for(object);
+        let sent = router.send_and_take_attempt(object);
         router.end_attempt(&sent, 0, Outcome::Ok, CacheStatus::Hit);
         sent.server
     };
@@ -247,7 +247,7 @@
 /// Guards against rejecting requests with short deadlines while nothing is congested.
 #[test]
 fn a_request_with_a_short_deadline_is_rejected_only_if_the_transfer_takes_longer() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let until = router.now + 55_000;
     let long_enough = router.new_request_until(60_000, until);
     assert_eq!(attempts_in(&router.handle(Event::Request(long_enough))).len(), 1);
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -4,7 +4,7 @@
 mod emulated;
 mod program;
 
-use emulated::{run_local, send, EmulatedServer, ServerBehavior};
+use emulated::{run_local, send_request_text, EmulatedServer, ServerBehavior};
 use program::{config_with_origin, write_request, Program, StartOptions, TempFile};
 use rustix::process::Signal;
 use std::io::{BufRead, BufReader, Read};
@@ -53,7 +53,8 @@
         let address = first_line.trim_end().rsplit(' ').next().expect("an address in the first line");
         // Each request logs about 200 bytes, and a pipe holds 64 KB.
         for id in 0..1_000 {
-            let answer = timeout(Duration::from_secs(2), send(address, &write_request(id, 1_500))).await;
+            let answer =
+                timeout(Duration::from_secs(2), send_request_text(address, &write_request(id, 1_500))).await;
             assert_eq!(answer.expect("a response in time").status, 200);
         }
         program.signal(Signal::TERM);
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -170,7 +170,7 @@
     }
 
     fn member_update(&mut self) -> Event {
-        let mut entry = member(SERVERS[self.random.below(UNSTABLE_SERVERS) as usize]);
+        let mut entry = running_member(SERVERS[self.random.below(UNSTABLE_SERVERS) as usize]);
         let (server, now) = (entry.server, self.checker.now);
         match self.random.below(3) {
             0 => entry.state = MemberState::Draining,
@@ -228,7 +228,7 @@
 #[test]
 fn the_same_events_give_the_same_actions() {
     let actions_of_run = || {
-        let mut router = RouterHarness::with_default_site();
+        let mut router = RouterHarness::with_test_deployment();
         let mut actions = Vec::new();
         for n in 0..500 {
             router.now += 3_000;
--- a/tests/property/rule_checker.rs
+++ b/tests/property/rule_checker.rs
@@ -129,7 +129,7 @@
                         self.now - earlier.sent_at < window,
                         "rule 2: a retry past the idempotency window"
                     );
-                    let cell = |id: ServerId| (member(id.0).zone, member(id.0).cell);
+                    let cell = |id: ServerId| (running_member(id.0).zone, running_member(id.0).cell);
                     let in_scope = scope == KeyScope::All || cell(server) == cell(earlier.server);
                     assert!(in_scope, "rule 2: a retry in another cell");
                 }
--- a/tests/races.rs
+++ b/tests/races.rs
@@ -61,7 +61,7 @@
         };
         let pending = dispatcher.submit(request);
         let mut stream = server.connection().await;
-        let attempt_line = line(&mut stream).await;
+        let attempt_line = read_line(&mut stream).await;
         let id = attempt_line.split(' ').nth(1).expect("an id").to_owned();
         let unknown_attempt = AttemptId { request: u64::MAX, attempt: 0 };
         while dispatcher.sender().try_send(DispatcherMessage::AttemptWritten(unknown_attempt)) {}
@@ -88,7 +88,7 @@
         let dispatcher = start(settings(), Clock::system(), members);
         let frontend = start_frontend(&dispatcher, 100).await;
         let mut client = TcpStream::connect(&frontend.address).await.expect("a frontend");
-        client.write_all(get(1).as_bytes()).await.expect("a reader");
+        client.write_all(get_request_text(1).as_bytes()).await.expect("a reader");
         while cache.requests().is_empty() {
             tokio::task::yield_now().await;
         }
@@ -115,10 +115,15 @@
         let dispatcher = start(settings(), Clock::system(), members);
         let frontend = start_frontend(&dispatcher, 100).await;
         let mut client = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
-        client.write_all(get(1).as_bytes()).expect("a reader");
+        client.write_all(get_request_text(1).as_bytes()).expect("a reader");
         drop(client);
         assert_eq!(
-            send(&frontend.address, &get(2).replace("X-Allow", "Connection: close\r\nX-Allow")).await.status,
+            send_request_text(
+                &frontend.address,
+                &get_request_text(2).replace("X-Allow", "Connection: close\r\nX-Allow")
+            )
+            .await
+            .status,
             200
         );
         assert_eq!(cache.requests().len(), 1, "{:?}", cache.requests());
@@ -136,14 +141,14 @@
         for n in 0..8 {
             let frontend = start_frontend(&dispatcher, 100).await;
             let mut client = TcpStream::connect(&frontend.address).await.expect("a frontend");
-            client.write_all(get(100 + n).as_bytes()).await.expect("a reader");
+            client.write_all(get_request_text(100 + n).as_bytes()).await.expect("a reader");
             let mut head = [0; 12];
             client.read_exact(&mut head).await.expect("an answer");
             while !matches!(client.try_read(&mut [0; 4096]), Ok(n) if n > 0) {
                 client.readable().await.expect("the rest");
             }
             let mut client = client.into_std().expect("a socket");
-            client.write_all(get(200 + n).as_bytes()).expect("a reader");
+            client.write_all(get_request_text(200 + n).as_bytes()).expect("a reader");
             frontend.close.send(ShutdownPhase::CloseIdle).expect("connections");
             assert_eq!(read_response_start(client).await, "HTTP/1.1 200");
         }
@@ -163,13 +168,13 @@
             tokio::task::yield_now().await; // the frontend starts to listen
             let mut client = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
             if !is_request_late {
-                client.write_all(get(1).as_bytes()).expect("a reader");
+                client.write_all(get_request_text(1).as_bytes()).expect("a reader");
             }
             frontend.close.send(ShutdownPhase::CloseIdle).expect("a listener");
             if is_request_late {
                 // The request arrives after the shutdown has begun.
                 sleep(Duration::from_millis(20)).await;
-                client.write_all(get(2).as_bytes()).expect("a reader");
+                client.write_all(get_request_text(2).as_bytes()).expect("a reader");
             }
             assert_eq!(
                 read_response_start(client).await,
@@ -185,7 +190,7 @@
     client.set_nonblocking(true).expect("a socket");
     let mut client = TcpStream::from_std(client).expect("a socket");
     let mut bytes = Vec::new();
-    let _ = timeout(SOON, client.read_to_end(&mut bytes)).await.expect("an end in time");
+    let _ = timeout(EVENT_TIMEOUT, client.read_to_end(&mut bytes)).await.expect("an end in time");
     String::from_utf8_lossy(&bytes[..bytes.len().min(12)]).into_owned()
 }
 
@@ -218,7 +223,7 @@
         let (frontend, _occupied) = start_full_frontend(&dispatcher).await;
         // A connection with a complete request and the shutdown, without running other tasks in between.
         let mut client = std::net::TcpStream::connect(&frontend.address).expect("a frontend");
-        client.write_all(get(1).as_bytes()).expect("a reader");
+        client.write_all(get_request_text(1).as_bytes()).expect("a reader");
         frontend.close.send(ShutdownPhase::CloseIdle).expect("a frontend");
         let text = read_response_start(client).await;
         assert!(text.starts_with("HTTP/1.1 503"), "{text}");
@@ -241,14 +246,14 @@
             for _ in 0..50 {
                 tokio::task::yield_now().await;
             }
-            client.write_all(get(n).as_bytes()).await.expect("an open connection");
+            client.write_all(get_request_text(n).as_bytes()).await.expect("an open connection");
             let mut head = [0; 12];
-            timeout(SOON, client.read_exact(&mut head)).await.expect("in time").expect("an answer");
+            timeout(EVENT_TIMEOUT, client.read_exact(&mut head)).await.expect("in time").expect("an answer");
             assert_eq!(&head, b"HTTP/1.1 503");
             // Bytes that the client still writes do not reset the rest of the response.
             client.write_all(&[b'x'; 8192]).await.expect("a reader");
             let mut rest = Vec::new();
-            timeout(SOON, client.read_to_end(&mut rest))
+            timeout(EVENT_TIMEOUT, client.read_to_end(&mut rest))
                 .await
                 .expect("in time")
                 .expect("a complete response");
@@ -272,11 +277,11 @@
             while frontend.slots.waiting_connections() == 0 {
                 tokio::task::yield_now().await;
             }
-            first.write_all(get(n).as_bytes()).expect("a reader");
+            first.write_all(get_request_text(n).as_bytes()).expect("a reader");
             frontend.slots.close_one_waiting();
             let mut client = first.try_clone().expect("a socket");
             let response = tokio::task::spawn_blocking(move || {
-                client.set_read_timeout(Some(SOON)).expect("a socket");
+                client.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a socket");
                 let mut head = [0; 12];
                 client.read_exact(&mut head).map(|()| head)
             });
--- a/tests/races/upstream.rs
+++ b/tests/races/upstream.rs
@@ -23,7 +23,7 @@
 impl ConnectionActor {
     fn start(address: &str, connections: ConnectionSettings, max_descriptors: usize) -> ConnectionActor {
         let (sender, reports) = mpsc::channel(64);
-        let listing = listing("s-1", address, "edge", "cache");
+        let listing = endpoint_listing("s-1", address, "edge", "cache");
         let mut connector = UpstreamConnector::new(connections, max_descriptors);
         let commands = connector.connect(ServerId(1), &listing, DispatcherSender::new(sender));
         ConnectionActor { commands, reports }
@@ -32,7 +32,8 @@
     /// Puts an attempt into the mailbox without running other tasks.
     fn send(&self, attempt: u32, id: &str, body: Vec<u8>) -> CancellationToken {
         let deadline = Instant::now() + Duration::from_secs(20);
-        let request = emulated::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
+        let request =
+            emulated::upstream_request(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
         let cancellation = request.cancellation.clone();
         self.commands.try_send(EndpointCommand::Send(request)).expect("capacity");
         cancellation
@@ -40,7 +41,7 @@
 
     async fn attempt_end(&mut self) -> (u32, AttemptResult) {
         loop {
-            match timeout(SOON, self.reports.recv()).await.expect("an end in time") {
+            match timeout(EVENT_TIMEOUT, self.reports.recv()).await.expect("an end in time") {
                 Some(DispatcherMessage::AttemptEnded(id, result)) => return (id.attempt, result),
                 Some(DispatcherMessage::AttemptWritten(_) | DispatcherMessage::AttemptCancelled(..)) => {}
                 other => panic!("{other:?}"),
@@ -66,16 +67,16 @@
 fn an_attempt_is_sent_on_another_connection_if_the_idle_one_has_just_closed() {
     run_local(async {
         let (server, address) = SteppedServer::start().await;
-        let mut actor = ConnectionActor::start(&address, transport(), 9);
+        let mut actor = ConnectionActor::start(&address, connection_settings(), 9);
         actor.send(0, "a", Vec::new());
         let mut first = server.connection().await;
-        assert!(line(&mut first).await.starts_with("want a "));
+        assert!(read_line(&mut first).await.starts_with("want a "));
         first.write_all(b"a ACK - 0\r\n\r\n").await.expect("a reader");
         actor.expect_served(0).await;
         drop(first);
         actor.send(1, "b", Vec::new());
         let mut second = server.connection().await;
-        assert!(line(&mut second).await.starts_with("want b "));
+        assert!(read_line(&mut second).await.starts_with("want b "));
         second.write_all(b"b ACK - 0\r\n\r\n").await.expect("a reader");
         actor.expect_served(1).await;
     });
@@ -89,7 +90,7 @@
     for ended in [false, true] {
         run_local(async {
             let (server, address) = SteppedServer::start().await;
-            let mut actor = ConnectionActor::start(&address, transport(), 1);
+            let mut actor = ConnectionActor::start(&address, connection_settings(), 1);
             actor.send(0, "a", vec![0; 64 << 20]);
             let cancellation = actor.send(1, "b", Vec::new());
             let mut first = server.connection().await;
@@ -123,14 +124,14 @@
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let server = SteppedServer(socket.listen(8).expect("a listener"));
         let address = server.0.local_addr().expect("an address").to_string();
-        let mut actor = ConnectionActor::start(&address, transport(), 1);
+        let mut actor = ConnectionActor::start(&address, connection_settings(), 1);
         actor.send(0, "a", vec![b'x'; 300_000]);
         let mut stream = server.connection().await;
         sleep(Duration::from_millis(50)).await; // fills the kernel's buffers
         let cancellation = actor.send(1, "b", Vec::new());
         sleep(Duration::from_millis(50)).await;
         cancellation.cancel();
-        assert!(line(&mut stream).await.starts_with("want a "));
+        assert!(read_line(&mut stream).await.starts_with("want a "));
         stream.write_all(b"a ACK - 0\r\n\r\n").await.expect("a reader");
         let ends = [actor.attempt_end().await, actor.attempt_end().await];
         assert!(ends.contains(&(1, Err(AttemptError::Cancelled))), "{ends:?}");
@@ -143,12 +144,12 @@
 fn an_attempt_prefers_an_established_connection_to_one_being_established() {
     run_local(async {
         let (listener, address) = listener_with_short_queue();
-        let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
+        let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..connection_settings() };
         let mut actor = ConnectionActor::start(&address, slow, 9);
         (0..4).for_each(|n| drop(actor.send(n, &format!("a{n}"), Vec::new())));
         let mut established = BufReader::new(listener.accept().await.expect("a connection").0);
         for n in 0..4 {
-            assert!(line(&mut established).await.starts_with(&format!("want a{n} ")));
+            assert!(read_line(&mut established).await.starts_with(&format!("want a{n} ")));
         }
         let _waiting = fill_accept_queue(&address).await;
         actor.send(4, "late", Vec::new()); // one carries four at most before another is opened
@@ -159,7 +160,7 @@
         }
         // Both connections now have equally many attempts in flight.
         actor.send(5, "soon", Vec::new());
-        assert!(line(&mut established).await.starts_with("want soon "));
+        assert!(read_line(&mut established).await.starts_with("want soon "));
     });
 }
 
@@ -171,7 +172,8 @@
         run_local(async {
             let (listener, address) = listener_with_short_queue();
             let waiting = fill_accept_queue(&address).await;
-            let slow = ConnectionSettings { connect_timeout: Duration::from_secs(20), ..transport() };
+            let slow =
+                ConnectionSettings { connect_timeout: Duration::from_secs(20), ..connection_settings() };
             let mut actor = ConnectionActor::start(&address, slow, 9);
             let cancellation = actor.send(0, "a", Vec::new());
             tokio::task::yield_now().await; // the actor begins to connect
@@ -185,10 +187,10 @@
                 listener.accept().await.expect("a connection of the test");
             }
             // The kernel retries the director's connection after about a second.
-            let accepted = timeout(SOON, listener.accept()).await.expect("a connection in time");
+            let accepted = timeout(EVENT_TIMEOUT, listener.accept()).await.expect("a connection in time");
             let mut stream = BufReader::new(accepted.expect("the director's").0);
             assert!(
-                line(&mut stream).await.starts_with("want b "),
+                read_line(&mut stream).await.starts_with("want b "),
                 "expected only b, cancelled by command: {by_command}"
             );
             stream.write_all(b"b ACK - 0\r\n\r\n").await.expect("a reader");
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -333,7 +333,7 @@
     run_local(async {
         let (_servers, members) = start_cache_parent_origin(COPY).await;
         let known = vec![DispatcherMessage::Members { full: true, members }];
-        let servers = UpstreamConnector::new(emulated::transport(), 10);
+        let servers = UpstreamConnector::new(emulated::connection_settings(), 10);
         let running =
             dispatch::start(emulated::settings(), 7, Clock::system(), servers, known).expect("settings");
         let address =
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -4,7 +4,7 @@
 mod emulated;
 mod program;
 
-use emulated::{run_local, send, start_cache_parent_origin, EmulatedServer, ServerBehavior};
+use emulated::{run_local, send_request_text, start_cache_parent_origin, EmulatedServer, ServerBehavior};
 use program::{config_with_origin, example_config, read_request, write_request, StartOptions, TempFile};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
@@ -114,7 +114,7 @@
     let file = TempFile::new(&format!("drain-{gap_ms}"), &example_config(1024, &old_address, "", servers));
     let program = StartOptions { config: Some(&file.0), ..StartOptions::default() }.start();
     let request = |id: u64| read_request(id, 1_500);
-    assert_eq!(send(&program.address, &request(1)).await.status, 200);
+    assert_eq!(send_request_text(&program.address, &request(1)).await.status, 200);
     assert!(!cache.requests().is_empty(), "before the drain the request goes to the cache");
     // The settings change as well, so that the dispatcher receives both changes.
     let changed = example_config(1024, &new_address, "", servers);
@@ -128,7 +128,7 @@
     sleep(MAX_DRAIN_DELAY).await;
     let sent_before = cache.requests().len();
     for id in 2..22 {
-        assert_eq!(send(&program.address, &request(id)).await.status, 200);
+        assert_eq!(send_request_text(&program.address, &request(id)).await.status, 200);
         sleep(Duration::from_millis(10)).await;
     }
     let late = cache.requests().split_off(sent_before);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -12,7 +12,7 @@
     let settings = Settings { routers: n, routers_by_zone: vec![0, 0, n, 0], ..settings.clone() };
     let harness = |seed| {
         let mut router = RouterHarness::with_seed(settings.clone(), u64::from(seed) + 1);
-        router.update_members(MemberUpdate::Full, ids.iter().map(|id| member(*id)).collect());
+        router.update_members(MemberUpdate::Full, ids.iter().map(|id| running_member(*id)).collect());
         router
     };
     (0..n).map(harness).collect()
@@ -60,7 +60,7 @@
                     router.now = since;
                     router.update_members(
                         MemberUpdate::Incremental,
-                        vec![Member { started_at: since, ..member(id) }],
+                        vec![Member { started_at: since, ..running_member(id) }],
                     );
                 }
                 let transfers =
@@ -98,7 +98,7 @@
         for router in &mut fleet {
             router.update_members(
                 MemberUpdate::Incremental,
-                vec![Member { state: MemberState::Gone, ..member(11) }],
+                vec![Member { state: MemberState::Gone, ..running_member(11) }],
             );
         }
         // No fill ends, so all attempts that name the origin are in flight there.
@@ -137,12 +137,12 @@
 fn a_source_with_late_fills_gets_less_than_one_fill_from_each_router() {
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 20]);
     for object in 0..60 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         router.now += 450_000;
         let ended = |elapsed| attempt.ended(Outcome::Ok, CacheStatus::Filled, elapsed);
         router.handle(Event::AttemptEnded(ended(450_000)));
     }
-    let at_parent = (100..200).filter(|o| router.peek_source(*o) == ServerId(11)).count();
+    let at_parent = (100..200).filter(|o| router.next_fill_source(*o) == ServerId(11)).count();
     assert!((1..60).contains(&at_parent), "{at_parent} of 100 successive fills at the parent");
 }
 
@@ -155,7 +155,7 @@
     let health_checks =
         |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::HealthCheck(_))).count();
     let object = router.object_with_first_parent(11);
-    let attempt = router.attempt_for(object);
+    let attempt = router.send_and_take_attempt(object);
     let actions = router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable);
     assert!(actions.contains(&Action::HealthCheck(ServerId(11))), "{actions:?}");
     router.now += 100_000;
@@ -167,20 +167,20 @@
     };
     router.handle(health_checked(Outcome::Ok));
     assert_eq!(
-        router.peek_source(object),
+        router.next_fill_source(object),
         ServerId(11),
         "a parent that passes its health check stays in use"
     );
-    let attempt = router.attempt_for(object);
+    let attempt = router.send_and_take_attempt(object);
     assert_eq!(
         health_checks(&router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
         1
     );
     router.now += 100_000;
     router.handle(health_checked(Outcome::ConnectError));
-    assert_eq!(router.peek_source(object), ServerId(12));
-    let mut router = RouterHarness::with_default_site();
-    let attempt = router.attempt_for(object);
+    assert_eq!(router.next_fill_source(object), ServerId(12));
+    let mut router = RouterHarness::with_test_deployment();
+    let attempt = router.send_and_take_attempt(object);
     assert_eq!(
         health_checks(&router.end_attempt(&attempt, 0, Outcome::Failed, CacheStatus::SourceUnreachable)),
         0,
@@ -231,7 +231,7 @@
     let hedge_late_response = |router: &mut RouterHarness, object| {
         let actions = router.send_request(0, object);
         let attempt = attempts_in(&actions)[0].clone();
-        let ok = router.attempt_for(object);
+        let ok = router.send_and_take_attempt(object);
         router.now += 400_000;
         router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Filled);
         let due_token = |a: &Action| match a {
@@ -243,14 +243,14 @@
             tokens.into_iter().flat_map(|t| attempts_in(&router.handle(Event::Timer(t)))).collect();
         (attempt, hedged)
     };
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     assert!(
         hedge_late_response(&mut router, 5).1.is_empty(),
         "no hedged request for a response that is only late"
     );
     for object in 10..16 {
-        let attempt = router.attempt_for(object);
-        let ok = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
+        let ok = router.send_and_take_attempt(object);
         router.now += 1_000;
         router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Hit);
         router.end_attempt(&attempt, 0, Outcome::TimedOut, CacheStatus::Unknown);
@@ -262,8 +262,8 @@
         &[1, 2, 3, 11, 12, 13, 20],
     );
     for object in 10..16 {
-        let attempt = router.attempt_for(object);
-        let ok = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
+        let ok = router.send_and_take_attempt(object);
         router.now += 1_000;
         router.end_attempt(&ok, 0, Outcome::Ok, CacheStatus::Hit);
         router.end_attempt(&attempt, 0, Outcome::TimedOut, CacheStatus::Unknown);
@@ -276,7 +276,7 @@
 
 #[test]
 fn ids_of_64_bits_have_distinct_timers() {
-    let mut router = RouterHarness::with_default_site();
+    let mut router = RouterHarness::with_test_deployment();
     let ids = [u64::MAX, u64::MAX >> 8, u64::MAX - 1];
     let mut timers = Vec::new();
     for id in ids {
@@ -316,7 +316,7 @@
         (settings.classes[0].freshness_lifetime, settings.classes[0].stale_grace) =
             (Micros::MAX, Micros::MAX);
         let mut router = RouterHarness::new(settings);
-        let invalid_member = |id| Member { size: invalid, started_at: router.now, ..member(id) };
+        let invalid_member = |id| Member { size: invalid, started_at: router.now, ..running_member(id) };
         let members = [1, 2, 11, 12, 20].map(invalid_member).to_vec();
         router.update_members(MemberUpdate::Full, members);
         for now in [router.now, router.now + 2 * SECOND, Micros::MAX - 1] {
@@ -335,10 +335,12 @@
 #[test]
 fn fills_avoid_the_origin_with_several_thousand_servers_listed() {
     let mut router = RouterHarness::new(settings());
-    let entry =
-        |n: u32| Member { server: ServerId(1000 + n), ..member(if n.is_multiple_of(5) { 11 } else { 1 }) };
+    let entry = |n: u32| Member {
+        server: ServerId(1000 + n),
+        ..running_member(if n.is_multiple_of(5) { 11 } else { 1 })
+    };
     let mut members: Vec<Member> = (0..5000).map(entry).collect();
-    members.push(member(20));
+    members.push(running_member(20));
     router.update_members(MemberUpdate::Full, members);
     for object in 0..200 {
         let attempt = router.complete_fill(object);
@@ -352,18 +354,18 @@
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 13, 14, 20]);
     let object = router.object_with_first_parent(11);
     let reject_fill = |router: &mut RouterHarness, object| {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         router.end_attempt(&attempt, 0, Outcome::Rejected, CacheStatus::SourceRejected);
         attempt.source()
     };
     // Both parents reject fills; the router sends them none during the backoff.
     let first = reject_fill(&mut router, object);
-    let second = router.peek_source(object);
+    let second = router.next_fill_source(object);
     assert!(first == ServerId(11) && second != first && second != ORIGIN);
     let objects_of_second: Vec<u64> =
-        (2000..9000).filter(|o| router.peek_source(*o) == second).take(1).collect();
+        (2000..9000).filter(|o| router.next_fill_source(*o) == second).take(1).collect();
     reject_fill(&mut router, objects_of_second[0]);
-    assert_eq!(router.peek_source(object), ORIGIN);
+    assert_eq!(router.next_fill_source(object), ORIGIN);
 }
 
 /// Guards against naming a lost source further because the cache that could not reach it rejects the request
@@ -373,12 +375,12 @@
     let mut router = RouterHarness::with_servers(settings(), &[1, 2, 3, 11, 12, 20]);
     let object = router.object_with_first_parent(11);
     for _ in 0..3 {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         assert_eq!(attempt.source(), ServerId(11));
         router.end_attempt(&attempt, 0, Outcome::Rejected, CacheStatus::SourceUnreachable);
         router.now += 10_000;
     }
-    assert_ne!(router.peek_source(object), ServerId(11), "an ejected parent is not named as a source");
+    assert_ne!(router.next_fill_source(object), ServerId(11), "an ejected parent is not named as a source");
 }
 
 /// Guards against probation requests at a constant interval: a hundred routers that each sent one every 0.7 s
@@ -389,7 +391,7 @@
     let object = router.object_with_first_parent(11);
     let (mut probations, start) = (0, router.now);
     while router.now < start + 20 * SECOND {
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         let lost = attempt.source() == ServerId(11);
         probations += usize::from(lost);
         router.end_attempt(
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -4,7 +4,7 @@
 mod emulated;
 mod program;
 
-use emulated::{run_local, send, EmulatedServer, ServerBehavior};
+use emulated::{run_local, send_request_text, EmulatedServer, ServerBehavior};
 use program::{config_with_origin, write_request, Program, StartOptions, TempFile};
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
@@ -63,7 +63,7 @@
         wait_for_request(&origin).await;
         program.signal(Signal::TERM);
         let started_at = Instant::now();
-        assert_eq!(send(&program.address, ALIVE).await.status, 200);
+        assert_eq!(send_request_text(&program.address, ALIVE).await.status, 200);
         let answer = read_to_close(&mut accepted).await;
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
         program.wait_for_success().await;
--- a/tests/signed_frontend.rs
+++ b/tests/signed_frontend.rs
@@ -61,7 +61,7 @@
              Content-Length: {length}\r\n\r\n{body}",
             self.address
         );
-        send(&self.address, &request).await
+        send_request_text(&self.address, &request).await
     }
 
     /// Returns a signed link, made as its issuer makes it, that expires at this Unix time in seconds.
@@ -243,7 +243,9 @@
         counts.increment("forged");
         let dispatcher = start(settings(), Clock::starting_at(1 as Micros), Vec::new());
         let address = serve(&dispatcher, MetricsFrontend(counts)).await;
-        let answer = send(&address, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").await;
+        let answer =
+            send_request_text(&address, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+                .await;
         let text = String::from_utf8(answer.body).expect("text");
         assert!(text.contains("foxhold_signed_responses_total{outcome=\"forged\"} 1\n"), "{text}");
     });
@@ -256,7 +258,7 @@
         let address = unused.local_addr().expect("a bound address").to_string();
         let deployment = start_deployment(COPY, 0).await;
         drop(unused);
-        let member = |name, zone, kind| listing(name, &address, zone, kind);
+        let member = |name, zone, kind| endpoint_listing(name, &address, zone, kind);
         let members = vec![
             member("s-cache", "edge", "cache"),
             member("s-parent", "hub", "parent"),
--- a/tests/slow_start/site.rs
+++ b/tests/slow_start/site.rs
@@ -102,7 +102,7 @@
             Role::Parent => PARENTS.contains(&id),
         };
         let size = if tested { self.size } else { self.size * 50.0 };
-        Member { size, ..common::member(id) }
+        Member { size, ..common::running_member(id) }
     }
 
     /// Returns the ids of the server that restarts and of the server that joins.
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -4,7 +4,7 @@
 
 mod emulated;
 
-use emulated::{listing, run_with_paused_clock, settings};
+use emulated::{endpoint_listing, run_with_paused_clock, settings};
 use foxhold::dispatch::{self, *};
 use foxhold::policy::types::*;
 use quickcheck::{Arbitrary, Gen};
@@ -91,9 +91,11 @@
 /// parents that change less often, and an origin.
 fn members_in_round(round: u64) -> Vec<Endpoint> {
     let mut members: Vec<Endpoint> =
-        (0..4).map(|n| listing(&format!("cache-{}", round + n), "a", "edge", "cache")).collect();
-    members.extend((0..2).map(|n| listing(&format!("parent-{}", (round + n) / 3), "c", "hub", "parent")));
-    members.push(listing("origin-1", "d", "hub", "origin"));
+        (0..4).map(|n| endpoint_listing(&format!("cache-{}", round + n), "a", "edge", "cache")).collect();
+    members.extend(
+        (0..2).map(|n| endpoint_listing(&format!("parent-{}", (round + n) / 3), "c", "hub", "parent")),
+    );
+    members.push(endpoint_listing("origin-1", "d", "hub", "origin"));
     members
 }
 
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -12,9 +12,9 @@
 /// Returns routers that share no state, with 24 caches of one zone, three parents and the origin.
 fn start_routers(routers: u32) -> Vec<RouterHarness> {
     let settings = Settings { routers, routers_by_zone: vec![0, 0, routers, 0], ..settings() };
-    let cache = |id| Member { server: ServerId(id), ..member(1) };
+    let cache = |id| Member { server: ServerId(id), ..running_member(1) };
     let mut members: Vec<Member> = (101..101 + CACHES).map(cache).collect();
-    members.extend([11, 12, 13, 20].map(member));
+    members.extend([11, 12, 13, 20].map(running_member));
     let harness = |seed| {
         let mut router = RouterHarness::with_seed(settings.clone(), u64::from(seed) + 1);
         router.update_members(MemberUpdate::Full, members.clone());
@@ -69,7 +69,7 @@
         let router = (stream.unit() * f64::from(routers)) as usize;
         let router = &mut fleet[router];
         router.now = now;
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         if n >= measured_from * 800 {
             *received.entry(attempt.server).or_default() += 1;
         }
@@ -114,7 +114,7 @@
     // Forty objects of one cache, none of them hot by itself.
     let first_cache = |router: &mut RouterHarness, object| {
         router.now += 900 * SECOND;
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         router.end_attempt(&attempt, 0, Outcome::Ok, CacheStatus::Hit);
         attempt.server
     };
@@ -128,7 +128,7 @@
         let is_for_first_cache = stream.unit() < 0.33;
         let pick = (stream.unit() * 40.0) as usize;
         let object = if is_for_first_cache { objects[pick] } else { 10_000 + stream.object() };
-        let attempt = router.attempt_for(object);
+        let attempt = router.send_and_take_attempt(object);
         if is_for_first_cache && attempt.server != ServerId(101) {
             *others.entry(attempt.server).or_insert(0u32) += 1;
         }
--- a/tests/upstream_connections.rs
+++ b/tests/upstream_connections.rs
@@ -3,7 +3,7 @@
 
 mod emulated;
 
-use emulated::{listing, run_local, transport, EmulatedServer, ServerBehavior};
+use emulated::{connection_settings, endpoint_listing, run_local, EmulatedServer, ServerBehavior};
 use foxhold::config::settings::ConnectionSettings;
 use foxhold::dispatch::{
     AttemptError, AttemptId, AttemptResult, DispatcherMessage, DispatcherSender, EndpointCommand,
@@ -32,14 +32,15 @@
 
     fn open_with(connector: &mut UpstreamConnector, address: &str) -> EndpointActor {
         let (dispatcher, messages) = mpsc::channel(64);
-        let endpoint = listing("s-1", address, "edge", "cache");
+        let endpoint = endpoint_listing("s-1", address, "edge", "cache");
         let commands = connector.connect(ServerId(1), &endpoint, DispatcherSender::new(dispatcher));
         EndpointActor { commands, messages, written: 0 }
     }
 
     async fn send(&self, attempt: u32, id: &str, body: Vec<u8>) {
         let deadline = Instant::now() + Duration::from_secs(20);
-        let request = emulated::want(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
+        let request =
+            emulated::upstream_request(AttemptId { request: 1, attempt }, id, "videos", body, deadline);
         self.commands.send(EndpointCommand::Send(request)).await.expect("a running actor");
     }
 
@@ -76,14 +77,14 @@
             (ServerBehavior::BreaksOffResponse, AttemptError::ResponseInterrupted),
         ] {
             let server = EmulatedServer::start(behavior).await;
-            let mut actor = EndpointActor::open(&server.address, transport(), 9);
+            let mut actor = EndpointActor::open(&server.address, connection_settings(), 9);
             actor.send(0, "a", Vec::new()).await;
             assert_eq!(actor.next_error().await, error);
         }
         let unused = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = unused.local_addr().expect("a bound address").to_string();
         drop(unused);
-        let mut actor = EndpointActor::open(&address, transport(), 9);
+        let mut actor = EndpointActor::open(&address, connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         assert_eq!(actor.next_error().await, AttemptError::NotConnected);
     });
@@ -95,7 +96,7 @@
 fn each_completely_written_attempt_is_reported_once() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
-        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        let mut actor = EndpointActor::open(&server.address, connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         actor.send(1, "b", Vec::new()).await;
         wait_for_requests(&server, 2).await;
@@ -113,7 +114,7 @@
             .expect("a free port")
             .local_addr()
             .expect("a bound address");
-        let mut actor = EndpointActor::open(&unused.to_string(), transport(), 9);
+        let mut actor = EndpointActor::open(&unused.to_string(), connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         assert_eq!((actor.next_error().await, actor.written), (AttemptError::NotConnected, 0));
     });
@@ -123,8 +124,11 @@
 fn a_request_whose_connection_closes_during_the_write_ends_as_partially_written() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let mut actor =
-            EndpointActor::open(&listener.local_addr().expect("a bound address").to_string(), transport(), 9);
+        let mut actor = EndpointActor::open(
+            &listener.local_addr().expect("a bound address").to_string(),
+            connection_settings(),
+            9,
+        );
         actor.send(0, "a", vec![0; 64 << 20]).await; // more than the socket buffers hold
         let (mut stream, _) = listener.accept().await.expect("a connection");
         stream.read_exact(&mut [0; 100]).await.expect("the beginning of the request");
@@ -137,7 +141,7 @@
 fn an_attempt_without_a_free_descriptor_ends_unsent() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
-        let mut actor = EndpointActor::open(&server.address, transport(), 0);
+        let mut actor = EndpointActor::open(&server.address, connection_settings(), 0);
         actor.send(0, "a", Vec::new()).await;
         assert_eq!(actor.next_error().await, AttemptError::NoDescriptor);
         assert!(server.requests().is_empty());
@@ -156,8 +160,8 @@
             .expect("a bound address");
         // Capacity for one message: the connection waits to send the second, and its end is not reported.
         let (dispatcher, messages) = mpsc::channel(1);
-        let endpoint = listing("s-1", &address.to_string(), "edge", "cache");
-        let commands = UpstreamConnector::new(transport(), 100).connect(
+        let endpoint = endpoint_listing("s-1", &address.to_string(), "edge", "cache");
+        let commands = UpstreamConnector::new(connection_settings(), 100).connect(
             ServerId(1),
             &endpoint,
             DispatcherSender::new(dispatcher),
@@ -182,7 +186,7 @@
     run_local(async {
         let copy = ServerBehavior::Responds("ID ACK res=cached 5\r\nbytes\r\n");
         let (first, second) = (EmulatedServer::start(copy.clone()).await, EmulatedServer::start(copy).await);
-        let mut connector = UpstreamConnector::new(transport(), 1);
+        let mut connector = UpstreamConnector::new(connection_settings(), 1);
         let mut early = EndpointActor::open_with(&mut connector, &first.address);
         let mut late = EndpointActor::open_with(&mut connector, &second.address);
         early.send(0, "a", Vec::new()).await;
@@ -211,7 +215,7 @@
             let server = EmulatedServer::start(ServerBehavior::Silent).await;
             let actor = EndpointActor::open(
                 &server.address,
-                ConnectionSettings { max_streams: streams, ..transport() },
+                ConnectionSettings { max_streams: streams, ..connection_settings() },
                 9,
             );
             for (attempt, id) in ids.into_iter().enumerate() {
@@ -231,8 +235,11 @@
 fn a_response_that_crosses_its_cancellation_is_ignored_and_the_connection_stays_open() {
     run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let mut actor =
-            EndpointActor::open(&listener.local_addr().expect("a bound address").to_string(), transport(), 9);
+        let mut actor = EndpointActor::open(
+            &listener.local_addr().expect("a bound address").to_string(),
+            connection_settings(),
+            9,
+        );
         actor.send(0, "a", Vec::new()).await;
         let (stream, _) = listener.accept().await.expect("a connection");
         let mut lines = BufReader::new(stream);
@@ -263,7 +270,7 @@
     run_local(async {
         let responses = "other ACK - 4\r\nevil\r\np9 READY\r\nID ACK - 4\r\ngood\r\nID ACK - 4\r\nevil\r\n";
         let server = EmulatedServer::start(ServerBehavior::Responds(responses)).await;
-        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        let mut actor = EndpointActor::open(&server.address, connection_settings(), 9);
         for (attempt, id) in ["a", "b", "c"].into_iter().enumerate() {
             actor.send(attempt as u32, id, Vec::new()).await;
             let (ended, end) = actor.next_result().await;
@@ -280,7 +287,7 @@
 fn a_connection_that_stays_silent_until_a_cancellation_gets_no_new_attempts() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
-        let actor = EndpointActor::open(&server.address, transport(), 9);
+        let actor = EndpointActor::open(&server.address, connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         wait_for_requests(&server, 1).await;
         tokio::time::sleep(Duration::from_millis(1100)).await;
@@ -304,7 +311,7 @@
         let server = EmulatedServer::start(ServerBehavior::Responds("ID ACK - 0\r\n\r\n")).await;
         let mut actor = EndpointActor::open(
             &server.address,
-            ConnectionSettings { idle_timeout: Duration::from_millis(50), ..transport() },
+            ConnectionSettings { idle_timeout: Duration::from_millis(50), ..connection_settings() },
             9,
         );
         for (attempt, id) in ["a", "b"].into_iter().enumerate() {
@@ -323,7 +330,7 @@
 fn attempts_are_spread_over_connections_so_that_an_invalid_response_ends_few() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
-        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        let mut actor = EndpointActor::open(&server.address, connection_settings(), 9);
         for attempt in 0..12 {
             actor.send(attempt, &format!("a{attempt}"), Vec::new()).await;
         }
@@ -342,7 +349,7 @@
 fn a_truncated_response_ends_all_attempts_on_its_connection() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
-        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        let mut actor = EndpointActor::open(&server.address, connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         wait_for_requests(&server, 1).await;
         *server.behavior.borrow_mut() = ServerBehavior::StallsResponse;
@@ -361,7 +368,7 @@
 fn no_liveness_check_is_sent_within_800_ms_of_a_request() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
-        let actor = EndpointActor::open(&server.address, transport(), 9);
+        let actor = EndpointActor::open(&server.address, connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         wait_for_requests(&server, 1).await;
         tokio::time::sleep(Duration::from_millis(800)).await;
@@ -375,11 +382,11 @@
 fn a_silent_connection_is_closed_unless_it_answers_a_liveness_check() {
     run_local(async {
         let server = EmulatedServer::start(ServerBehavior::Silent).await;
-        let mut actor = EndpointActor::open(&server.address, transport(), 9);
+        let mut actor = EndpointActor::open(&server.address, connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         assert_eq!(actor.next_error().await, AttemptError::Unanswered);
         let slow = EmulatedServer::start(ServerBehavior::Responds("")).await;
-        let mut actor = EndpointActor::open(&slow.address, transport(), 9);
+        let mut actor = EndpointActor::open(&slow.address, connection_settings(), 9);
         actor.send(0, "a", Vec::new()).await;
         let waited = tokio::time::timeout(Duration::from_millis(3500), actor.next_result()).await;
         assert!(waited.is_err(), "the attempt must not end, got {waited:?}");
--- a/tests/wire_compat.rs
+++ b/tests/wire_compat.rs
@@ -49,7 +49,7 @@
 
 fn minimal_request(id: &str, now: Instant) -> UpstreamRequest {
     let attempt_id = AttemptId { request: 1, attempt: 0 };
-    emulated::want(attempt_id, id, "videos", Vec::new(), now + Duration::from_millis(1500))
+    emulated::upstream_request(attempt_id, id, "videos", Vec::new(), now + Duration::from_millis(1500))
 }
 
 #[test]
@@ -218,7 +218,7 @@
 /// Sends a request and returns the complete response as received. The value of `X-Wait-Ms`, which varies, is
 /// masked.
 async fn response_text(address: &str, request: &str) -> String {
-    let response = send(address, request).await;
+    let response = send_request_text(address, request).await;
     let mut head = response.head;
     if let Some(at) = head.find("X-Wait-Ms: ") {
         let rest = head.split_off(at + "X-Wait-Ms: ".len());
--- a/tests/xds.rs
+++ b/tests/xds.rs
@@ -2,7 +2,7 @@
 
 mod emulated;
 
-use emulated::{listing, run_with_paused_clock};
+use emulated::{endpoint_listing, run_with_paused_clock};
 use foxhold::discovery::xds;
 use foxhold::discovery::{follow_file, watched_file::WatchedFile};
 use foxhold::dispatch::{DispatcherMessage, DispatcherSender, Endpoint};
@@ -30,10 +30,13 @@
         cell: 2,
         size: 4.0,
         started_at: 1_764_576_000_123_000,
-        ..listing("s-1", "10.1.0.9:9090", "edge", "cache")
+        ..endpoint_listing("s-1", "10.1.0.9:9090", "edge", "cache")
+    };
+    let second = Endpoint {
+        size: 1.0,
+        state: MemberState::Draining,
+        ..endpoint_listing("s-2", "[::1]:9091", "edge", "cache")
     };
-    let second =
-        Endpoint { size: 1.0, state: MemberState::Draining, ..listing("s-2", "[::1]:9091", "edge", "cache") };
     assert_eq!(update.members, [first, second]);
     let pairs = [
         ("version_info", "versionInfo"),
