--- a/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
+++ b/crates/foxhold-testbed/src/scenarios/simulated_fleet/regression.rs
@@ -4,11 +4,11 @@
 use serde::Serialize;
 
 /// Smallest number of sizes for a regression.
-pub const SIZES: usize = 3;
+pub const MIN_SIZES: usize = 3;
 /// Smallest ratio of the largest size to the smallest.
-pub const SPAN: f64 = 10.0;
+pub const MIN_SPAN: f64 = 10.0;
 /// A regression holds if no residual is larger than this share of the figure.
-pub const HOLDS: f64 = 0.1;
+pub const MAX_RESIDUAL: f64 = 0.1;
 
 /// Sizes from this value on are not reported, because the regression says nothing about them.
 const MAX_REPORTED_SIZE: f64 = 1e9;
@@ -76,11 +76,11 @@
 /// Reason why no regression can be calculated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegressionError {
-    /// There are fewer than [`SIZES`] points.
-    #[error("no regression: expected figures for at least {SIZES} sizes")]
+    /// There are fewer than [`MIN_SIZES`] points.
+    #[error("no regression: expected figures for at least {MIN_SIZES} sizes")]
     Sizes,
-    /// The largest size is less than [`SPAN`] times the smallest, or a size is not above zero.
-    #[error("no regression: expected sizes above zero, the largest at least {SPAN} times the smallest")]
+    /// The largest size is less than [`MIN_SPAN`] times the smallest, or a size is not above zero.
+    #[error("no regression: expected sizes above zero, the largest at least {MIN_SPAN} times the smallest")]
     Span,
     /// The slope or the mean of the figures is not finite.
     #[error("no regression: the slope or the mean of the figures is not finite")]
@@ -104,13 +104,13 @@
 
 impl Regression {
     /// Calculates the regression of figures over sizes, in the form whose largest residual is smaller.
-    pub fn through(points: &[(f64, f64)]) -> Result<Regression, RegressionError> {
-        if points.len() < SIZES {
+    pub fn calculate(points: &[(f64, f64)]) -> Result<Regression, RegressionError> {
+        if points.len() < MIN_SIZES {
             return Err(RegressionError::Sizes);
         }
         let smallest = points.iter().map(|p| p.0).fold(f64::INFINITY, f64::min);
         let largest = points.iter().map(|p| p.0).fold(0.0, f64::max);
-        if smallest <= 0.0 || largest < SPAN * smallest {
+        if smallest <= 0.0 || largest < MIN_SPAN * smallest {
             return Err(RegressionError::Span);
         }
         let linear = Regression::in_form(Form::Linear, points, (smallest, largest))?;
@@ -141,9 +141,9 @@
         self.residuals.iter().map(|share| share.abs()).fold(0.0, f64::max)
     }
 
-    /// Returns whether the line holds over its range: no residual exceeds [`HOLDS`].
+    /// Returns whether the line holds over its range: no residual exceeds [`MAX_RESIDUAL`].
     pub fn holds(&self) -> bool {
-        self.worst() <= HOLDS
+        self.worst() <= MAX_RESIDUAL
     }
 
     /// Returns the size at which the line reaches a value, or `None` if the line does not rise or the size is
