--- a/crates/foxhold-testbed/src/reports/scenario.rs
+++ b/crates/foxhold-testbed/src/reports/scenario.rs
@@ -121,9 +121,8 @@
     ) -> RunReport {
         let mut breaches = log.breaches;
         breaches.extend(seen.panics);
-        let (after_leave, begun_late) =
-            SentAfterDisconnect::compute(scenario, zero_ms, &log.left, &seen.events);
-        breaches.extend(begun_late);
+        let (after_leave, late) = SentAfterDisconnect::compute(scenario, zero_ms, &log.left, &seen.events);
+        breaches.extend(late);
         let servers = ServerActivity::new(scenario, specs, zero_ms, &seen.events);
         breaches.extend(servers.breaches);
         let requests = RequestSummary::new(scenario, &log.ended);
